--- a/packages/rosemaryspread/src/budget/billArchive.ts
+++ b/packages/rosemaryspread/src/budget/billArchive.ts
@@ -1,8 +1,8 @@
 /**
- * Moves old segments from the table to the object store. A block is deleted only after the object
- * store has answered that it has it whole, and in one transaction that checks every row. So a
- * fault leaves the block in the table, in the object or in both, and the next pass does it again
- * with the same name and bytes. Passes of several VMs do no harm to each other.
+ * Moves old segments from the table to the object store, one block at a time. A block is deleted from the table only
+ * after the object store has confirmed that it is stored whole, in one transaction that checks every row. A fault thus
+ * leaves the block in the table, in the object store or in both, and the next pass repeats it with the same name and
+ * bytes. Concurrent passes of several VMs are safe.
  */
 import { Right, type Either } from 'purify-ts'
 import { isArchivable, nextBlock, BLOCK_SEGMENTS, type BillBlock, type SegmentAtVersion } from '@rosemaryspread/decisions/budget/billBlocks.js'
@@ -12,29 +12,25 @@
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Steps of one pass: a holder looked at, or a block archived. */
+/** Steps of one pass; a step skips a holder or archives a block. */
 const STEPS_A_PASS = 600
 
-/** What the archive works on. */
 export interface ArchiveParts {
   readonly store: TableStore
   readonly objects: Pick<ObjectStore, 'put'>
   readonly log: EventLog
 }
 
-/** The archive of bills as one VM keeps it. */
+/** Archives the bills of all holders. */
 export class BillArchive {
-  /** Where the next pass goes on; undefined at the start of the table. */
+  /** Key after which the next pass continues; undefined at the start of the table. */
   private after: string | undefined
   private isRunning = false
 
-  /**
-   * @param parts - the stores
-   * @param steps - steps of one pass
-   */
+  /** @param steps - upper bound of steps in one pass */
   constructor (private readonly parts: ArchiveParts, private readonly steps: number = STEPS_A_PASS) {}
 
-  /** One pass, to the end of the table at most; passes do not overlap. A failure ends it. */
+  /** Runs one pass, at most to the end of the table. Passes don't overlap, and a failure ends the pass. */
   async pass (): Promise<void> {
     if (this.isRunning) return
     this.isRunning = true
@@ -49,7 +45,7 @@
     }
   }
 
-  /** Archives one block, or goes on to the next holder. Answers whether there is more to do. */
+  /** Archives one block or skips to the next holder. Returns whether there is more to do. */
   private async step (): Promise<Either<Failure, boolean>> {
     const after = this.after === undefined ? {} : { after: this.after }
     const scan = await this.parts.store.scan({ table: budgetTables.segments, prefix: '', limit: 1, ...after })
@@ -80,12 +76,12 @@
       writes: block.segments.map(({ key }) => ({ table: budgetTables.segments, key, value: null }))
     })
     done.ifRight(() => { this.parts.log.write('billsArchived', { object: block.name, segments: block.segments.length }) })
-    // A conflict: another VM was faster. What is left is looked at anew.
+    // On a conflict another VM archived these segments first; the next step scans what is left.
     return done.map(() => true).chainLeft(failure => failure.code === 'platformConflict' ? Right(true) : done.map(() => true))
   }
 
   private skip (segment: SegmentAtVersion): Either<Failure, boolean> {
-    // '0' is the character after '/': behind all keys of this holder, before those of any other.
+    // '0' follows '/' in key order: this skips all keys of the holder and none of any other.
     this.after = `${holderOf(segment)}0`
     return Right(true)
   }
--- a/packages/rosemaryspread/src/budget/budgetActions.ts
+++ b/packages/rosemaryspread/src/budget/budgetActions.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what the ledger decides: draws, flushes, asks to peers and answers to requests.
- * How each of them ended goes back to the ledger as an event.
+ * Executes the actions that the ledger decides on: draws, flushes, requests to peers, and replies to reservations.
+ * Reports the outcome of each back to the ledger as an event.
  */
 import { toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { BudgetOwnership } from '@rosemaryspread/decisions/budget/budgetOwners.js'
@@ -15,30 +15,26 @@
 import { DrawQueue } from './drawQueue.js'
 import type { OpenReservations } from './openReservations.js'
 
-/** What the actions reach. */
+/** Components that the actions use. */
 export interface BudgetActionTargets {
   readonly table: BudgetTable
   readonly registry: BudgetRegistry
   readonly owners: BudgetOwnership
   readonly reservations: OpenReservations
-  /** Hands an event to the ledger. */
+  /** Passes an event to the ledger. */
   readonly dispatch: (event: BudgetEvent) => void
 }
 
-/** Actions of one holder. */
+/** Executes the actions of one holder. */
 export class BudgetActions {
   private readonly drawing: BudgetDrawing
   private readonly draws: DrawQueue
   private readonly flushing: BudgetFlushing
   private readonly asking: BudgetAsking
-  /** Peers that wait until tokens of a budget are back in the table. */
+  /** Callbacks of recalls that wait until the returned tokens of a budget are in the table. */
   private readonly returnWaiters = new Map<string, Array<() => void>>()
   private inDoubt = 0
 
-  /**
-   * @param parts - what the driver is built from
-   * @param targets - what the actions reach
-   */
   constructor (private readonly parts: BudgetDriverParts, private readonly targets: BudgetActionTargets) {
     const { holder, domain, store, peers, clock, log } = parts
     const { table, registry, owners, dispatch } = targets
@@ -50,27 +46,24 @@
     this.asking = new BudgetAsking({ holder, domain, peers, store, clock, log, isRegistered, dispatch })
   }
 
-  /** Whether no ask to a peer is open. */
+  /** Whether no transfer request is pending. */
   get isIdle (): boolean {
     return this.asking.isIdle
   }
 
-  /** Tokens in doubt when allotments closed, summed up since the start. */
+  /** Total tokens in doubt at the time their allotments were closed, since the start. */
   get inDoubtTokens (): number {
     return this.inDoubt
   }
 
-  /** Sends the draws that are due, repeats open asks and keeps this holder registered. */
+  /** Sends due draws, retries pending transfer requests and renews the registration of this holder. */
   tick (): void {
     this.run(this.performDraws(this.draws.due(this.parts.clock.now())))
     this.run(this.asking.repeatOpen())
     this.run(this.targets.registry.register())
   }
 
-  /**
-   * Begins to carry out an action; a failure is logged.
-   * @param action - the action
-   */
+  /** Starts an action without awaiting it; a failure is logged. */
   perform (action: BudgetAction): void {
     const { reservations } = this.targets
     switch (action.kind) {
@@ -89,10 +82,7 @@
     }
   }
 
-  /**
-   * Resolves when returned tokens of a budget are in the table.
-   * @param budget - budget id
-   */
+  /** Resolves when the returned tokens of a budget are in the table. */
   async returned (budget: string): Promise<void> {
     await new Promise<void>(resolve => {
       const list = this.returnWaiters.get(budget) ?? []
@@ -101,10 +91,7 @@
     })
   }
 
-  /**
-   * Gets in touch with an owner of a budget.
-   * @param budget - budget id
-   */
+  /** Opens a link to an owner of a budget. */
   meet (budget: string): void {
     if (this.parts.gifts !== undefined) this.run(this.parts.gifts.meet(budget))
   }
@@ -127,7 +114,7 @@
     try {
       outcome = await this.parts.gifts?.ask(giftId, budget, tokens) ?? outcome
     } finally {
-      // Without an answer the ledger would never ask again.
+      // Without this event the ledger would never request a grant again.
       this.targets.dispatch({ kind: 'giftAnswered', giftId, budget, ...outcome })
     }
   }
--- a/packages/rosemaryspread/src/budget/budgetAsking.ts
+++ b/packages/rosemaryspread/src/budget/budgetAsking.ts
@@ -1,7 +1,6 @@
 /**
- * Asks other holders for tokens: transfers within the failure domain and recalls from everywhere.
- * An ask whose answer was lost is asked again under the same id until its outcome is known, so
- * that no given tokens are stranded.
+ * Requests tokens from other holders: transfers within the failure domain, and recalls from all domains. A request whose
+ * response was lost is repeated under the same id until its outcome is known, so that granted tokens are not stranded.
  */
 import type { Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -16,16 +15,15 @@
 type AskAction = Extract<BudgetAction, { kind: 'askGive' }>
 type RecallAction = Extract<BudgetAction, { kind: 'recall' }>
 
-/** An ask whose outcome is open. */
+/** A transfer request whose outcome is not known yet. */
 interface OpenAsk {
   readonly giver: string
   readonly ask: GiveAsk
 }
 
-/** Open asks that are repeated in one tick. */
+/** Pending requests retried in one tick. */
 const REPEATS_PER_TICK = 8
 
-/** This holder and what it needs to ask others. */
 export interface AskingParts {
   readonly holder: string
   readonly domain: string
@@ -33,22 +31,19 @@
   readonly store: TableStore
   readonly clock: Clock
   readonly log: EventLog
-  /** Whether this holder is in the register, without which recovery would not know of its runs. */
+  /** Whether this holder is registered; recovery would not find its runs otherwise. */
   isRegistered (): boolean
   dispatch (event: BudgetEvent): void
 }
 
-/** Asks other holders. */
+/** Sends transfer requests and recalls to other holders. */
 export class BudgetAsking {
   private readonly open = new Map<string, OpenAsk>()
   private repeating = false
 
   constructor (private readonly parts: AskingParts) {}
 
-  /**
-   * Asks the holders of the own domain one after another until enough was given.
-   * @param action - what the ledger wants
-   */
+  /** Requests a transfer from one holder of the local domain after another until enough was granted. */
   async askGive (action: AskAction): Promise<void> {
     let missing = action.atLeast
     for (const giver of this.domainMembers()) {
@@ -60,7 +55,7 @@
     this.parts.dispatch({ kind: 'giveAnswered', transferId: action.transferId })
   }
 
-  /** Repeats asks whose answer was lost; called on each tick. */
+  /** Retries requests whose response was lost; called on each tick. */
   async repeatOpen (): Promise<void> {
     if (this.repeating || this.open.size === 0) return
     this.repeating = true
@@ -72,7 +67,10 @@
     this.repeating = false
   }
 
-  /** The giver may have recorded the transfer; once its allotment is closed it never will. */
+  /**
+   * Looks for the outcome in the table: the granter may have recorded the transfer, and can no longer do so once its
+   * allotment is closed.
+   */
   private async askTable (item: OpenAsk): Promise<void> {
     const { transferId, budget } = item.ask
     const askedAt = this.parts.clock.now()
@@ -88,15 +86,12 @@
     this.parts.dispatch({ kind: 'giveAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt })
   }
 
-  /** Whether every ask has its answer. */
+  /** Whether no request is pending. */
   get isIdle (): boolean {
     return this.open.size === 0
   }
 
-  /**
-   * Asks all other holders of a budget to return what they can.
-   * @param action - what the ledger wants
-   */
+  /** Requests all other holders of a budget to return what they can. */
   async recall (action: RecallAction): Promise<void> {
     const { budget, tokens, atLeast, recallId } = action
     this.parts.log.write('budgetRecalled', { budget, tokens })
--- a/packages/rosemaryspread/src/budget/budgetDrawing.ts
+++ b/packages/rosemaryspread/src/budget/budgetDrawing.ts
@@ -1,5 +1,5 @@
 /**
- * Draws: moves tokens from a budget into the allotment of this holder.
+ * Executes draws, which move tokens from a budget into the allotment of this holder.
  */
 import { Either } from 'purify-ts'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -12,20 +12,18 @@
 import { FirstSent } from './budgetFirstSent.js'
 import { surveyBudget } from './budgetSharing.js'
 
-/** Who draws; `holders` is asked each time. */
+/** The drawing holder; `holders` is read for each draw. */
 export interface DrawingHolder {
   readonly holder: string
   readonly domain: string
   readonly policy: Pick<BudgetPolicy, 'shareDivisor' | 'evenPart'>
   holders (): number
-  /** What the configuration says was paid for a budget; undefined where top-ups say it. */
+  /** Amount paid for a budget according to the configuration; undefined where top-ups define it. */
   declared (budget: string): DeclaredPaid | undefined
 }
 
-/** A draw as the ledger wants it. */
 export type DrawAction = Extract<BudgetAction, { kind: 'draw' }>
 
-/** Carries out draws. */
 export class BudgetDrawing {
   private readonly since = new FirstSent()
 
@@ -37,7 +35,7 @@
 
   /**
    * Draws for several budgets in one transaction.
-   * @param actions - what the ledger wants, of different budgets
+   * @param actions - at most one for each budget
    */
   async draw (actions: readonly DrawAction[]): Promise<readonly DrawOutcome[]> {
     const { holder, domain, policy: { shareDivisor, evenPart } } = this.self
@@ -62,7 +60,7 @@
     }
   }
 
-  /** A broken row fails only the draw of its own budget. */
+  /** Retries each draw alone, so that a malformed row fails only the draw of its own budget. */
   private async allFailed (actions: readonly DrawAction[], failure: Failure): Promise<readonly DrawOutcome[]> {
     if (failure.code !== 'internal' || actions.length === 1) return actions.map(action => this.failed(action, failure))
     const outcomes = await Promise.all(actions.map(async action => await this.draw([action])))
@@ -79,7 +77,7 @@
     return { kind: 'granted', tokens, left, sentAt, ...fleet }
   }
 
-  /** Only when requests wait does it matter who holds the rest. */
+  /** Surveys the budget only if requests wait, as only then it matters who holds the rest. */
   private async short (action: DrawAction, left: number): Promise<DrawOutcome> {
     const sentAt = this.table.now()
     if (action.atLeast === 0) return { kind: 'short', left, elsewhere: Infinity, sentAt }
@@ -98,7 +96,7 @@
   }
 }
 
-/** Plans of one transaction; it is written if any of them changes a row. */
+/** Plans of one transaction, which is written if any of them changes a row. */
 interface DrawBatch {
   readonly kind: 'write' | 'done'
   readonly plans: readonly DrawPlan[]
--- a/packages/rosemaryspread/src/budget/budgetDriver.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriver.ts
@@ -1,7 +1,6 @@
 /**
- * The shell around the budget ledger: request handling and peers come in as events, and the
- * actions of the ledger go out to the table service and the peers. It has no timer: its owner
- * calls `tick` several times a second.
+ * Connects the budget ledger to its surroundings: requests and peers enter as events, and the actions of the ledger go
+ * out to the table service and to peers. It has no timer; its user calls `tick` several times a second.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -27,12 +26,11 @@
 import { OpenReservations } from './openReservations.js'
 
 /**
- * What is hashed for the VMs that look for ended holders. If all 60 VMs of a fleet did, each pass would read the holders and
- * places of all and, after all had ended at once, the holdings of each 60 times over.
+ * Key hashed to choose the VMs that recover terminated holders. If all 60 VMs of a fleet did it, each pass would read the
+ * holders and places of the whole fleet and, after all had terminated at once, the holdings of each holder 60 times.
  */
 const RECOVERY_ROLE = 'recovery of ended holders'
 
-/** Budgets of this VM. */
 export class BudgetDriver implements BudgetPort {
   private readonly ledger: BudgetLedger
   private readonly table: BudgetTable
@@ -69,7 +67,7 @@
 
   confirm (reservation: Reservation): Either<Failure, void> {
     if (this.ledger.isValid(reservation.reservationId, this.parts.clock.now())) return Right(undefined)
-    return Left(new Failure('allotmentClosed', 'the allotment lapsed or was closed before the run began', { retryAfterMs: 1000 }))
+    return Left(new Failure('allotmentClosed', 'the allotment expired or was closed before the run started', { retryAfterMs: 1000 }))
   }
 
   settle (reservation: Reservation, bill?: Bill): void {
@@ -77,69 +75,60 @@
     this.dispatch({ kind: 'settle', reservationId, ...(bill === undefined ? {} : { bill }) })
   }
 
-  /**
-   * Says who is told when a request begins to wait for tokens: ticks should come more often then.
-   * @param listener - is told
-   */
+  /** Sets the listener called when a request starts to wait for tokens; ticks should be more frequent then. */
   onWaiting (listener: () => void): void {
     this.waits = listener
   }
 
-  /** Whether a request waits for tokens, so that time counts. */
+  /** Whether a request waits for tokens and ticks should be frequent. */
   get isWaiting (): boolean {
     return this.reservations.isWaiting
   }
 
-  /** Moves time on; to be called every 100 to 200 ms, and more often while a request waits. */
+  /** Advances time; to be called every 100 to 200 ms, and more often while a request waits. */
   tick (): void {
     this.refreshOwners()
     this.dispatch({ kind: 'tick' })
     this.actions.tick()
   }
 
-  /** Stops admitting; resolves when every bill is durable and every free token returned. Ticks have to go on. */
+  /**
+   * Stops admitting requests. Resolves when every bill is durable and every free token is returned; ticks have to
+   * continue until then.
+   */
   async drain (): Promise<void> {
     this.dispatch({ kind: 'drain' })
     if (!this.isDrained) await new Promise<void>(resolve => this.drainWaiters.push(resolve))
     await this.registry.retire()
   }
 
-  /**
-   * Adds paid tokens, or lowers the budget.
-   * @param topUp - the operation with its id
-   */
+  /** Adds paid tokens, or lowers the budget when the amount is negative. */
   async topUp (topUp: TopUpRow): Promise<Either<Failure, BudgetAnswer>> {
     return await this.topUps.topUp(topUp)
   }
 
-  /**
-   * A budget with its holders and what is in doubt.
-   * @param budget - budget id
-   */
+  /** Reads a budget with its holders and the tokens in doubt. */
   async show (budget: string): Promise<Either<Failure, BudgetAnswer>> {
     return await this.topUps.show(budget)
   }
 
   /**
-   * One pass of recovery over holders that ended; to be called every few seconds. In a large fleet a few VMs do it for all.
-   * @param list - the platform's list of VMs, when it could be read
+   * Runs one recovery pass over terminated holders; to be called every few seconds. In a large fleet only a few VMs do
+   * this for all.
+   * @param list - the platform's list of VMs, if it could be read
    */
   async recoverDead (list?: ListEvidence): Promise<void> {
     if (this.owners.owns(this.parts.holder, RECOVERY_ROLE)) await this.recovery?.pass(list)
   }
 
-  /**
-   * Takes note that the amount paid for a budget changed in the configuration.
-   * @param budget - budget id
-   * @param isLowered - whether it is less than before
-   */
+  /** Handles a change of the paid amount in the configuration. */
   paidChanged (budget: string, isLowered: boolean): void {
     this.dispatch({ kind: 'paidChanged', budget, isLowered })
   }
 
   /**
-   * Holds tokens of a budget ahead of requests, or gets in touch with an owner of it; to be called again before it would count as idle.
-   * @param budget - budget id
+   * Draws tokens of a budget ahead of requests, or opens a link to an owner of it. To be repeated before the budget
+   * counts as idle.
    */
   prepare (budget: string): void {
     this.refreshOwners()
@@ -147,23 +136,23 @@
     if (!this.owners.owns(this.parts.holder, budget)) this.actions.meet(budget)
   }
 
-  /**
-   * Takes note that another holder began, which needs its part of the budgets held here.
-   * @param holder - the new holder
-   */
+  /** Handles the start of another holder, which needs its share of the budgets allotted to this one. */
   holderJoined (holder: string): void {
     this.refreshOwners()
     this.dispatch({ kind: 'holderJoined', holder })
   }
 
-  /** Registers this holder and takes back what earlier processes of its VM held; to be called from the start on until it is done. */
+  /**
+   * Registers this holder and recovers what earlier processes of its VM held. To be repeated from the start on until it
+   * returns true.
+   */
   async takeOver (): Promise<boolean> {
     await this.registry.register()
     const isRecovered = await this.recovery?.pass(undefined, vmOf(this.parts.holder)) ?? true
     return this.registry.isRegistered && isRecovered
   }
 
-  /** Budgets as this holder sees them. */
+  /** Budgets as seen by this holder. */
   views (): readonly BudgetView[] {
     return this.ledger.views()
   }
@@ -174,10 +163,7 @@
     return { reserved, refused, inDoubtTokens, tableWrites: this.table.writes, tableConflicts: this.table.conflicts }
   }
 
-  /**
-   * Serves the ask of another holder for a transfer.
-   * @param ask - the ask
-   */
+  /** Handles a transfer request of another holder. */
   onGive (ask: GiveAsk): GiveAnswer {
     const { transferId, budget, to, wanted, atLeast, isRepeat } = ask
     const sameDomain = ask.domain === this.parts.domain
@@ -186,10 +172,7 @@
     return given?.transfer === undefined ? {} : { transfer: given.transfer }
   }
 
-  /**
-   * Serves a recall; answers when the tokens are in the table.
-   * @param ask - the ask
-   */
+  /** Handles a recall; resolves when the returned tokens are in the table. */
   async onRecall (ask: RecallAsk): Promise<RecallAnswer> {
     const { budget, wanted, atLeast } = ask
     const actions = this.dispatch({ kind: 'recallAsked', budget, wanted, atLeast })
@@ -198,10 +181,7 @@
     return { returned }
   }
 
-  /**
-   * Serves the ask of another holder for tokens to use at once.
-   * @param ask - the ask
-   */
+  /** Handles a grant request of another holder: the tokens can be used at once. */
   onGift ({ giftId, budget, tokens, to }: GiftAsk): GiftAnswer {
     const actions = this.dispatch({ kind: 'giftAsked', giftId, budget, tokens, to })
     const gift = actions.find(action => action.kind === 'gift')
@@ -210,18 +190,14 @@
     return answer
   }
 
-  /**
-   * Takes tokens that a holder left as it ended.
-   * @param budget - budget id
-   * @param tokens - amount
-   */
+  /** Accepts tokens that a terminating holder hands over. */
   onHandOver (budget: string, tokens: number): void {
     this.dispatch({ kind: 'handedOver', budget, tokens })
   }
 
   /**
-   * Serves the question whether transfers with an ended holder are unrecorded; none begins afterwards.
-   * @param ask - the ended holder
+   * Confirms whether no transfer with a terminated holder is unrecorded here, and fences that holder: no transfer with it
+   * starts afterwards.
    */
   onConfirm (ask: ConfirmAsk): ConfirmAnswer {
     this.dispatch({ kind: 'fence', holder: ask.holder })
--- a/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
@@ -1,4 +1,6 @@
-/** What the budget driver is built from, and what it counts. */
+/**
+ * Dependencies and counters of the budget driver.
+ */
 import type { DeclaredPaid } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { RendezvousOwners } from '@rosemaryspread/decisions/budget/budgetOwners.js'
 import type { BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
@@ -9,49 +11,47 @@
 import type { UnbilledRuns } from './budgetRecovery.js'
 import type { RecoveryRunners } from './budgetRecoveryRuns.js'
 
-/** What came of an ask. */
+/** Outcome of a grant request. */
 export interface GiftOutcome {
-  /** Tokens given in all. */
+  /** Tokens granted by all peers together. */
   readonly tokens: number
-  /** Whether any of the others answered. */
+  /** Whether any peer answered. */
   readonly isReached: boolean
 }
 
-/** Asks other holders for tokens to use at once. */
+/** Requests grants from other holders: tokens that can be used at once. */
 export interface GiftAsker {
   ask (giftId: string, budget: string, tokens: number): Promise<GiftOutcome>
-  /** Opens a link to an owner of a budget ahead of need. */
+  /** Opens a link to an owner of a budget ahead of demand. */
   meet (budget: string): Promise<void>
-  /** Leaves tokens to another holder; answers whether one took them. */
+  /** Hands tokens over to another holder; resolves to whether one accepted them. */
   handOver (budget: string, tokens: number): Promise<boolean>
 }
 
-/** What the driver is built from. */
 export interface BudgetDriverParts {
   readonly holder: string
   readonly domain: string
   /** Name of the addresses on which this process listens. */
   readonly place?: string | undefined
-  /** Monotonic milliseconds at which this process had begun; absent where its clock does not tell. */
+  /** Monotonic milliseconds of the start of this process; absent where its clock does not provide it. */
   readonly begunAt?: number
   readonly store: TableStore
   readonly peers: BudgetPeers
   readonly clock: Clock
   readonly log: EventLog
   readonly policy?: BudgetPolicy
-  /** Who owns which budget; absent where every holder owns all. */
+  /** Owners of each budget; absent where every holder owns all budgets. */
   readonly owners?: RendezvousOwners
-  /** Asks other holders for gifts; absent where holders give none. */
+  /** Requests grants from other holders; absent where holders grant none. */
   readonly gifts?: GiftAsker
-  /** Runners to ask on recovery; without them, and without `unbilled`, nothing is recovered. */
+  /** Runners queried by recovery; without them, and without `unbilledRuns`, nothing is recovered. */
   readonly runners?: RecoveryRunners
-  /** How recovery finds what ended holders still owe, where runners keep no record of it. */
+  /** Finds what terminated holders still owe, where runners keep no record of it. */
   readonly unbilled?: UnbilledRuns
-  /** What the configuration says was paid for a budget, where top-ups do not say it. */
+  /** Amount paid for a budget according to the configuration, where top-ups don't define it. */
   readonly declared?: (budget: string) => DeclaredPaid | undefined
 }
 
-/** Counters for metrics. */
 export interface BudgetCounters {
   reserved: number
   refused: number
--- a/packages/rosemaryspread/src/budget/budgetFirstSent.ts
+++ b/packages/rosemaryspread/src/budget/budgetFirstSent.ts
@@ -1,22 +1,20 @@
 /**
- * When operations were first sent, by the table's clock. A report counts from its first try, since
- * that one may have taken effect though its answer was lost.
+ * Times of the first attempt of operations, by the table's clock. A report counts from its first attempt, which may have
+ * taken effect though its answer was lost.
  */
 
 /**
- * Milliseconds taken off the time of a first try: a report is made up somewhat before it is sent, by more
- * on a VM that is slow, and what it allows must not begin to grow later for others than for its holder.
+ * Milliseconds subtracted from the time of a first attempt. A report is created some time before it is sent, longer
+ * before on a slow VM, and the allowance it grants must not start to grow later for others than for its holder.
  */
 const MADE_BEFORE_MS = 100
 
-/** First tries of open operations. */
 export class FirstSent {
   private readonly times = new Map<string, number>()
 
   /**
-   * Notes a try; only the first counts. Answers whether it is the first.
-   * @param id - the operation
-   * @param tableNow - milliseconds of the table's clock, not after the present
+   * Records an attempt; only the first one counts. Returns whether it is the first.
+   * @param tableNow - milliseconds of the table's clock, not later than the present
    */
   begin (id: string, tableNow: number): boolean {
     if (this.times.has(id)) return false
@@ -24,18 +22,12 @@
     return true
   }
 
-  /**
-   * Time of the first try; 0 when there was none.
-   * @param id - the operation
-   */
+  /** Time of the first attempt; 0 if there was none. */
   of (id: string): number {
     return this.times.get(id) ?? 0
   }
 
-  /**
-   * Forgets an operation whose outcome is known.
-   * @param id - the operation
-   */
+  /** Removes an operation whose outcome is known. */
   end (id: string): void {
     this.times.delete(id)
   }
--- a/packages/rosemaryspread/src/budget/budgetFlushing.ts
+++ b/packages/rosemaryspread/src/budget/budgetFlushing.ts
@@ -1,5 +1,5 @@
 /**
- * Flushes: makes bills, returns and transfers of this holder durable in one transaction.
+ * Executes flushes, which make the bills, returns and transfers of this holder durable in one transaction.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -11,7 +11,6 @@
 
 type FlushAction = Extract<BudgetAction, { kind: 'flush' }>
 
-/** Carries out flushes. */
 export class BudgetFlushing {
   private readonly since = new FirstSent()
 
@@ -21,14 +20,11 @@
     private readonly log: EventLog
   ) {}
 
-  /**
-   * Flushes.
-   * @param action - what the ledger wants
-   */
+  /** Writes a segment with its bills, returns and transfers. */
   async flush (action: FlushAction): Promise<FlushOutcome> {
     const keys = flushKeys(action, this.self)
     const id = `flush${action.seq}`
-    // Its segment cannot be there before the first try.
+    // The segment cannot exist before the first attempt.
     if (this.since.begin(id, this.table.tableNow)) this.table.assumeAbsent({ table: budgetTables.segments, key: segmentKey(this.self.holder, action.seq) })
     const order = { ...action, since: this.since.of(id) }
     const done = await this.table.run(id, keys, rows => planFlush(rows, order, this.self))
--- a/packages/rosemaryspread/src/budget/budgetGiftCalls.spec.ts
+++ b/packages/rosemaryspread/src/budget/budgetGiftCalls.spec.ts
@@ -1,5 +1,6 @@
 /**
- * How other VMs are asked for gifts: in which order, how many, and what silence costs.
+ * Guards against grant requests that go to the wrong VMs or too many of them, wait on unresponsive ones, or lose late
+ * answers.
  */
 import { expect } from 'chai'
 import { Left, Right, type Either } from 'purify-ts'
@@ -9,7 +10,7 @@
 
 const peers = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(name => ({ holder: name, address: `${name}:1` }))
 
-/** Other VMs with what each can give; one without a number is silent. */
+/** Other VMs with the tokens that each can grant; one without a number is unresponsive. */
 class World {
   mono = 0
   readonly asked: string[] = []
@@ -45,24 +46,24 @@
 interface AskCase {
   readonly name: string
   readonly have: Record<string, number | undefined>
-  /** Tokens of each ask, one after another, half a second apart. */
+  /** Tokens of each request, one after another, half a second apart. */
   readonly asks: readonly number[]
   readonly given: readonly number[]
   readonly asked: readonly string[]
 }
 
 const cases: readonly AskCase[] = [
-  { name: 'one VM where it has enough', have: { a: 100, b: 100 }, asks: [50], given: [50], asked: ['a'] },
-  { name: 'the next one for the rest', have: { a: 30, b: 100 }, asks: [50], given: [50], asked: ['a', 'b'] },
-  { name: 'those first that had most left', have: { a: 60, b: 500 }, asks: [100, 10], given: [100, 10], asked: ['a', 'b', 'b'] },
-  { name: 'those last that did not answer', have: { a: undefined, b: 500 }, asks: [10, 10], given: [10, 10], asked: ['a', 'a', 'b', 'b'] },
-  { name: 'no more than six', have: { a: 1, b: 1, c: 1, d: 1, e: 1, f: 1, g: 1, h: 1 }, asks: [50], given: [6], asked: ['a', 'b', 'c', 'd', 'e', 'f'] },
-  { name: 'nobody where there is no other', have: {}, asks: [50], given: [0], asked: [] }
+  { name: 'one VM if it has enough', have: { a: 100, b: 100 }, asks: [50], given: [50], asked: ['a'] },
+  { name: 'the next VM for the rest', have: { a: 30, b: 100 }, asks: [50], given: [50], asked: ['a', 'b'] },
+  { name: 'VMs with the highest balance first', have: { a: 60, b: 500 }, asks: [100, 10], given: [100, 10], asked: ['a', 'b', 'b'] },
+  { name: 'VMs that did not answer last', have: { a: undefined, b: 500 }, asks: [10, 10], given: [10, 10], asked: ['a', 'a', 'b', 'b'] },
+  { name: 'at most six VMs', have: { a: 1, b: 1, c: 1, d: 1, e: 1, f: 1, g: 1, h: 1 }, asks: [50], given: [6], asked: ['a', 'b', 'c', 'd', 'e', 'f'] },
+  { name: 'nobody if there is no other VM', have: {}, asks: [50], given: [0], asked: [] }
 ]
 
-describe('BudgetGiftCalls', () => {
+describe('BudgetGrantCalls', () => {
   for (const { name, have, asks, given, asked } of cases) {
-    it(`asks ${name}`, async () => {
+    it(`requests a grant from ${name}`, async () => {
       const world = new World({ ...have })
       const got: number[] = []
       for (const tokens of asks) {
@@ -74,13 +75,13 @@
   }
 
   const late: ReadonlyArray<{ readonly name: string, readonly answer: unknown, readonly kept: number | undefined }> = [
-    { name: 'tokens that come after their ask was given up', answer: { tokens: 40, left: 0 }, kept: 40 },
-    { name: 'no more than was asked for', answer: { tokens: 90, left: 0 }, kept: 50 },
+    { name: 'tokens that arrive after the request timed out', answer: { tokens: 40, left: 0 }, kept: 40 },
+    { name: 'at most the requested tokens', answer: { tokens: 90, left: 0 }, kept: 50 },
     { name: 'nothing of an answer without tokens', answer: { tokens: 0, left: 0 }, kept: undefined },
     { name: 'nothing of a malformed answer', answer: { tokens: 'many' }, kept: undefined }
   ]
   for (const { name, answer, kept } of late) {
-    it(`keeps ${name}`, async () => {
+    it(`accepts ${name}`, async () => {
       const world = new World({ a: undefined })
       expect(await world.calls.ask('g', 'b', 50)).to.deep.equal({ tokens: 0, isReached: false })
       world.lateAnswers[0]?.(answer)
@@ -88,7 +89,7 @@
     })
   }
 
-  it('meets an owner once, and gets no tokens by it', async () => {
+  it('opens a link to an owner once, without receiving tokens', async () => {
     const world = new World({ a: 100 })
     await world.calls.meet('b')
     await world.calls.meet('b')
@@ -96,11 +97,11 @@
   })
 
   const hands: ReadonlyArray<{ readonly name: string, readonly have: Record<string, number | undefined>, readonly taken: boolean, readonly asked: readonly string[] }> = [
-    { name: 'one that answers', have: { a: 0, b: 0 }, taken: true, asked: ['a'] },
-    { name: 'no second one where the first may have taken them', have: { a: undefined, b: 0 }, taken: false, asked: ['a'] }
+    { name: 'the first VM that answers', have: { a: 0, b: 0 }, taken: true, asked: ['a'] },
+    { name: 'no second VM if the first may have accepted them', have: { a: undefined, b: 0 }, taken: false, asked: ['a'] }
   ]
   for (const { name, have, taken, asked } of hands) {
-    it(`leaves tokens to ${name}`, async () => {
+    it(`hands tokens over to ${name}`, async () => {
       const world = new World({ ...have })
       const isTaken = await world.calls.handOver('b', 100)
       expect([isTaken, world.asked]).to.deep.equal([taken, asked])
@@ -109,11 +110,11 @@
 
   const malformed: ReadonlyArray<{ readonly name: string, readonly params: unknown }> = [
     { name: 'no number of tokens', params: { giftId: 'g', budget: 'b', to: 'v' } },
-    { name: 'a part of a token', params: { giftId: 'g', budget: 'b', to: 'v', tokens: 0.5 } },
-    { name: 'tokens below zero', params: { giftId: 'g', budget: 'b', to: 'v', tokens: -1 } }
+    { name: 'a fractional number of tokens', params: { giftId: 'g', budget: 'b', to: 'v', tokens: 0.5 } },
+    { name: 'a negative number of tokens', params: { giftId: 'g', budget: 'b', to: 'v', tokens: -1 } }
   ]
   for (const { name, params } of malformed) {
-    it(`gives nothing for an ask with ${name}`, async () => {
+    it(`grants nothing for a request with ${name}`, async () => {
       let given = 0
       const serve = giftMethod((): GiftAnswer => { given += 1; return { tokens: 1, left: 0 } })
       const failed = await serve(params, 'v').then(() => false, () => true)
--- a/packages/rosemaryspread/src/budget/budgetGiftCalls.ts
+++ b/packages/rosemaryspread/src/budget/budgetGiftCalls.ts
@@ -1,7 +1,7 @@
 /**
- * Carries asks for gifts to other VMs, one after another until enough was given: first to those that
- * had most left when they answered last. An answer that does not come in time is not waited for; what it
- * gave is taken when it comes after all, for later requests. What is lost with an answer is never used twice.
+ * Requests grants from other VMs, one after another until enough was granted, starting with those that reported the
+ * highest balance. A late answer is not awaited; the tokens it grants are accepted for later requests. Tokens lost with
+ * an answer are never used twice.
  */
 import * as z from 'zod'
 import type { Either } from 'purify-ts'
@@ -13,16 +13,16 @@
 import type { GiftOutcome } from './budgetDriverTypes.js'
 import { parseAnswer } from './peerAnswer.js'
 
-/** Methods between VMs. */
+/** Names of the peer methods. */
 export const GIFT_METHOD = 'budget.gift'
 export const HAND_OVER_METHOD = 'budget.handOver'
-/** Milliseconds for one answer: some round trips of a slow VM, and short against the objective of the request that waits. */
+/** Timeout of one call: a few round trips of a slow VM, and short against the latency objective of the waiting request. */
 const ANSWER_MS = 60
-/** Milliseconds for which a VM that did not answer is asked last. */
+/** Milliseconds for which a VM that did not answer is tried last. */
 const SILENT_MS = 2_000
-/** VMs asked for one request at most. */
+/** Upper bound of VMs called for one request. */
 const MOST_ASKED = 6
-/** Milliseconds for which it counts what a VM had left: then it is asked like one not known. */
+/** Milliseconds for which a reported balance is valid; afterwards it counts as unknown. */
 const KNOWN_MS = 3_000
 
 const amount = z.number().int().nonnegative()
@@ -31,24 +31,22 @@
 
 const handOverSchema = z.object({ budget: z.string(), tokens: amount })
 
-/** What another VM is left. */
+/** Tokens handed over to another VM. */
 export type HandOver = z.infer<typeof handOverSchema>
-/** What another VM is asked. */
 export type GiftAsk = z.infer<typeof giftAskSchema>
-/** What it gave, and what it has left to give. */
+/** Tokens granted, and the balance that remains to grant. */
 export type GiftAnswer = z.infer<typeof giftAnswerSchema>
 
-/** What the calls work with. */
 export interface GiftCallsParts {
   readonly holder: string
   readonly clock: Clock
   readonly log: EventLog
-  /** The other VMs that may have tokens of a budget. */
+  /** Other VMs that may have tokens of a budget. */
   peersFor (budget: string): readonly PeerVm[]
   call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
-  /** Takes tokens that were given after the ask for them was given up. */
+  /** Accepts tokens granted after the request for them timed out. */
   takeLate (budget: string, tokens: number): void
-  /** How early a VM is asked for a budget of which it is not known what it has left: in [0, 1), always the same. */
+  /** Rank of a VM whose balance for a budget is unknown: in [0, 1), constant for each pair. Higher ranks are called first. */
   preference (peer: string, budget: string): number
 }
 
@@ -57,18 +55,16 @@
   readonly at: number
 }
 
-/** Asks other VMs. */
+/** Calls other VMs for grants and handovers. */
 export class BudgetGiftCalls {
-  /** What a VM had left of a budget, by both. */
+  /** Last reported balance by VM and budget. */
   private readonly known = new Map<string, KnownLeft>()
   private readonly silentUntil = new Map<string, number>()
 
   constructor (private readonly parts: GiftCallsParts) {}
 
   /**
-   * Asks for tokens.
-   * @param giftId - id of the ask
-   * @param budget - budget id
+   * Requests a grant.
    * @param tokens - tokens lacking
    */
   async ask (giftId: string, budget: string, tokens: number): Promise<GiftOutcome> {
@@ -88,9 +84,8 @@
   }
 
   /**
-   * Opens a link to the first owner of a budget and learns what it has left: with links opened by the first requests, 78 of
-   * 900 were refused in the first two seconds of traffic.
-   * @param budget - budget id
+   * Opens a link to the first owner of a budget and reads its balance, because requests are refused while the first ones
+   * in the traffic still open links.
    */
   async meet (budget: string): Promise<void> {
     const [peer] = this.inOrder(budget)
@@ -100,9 +95,8 @@
   }
 
   /**
-   * Leaves tokens to one other VM: the first that answers. Where it is not known whether one took them they are lost.
-   * @param budget - budget id
-   * @param tokens - amount
+   * Hands tokens over to the first other VM that answers. The tokens are lost where it is unknown whether a VM accepted
+   * them.
    */
   async handOver (budget: string, tokens: number): Promise<boolean> {
     for (const peer of this.inOrder(budget)) {
@@ -113,7 +107,10 @@
     return false
   }
 
-  /** The link may have gone silent: then the second ask goes over another one, in place of one VM after another over silent links. */
+  /**
+   * Retries once, because the link may have become unresponsive: the second call uses another link, which avoids trying
+   * one VM after another over unresponsive links.
+   */
   private async askTwice (peer: PeerVm, ask: GiftAsk): Promise<number> {
     const answer = await this.callOnce(peer, ask)
     const mayBeSilent = answer.isLeft() && answer.extract().ran === 'unknown' && !this.isSilent(peer)
@@ -121,7 +118,7 @@
     return this.taken(peer, ask, await this.callOnce(peer, { ...ask, giftId: `${ask.giftId}/again` }))
   }
 
-  /** A busy VM reads answers late: while late ones were not taken, one lost a third of what it was given, a million tokens in twelve seconds. */
+  /** Accepts late answers too: a busy VM reads answers late and would lose a large share of the tokens granted to it. */
   private async callOnce (peer: PeerVm, ask: GiftAsk): Promise<Either<Failure, unknown>> {
     return await this.parts.call(peer.address, GIFT_METHOD, ask, ANSWER_MS, late => {
       parseAnswer(giftAnswerSchema, late, GIFT_METHOD).ifRight(({ tokens }) => {
@@ -151,8 +148,8 @@
   }
 
   /**
-   * Those that have most first, then those not known, then those known to have nothing, last the silent ones. Of those
-   * not known the same come first for one budget, so that a VM of a large fleet has links to few others.
+   * Peers in calling order: highest balance first, then unknown balance, then empty, unresponsive ones last. Peers with
+   * an unknown balance have a fixed order for each budget, so that a VM of a large fleet has links to few others.
    */
   private inOrder (budget: string): readonly PeerVm[] {
     const { mono } = this.parts.clock.now()
@@ -172,16 +169,16 @@
 }
 
 /**
- * Serves the asks of other VMs.
- * @param give - answers an ask from the budgets of this VM
+ * Peer method that answers grant requests.
+ * @param grant - answers a request from the budgets of this VM
  */
 export function giftMethod (give: (ask: GiftAsk) => GiftAnswer): PeerMethod {
   return async params => give(giftAskSchema.parse(params))
 }
 
 /**
- * Takes what VMs that end leave.
- * @param take - takes tokens into the budgets of this VM
+ * Peer method that accepts handovers of terminating VMs.
+ * @param accept - adds tokens to the budgets of this VM
  */
 export function handOverMethod (take: (budget: string, tokens: number) => void): PeerMethod {
   return async params => {
--- a/packages/rosemaryspread/src/budget/budgetHeldAsSpent.ts
+++ b/packages/rosemaryspread/src/budget/budgetHeldAsSpent.ts
@@ -1,7 +1,7 @@
 /**
- * Recovery where targets keep no record of runs: an ended holder may have spent what its last
- * report allowed up to its end, so that much is billed and the rest goes back. That never overspends;
- * the price are tokens that were paid for and not used.
+ * Recovery where targets keep no record of runs: a terminated holder may have spent all that its last report allowed up
+ * to its termination, so that much is billed and the rest is returned. This never overspends, at the price of paid tokens
+ * that are billed unused.
  */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -11,7 +11,6 @@
 import type { RunOwner } from './budgetRecoveryRuns.js'
 import type { AgedAllotment } from './budgetSharing.js'
 
-/** Counts as spent what ended holders may have spent. */
 export class HeldAsSpent implements UnbilledRuns {
   beginPass (): void {}
 
--- a/packages/rosemaryspread/src/budget/budgetPeerCalls.ts
+++ b/packages/rosemaryspread/src/budget/budgetPeerCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Binds the asks of budgets to the links between VMs, in both directions.
+ * Binds the budget requests between holders to the peer links, in both directions.
  */
 import { Left, type Either } from 'purify-ts'
 import type { z } from 'zod'
@@ -10,21 +10,20 @@
 import { confirmAnswerSchema, confirmAskSchema, giveAnswerSchema, giveAskSchema, recallAnswerSchema, recallAskSchema, type BudgetMember, type BudgetPeers, type ConfirmAnswer, type ConfirmAsk, type GiveAnswer, type GiveAsk, type RecallAnswer, type RecallAsk } from './budgetPeers.js'
 import { parseAnswer } from './peerAnswer.js'
 
-/** Methods between VMs. */
+/** Names of the peer methods. */
 const methods = { give: 'budget.give', recall: 'budget.recall', confirm: 'budget.confirm' } as const
-/** Milliseconds for an ask that needs no table. */
+/** Timeout of a call that needs no table access. */
 const QUICK_CALL_MS = 1_000
-/** Milliseconds for a recall, which waits for a write of the other VM. */
+/** Timeout of a recall, which waits for a table write of the other VM. */
 const RECALL_CALL_MS = 3_000
 
-/** What the calls work with. */
 export interface BudgetPeerCallsParts {
   readonly client: PeerClient
   readonly holder: string
   readonly members: () => readonly MemberView[]
 }
 
-/** Calls other VMs about budgets. */
+/** Sends budget requests to other VMs. */
 export class BudgetPeerCalls implements BudgetPeers {
   constructor (private readonly parts: BudgetPeerCallsParts) {}
 
@@ -50,17 +49,13 @@
 
   private async call<T> (holder: string, method: string, ask: unknown, schema: z.ZodType<T>, timeoutMs: number): Promise<Either<Failure, T>> {
     const member = this.others().find(other => other.holder === holder)
-    if (member === undefined) return Left(new Failure('peerUnreachable', `holder ${holder} is not known`))
+    if (member === undefined) return Left(new Failure('peerUnreachable', `no current member has the holder id ${holder}`))
     const answer = await this.parts.client.call(member.peers, method, ask, timeoutMs)
     return answer.chain(value => parseAnswer(schema, value, method))
   }
 }
 
-/**
- * Serves the asks of other VMs.
- * @param server - the peers' server
- * @param driver - budgets of this VM
- */
+/** Registers the handlers of budget requests from other VMs. */
 export function serveBudgetPeers (server: PeerServer, driver: BudgetDriver): void {
   server.register(methods.give, async params => driver.onGive(giveAskSchema.parse(params)))
   server.register(methods.recall, async params => await driver.onRecall(recallAskSchema.parse(params)))
--- a/packages/rosemaryspread/src/budget/budgetRecovery.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecovery.ts
@@ -1,8 +1,7 @@
 /**
- * Recovers what ended holders held. It goes on only with proof for each step: the holder ended,
- * every other holder of its failure domain has no unrecorded transfer with it, every declared
- * runner told of its runs, and none of them is still running. Otherwise all stays in doubt until
- * the next pass.
+ * Recovers the allotments of terminated holders. Each step requires proof: the holder terminated, every other holder of
+ * its failure domain has no unrecorded transfer with it, every declared runner reported its runs, and none of them is
+ * still running. Otherwise all tokens stay in doubt until the next pass.
  */
 import { EitherAsync, type Either } from 'purify-ts'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -18,47 +17,44 @@
 import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSharing.js'
 import type { BudgetTable, Committed } from './budgetTable.js'
 
-/** The platform's list as far as recovery needs it. */
+/** The platform's list of VMs as far as recovery needs it. */
 export interface ListEvidence {
   readonly asOf: number
   readonly vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>
 }
 
-/** Finds what ended holders spent and no segment has billed. */
+/** Finds what terminated holders spent that no segment has billed. */
 export interface UnbilledRuns {
-  /** Forgets what the pass before found. */
+  /** Discards the results of the previous pass. */
   beginPass (): void
   /**
-   * Milliseconds since a holder itself wrote to the table.
-   * @param item - its allotment
-   * @param now - table milliseconds
+   * Milliseconds since the holder itself wrote to the table.
+   * @param now - milliseconds of the table's clock
    */
   contactAgeMs (item: AgedAllotment, now: number): Promise<number>
   /**
-   * Bills that are owed. Fails while that is not certain.
-   * @param budget - budget id
-   * @param owners - ended holders
-   * @param wall - present time of the table service in milliseconds
+   * Bills that are owed; fails while that is not certain.
+   * @param owners - terminated holders
+   * @param wall - current time of the table service in milliseconds
    */
   unbilled (budget: string, owners: readonly RunOwner[], wall: number): Promise<Either<Failure, readonly OwedBill[]>>
 }
 
-/** What recovery is built from. */
 export interface RecoveryParts {
   readonly holder: string
   readonly policy: BudgetPolicy
   readonly peers: BudgetPeers
   readonly runs: UnbilledRuns
   readonly log: EventLog
-  /** Fences an ended holder at this VM; true when no transfer with it is unrecorded here. */
+  /** Fences a terminated holder at this VM; returns true if no transfer with it is unrecorded here. */
   confirmOwn (holder: string): boolean
 }
 
-/** Holders of one failure domain as a pass sees them. */
+/** Holders of one failure domain, classified for one pass. */
 interface DomainView {
-  /** Proved to have ended, by the platform's list or a later process in their place. */
+  /** Proved to have terminated, by the platform's list or by a later process in the same place. */
   readonly ended: readonly HolderAtVersion[]
-  /** Neither ended nor a member: they may have lapsed. */
+  /** Neither proved terminated nor a member; their allotments may have expired. */
   readonly absent: readonly HolderAtVersion[]
   readonly present: readonly HolderAtVersion[]
   readonly placed: readonly PlacedHolder[]
@@ -68,7 +64,6 @@
   return new Failure('budgetPending', detail)
 }
 
-/** Runs recovery passes. */
 export class BudgetRecovery {
   private readonly gone = new GoneVms()
   private readonly registry: BudgetRegistry
@@ -82,10 +77,10 @@
   }
 
   /**
-   * One pass over all failure domains; passes do not overlap. Answers whether it went through and
-   * nothing stayed in doubt.
-   * @param list - the platform's list, when it could be read
-   * @param vm - recovers only what earlier processes of this VM held, when given
+   * Runs one pass over all failure domains; passes don't overlap. Returns whether it completed and nothing stayed in
+   * doubt.
+   * @param list - the platform's list, if it could be read
+   * @param vm - if given, recovers only what earlier processes of this VM held
    */
   async pass (list?: ListEvidence, vm?: string): Promise<boolean> {
     if (list !== undefined) this.gone.note(list.asOf, list.vms)
@@ -138,12 +133,12 @@
     const result = await EitherAsync<Failure, void>(async ({ fromPromise, throwE }) => {
       const before = await fromPromise(surveyBudget(this.table.store, budget))
       if (this.closing(view, before).length === 0) return
-      // Rows are read after the confirmations: a transfer may be recorded just before its holder confirms.
+      // Rows are read after the confirmations, as a transfer may be recorded just before its holder confirms.
       const confirmed = await this.confirmedOf(view)
       const survey = await fromPromise(surveyBudget(this.table.store, budget))
       const closing = this.closing(view, survey)
       const open = closing.find(item => !confirmed.has(item.row.holder))
-      if (open !== undefined) throwE(waiting(`transfers with ${open.row.holder} may be unrecorded`))
+      if (open !== undefined) throwE(waiting(`transfers with ${open.row.holder} may be unrecorded: a holder of its failure domain has not confirmed`))
       const reason = await this.blocked(view, survey, closing)
       if (reason !== undefined) throwE(reason)
       const owed = await fromPromise(this.owed(view, survey, closing, budget))
@@ -162,21 +157,21 @@
       (ended.has(row.holder) || (absent.has(row.holder) && hasLapsed(this.parts.policy, ageMs))))
   }
 
-  /** Why the allotments cannot be closed yet. */
+  /** Returns why the allotments cannot be closed yet, if so. */
   private async blocked (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): Promise<Failure | undefined> {
     const unsure = this.parts.peers.transfersNothing === true ? undefined : this.unsure(view, survey, closing)
-    if (unsure !== undefined) return waiting(`${unsure.holder} may hold a transfer and has not lapsed`)
+    if (unsure !== undefined) return waiting(`absent holder ${unsure.holder} may hold transferred tokens that have not expired`)
     for (const item of closing) {
       if (mayBeForgotten(this.parts.policy, await this.runs.contactAgeMs(item, survey.now))) {
-        return waiting(`runners may have forgotten runs of ${item.row.holder}; an operator has to decide`)
+        return waiting(`runners may no longer have the records of runs of ${item.row.holder}; an operator has to decide`)
       }
     }
     return undefined
   }
 
   /**
-   * An absent holder that may still spend tokens received from one to be closed. Without an own
-   * row it can only hold received tokens, which lapse no later than their giver.
+   * Finds an absent holder that may still spend tokens received from an allotment to be closed. Without its own row it
+   * can only hold received tokens, which expire no later than those of their granter.
    */
   private unsure (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): HolderAtVersion | undefined {
     const closed = new Set(closing.map(item => item.row.holder))
@@ -185,7 +180,10 @@
     return view.absent.find(({ holder }) => !closed.has(holder) && (open.has(holder) || !allLapsed))
   }
 
-  /** Ended and absent holders with which no other holder has an unrecorded transfer; empty unless it holds for all. */
+  /**
+   * Terminated and absent holders with which no other holder has an unrecorded transfer; empty unless this is confirmed
+   * for all of them.
+   */
   private async confirmedOf (view: DomainView): Promise<ReadonlySet<string>> {
     const confirmed = new Set<string>()
     for (const { holder } of [...view.ended, ...view.absent]) {
@@ -205,7 +203,7 @@
     return true
   }
 
-  /** Runs of every ended holder of the domain count: one may have spent what another gave. */
+  /** Includes the runs of every terminated holder of the domain, as one may have spent tokens transferred from another. */
   private async owed (
     view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[], budget: string
   ): Promise<Either<Failure, readonly OwedBill[]>> {
@@ -235,7 +233,7 @@
     this.parts.log.write('budgetRecovered', { ended, budget: closing[0]?.row.budget, billed, returned, ...(reports.length === 0 ? {} : { reports }) })
   }
 
-  /** Whether a holder has been no member for a whole lapse, as seen by this process itself. */
+  /** Whether this process has observed for a whole expiry period that the holder is no member. */
   private isLongAbsent (item: HolderAtVersion): boolean {
     const now = this.table.now()
     const since = this.absentSince.get(item.holder) ?? now
@@ -243,7 +241,10 @@
     return hasLapsed(this.parts.policy, elapsedMs(since, now))
   }
 
-  /** Nobody may record a transfer with a removed holder, so every other holder must have been asked. */
+  /**
+   * Removes a holder whose allotments are closed. Nobody may record a transfer with a removed holder, so every other
+   * holder must have confirmed first.
+   */
   private async removeWhenClosed (view: DomainView, item: HolderAtVersion): Promise<void> {
     if (view.absent.some(other => other !== item && !this.isLongAbsent(other))) return
     if (!await this.isConfirmed(view, item.holder)) return
@@ -270,7 +271,7 @@
   return endedBy === undefined ? {} : { endedBy }
 }
 
-/** The view without what holders of other VMs left. */
+/** Restricts a view to the terminated holders of one VM. */
 function onlyOf (view: DomainView, vm: string): DomainView {
   return { ...view, ended: view.ended.filter(({ holder }) => vmOf(holder) === vm), absent: [] }
 }
--- a/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
@@ -1,5 +1,5 @@
 /**
- * Finds what ended holders still owe: runs that the runners know and no segment has billed.
+ * Finds what terminated holders still owe: runs that runners have on record and no segment has billed.
  */
 import { Either, Left, Right } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -14,48 +14,47 @@
 import { RunPayers } from './budgetRunPayers.js'
 import { scanAll, type AgedAllotment } from './budgetSharing.js'
 
-/** Every declared model runner, and how to ask it. */
+/** All declared model runners, and the client to query them. */
 export interface RecoveryRunners {
   readonly engines: Pick<EngineClient, 'listByHolder' | 'find' | 'cancel'>
   declared (): readonly DeclaredRunner[]
 }
 
-/** A declared runner. */
 export interface DeclaredRunner {
   readonly runner: string
   readonly address: string
-  /** Wall milliseconds since which it serves each of its models. */
+  /** Wall clock milliseconds since which it serves each of its models. */
   readonly servesSince: Readonly<Record<string, number>>
 }
 
-/** An ended holder whose runs are looked for. */
+/** A terminated holder whose runs are looked up. */
 export interface RunOwner {
   readonly holder: string
-  /** Highest segment with bills of the budget; absent when there is none. */
+  /** Highest segment with bills of the budget; absent if there is none. */
   readonly lastSeq: number | undefined
-  /** Its allotment that is being closed; absent where none is. */
+  /** Its allotment that is being closed; absent if none is. */
   readonly allotment?: AllotmentRow
-  /** Table milliseconds at which it had certainly ended, where a later process in its place tells. */
+  /** Time on the table's clock at which it had certainly terminated, if a later process in the same place proves it. */
   readonly endedBy?: number
-  /** Whether its running requests may be cancelled; otherwise their end is awaited. */
+  /** Whether its running requests may be cancelled; otherwise recovery waits for them to finish. */
   readonly mayCancel: boolean
 }
 
-/** Runners asked at once. */
+/** Runners queried in parallel. */
 const ASKED_AT_ONCE = 16
-/** Segments read at first, going back from the last one. */
+/** Segments read in the first step, counted back from the last one. */
 const FIRST_STEP = 256
 
-/** A run and the runner that told of it. */
+/** A run and the runner that reported it. */
 interface FoundRun {
   readonly runner: string
   readonly address: string
   readonly record: RunRecord
 }
 
-/** Looks for unbilled runs. */
+/** Finds unbilled runs by querying runners. */
 export class RecoveryRuns implements UnbilledRuns {
-  /** Runs of holders that certainly ended, listed once in a pass for all their budgets. */
+  /** Runs of certainly terminated holders, listed once in a pass for all their budgets. */
   private readonly listed = new Map<string, Either<Failure, readonly FoundRun[]>>()
 
   private readonly payers: RunPayers
@@ -64,30 +63,28 @@
     this.payers = new RunPayers(runners)
   }
 
-  /** Forgets what the pass before listed. */
+  /** Discards the runs listed in the previous pass. */
   beginPass (): void {
     this.listed.clear()
   }
 
   /**
-   * Milliseconds since a holder itself wrote to the table.
-   * @param item - its allotment
-   * @param now - table milliseconds
+   * Milliseconds since the holder itself wrote to the table.
+   * @param now - milliseconds of the table's clock
    */
   async contactAgeMs (item: AgedAllotment, now: number): Promise<number> {
     const { holder, lastSeq } = item.row
     if (lastSeq === undefined) return item.ageMs
     const read = await this.store.read([{ table: budgetTables.segments, key: segmentKey(holder, lastSeq) }])
     const row = read.map(answer => answer.rows[0] ?? null).orDefault(null)
-    // A segment that is not there any more was archived, so it is older than that; one that cannot be read may be.
+    // A missing segment was archived and is at least that old; one that cannot be read may be.
     return Math.max(item.ageMs, row === null ? SEGMENT_ARCHIVE_MS : now - row.updatedAt)
   }
 
   /**
-   * Runs of ended holders for one budget that are not billed. Fails while a runner cannot be asked or a run has not ended.
-   * @param budget - budget id
-   * @param owners - ended holders
-   * @param wall - present wall time of the table service in milliseconds
+   * Unbilled runs of terminated holders for one budget. Fails while a runner cannot be queried or a run has not finished.
+   * @param owners - terminated holders
+   * @param wall - current time of the table service in milliseconds
    */
   async unbilled (budget: string, owners: readonly RunOwner[], wall: number): Promise<Either<Failure, readonly OwedBill[]>> {
     const owed: OwedBill[] = []
@@ -111,7 +108,7 @@
     return Right(owed)
   }
 
-  /** All runs of a holder; one that may still wake is listed anew each time. */
+  /** Lists all runs of a holder; not cached for a holder that may still resume. */
   private async runsOf (owner: RunOwner): Promise<Either<Failure, readonly FoundRun[]>> {
     const known = owner.mayCancel ? undefined : this.listed.get(owner.holder)
     const runs = known ?? await this.list(owner.holder)
@@ -121,8 +118,8 @@
 
   private async list (holder: string): Promise<Either<Failure, readonly FoundRun[]>> {
     const declared = this.runners.declared()
-    // Without a configuration nobody knows whom to ask, so nothing is proved.
-    if (declared.length === 0) return Left(new Failure('budgetPending', 'no runner is declared'))
+    // Without a configuration the runners are unknown, so nothing is proved.
+    if (declared.length === 0) return Left(new Failure('budgetPending', 'the configuration declares no runner'))
     const found: FoundRun[] = []
     for (let from = 0; from < declared.length; from += ASKED_AT_ONCE) {
       const answers = await Promise.all(declared.slice(from, from + ASKED_AT_ONCE).map(async ({ runner, address }) =>
@@ -141,7 +138,7 @@
     await Promise.all(running.map(async ({ address, record }) => await this.runners.engines.cancel(address, record.requestId)))
   }
 
-  /** Ids billed by segments that are not older than the oldest run a runner may remember. */
+  /** Request ids billed by segments that are not older than the oldest run that a runner may have on record. */
   private async billedIds (owner: RunOwner): Promise<Either<Failure, readonly string[]>> {
     let step = FIRST_STEP
     for (;;) {
@@ -163,7 +160,7 @@
 function endedRuns (found: readonly FoundRun[], owner: RunOwner, budget: string): Either<Failure, readonly FoundRun[]> {
   const runs = found.filter(({ record }) => record.budget === budget && record.state !== 'sealed')
   const running = runs.filter(({ record }) => record.state === 'running').length
-  return running === 0 ? Right(runs) : Left(new Failure('budgetPending', `${running} runs of ${owner.holder} have not ended`))
+  return running === 0 ? Right(runs) : Left(new Failure('budgetPending', `${running} runs of ${owner.holder} have not finished`))
 }
 
 function billOf (record: RunRecord, runner: string): OwedBill['bill'] {
--- a/packages/rosemaryspread/src/budget/budgetRegistry.ts
+++ b/packages/rosemaryspread/src/budget/budgetRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * The register of holders: one row for each process that may hold tokens, by failure domain.
- * Recovery reads it, because membership alone may have missed a process.
+ * Register of holders: one row for each process that may hold tokens, by failure domain. Recovery reads it, because
+ * membership alone may have missed a process.
  */
 import { Right, type Either } from 'purify-ts'
 import { elapsedMs, type Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -15,35 +15,34 @@
 import { scanAll } from './budgetSharing.js'
 import type { BudgetTable } from './budgetTable.js'
 
-/** Milliseconds between two looks whether the own row is still there. */
+/** Milliseconds between two checks that the row of this holder still exists. */
 const CHECK_MS = 300_000
-/** Milliseconds by which the table's clock may be ahead of what this process believes, after an answer that was slow. */
+/** Milliseconds by which the table's clock may be ahead of the local estimate, after a slow answer. */
 const CLOCK_MARGIN_MS = 100
 /** Budgets of a holder removed in one transaction. */
 const MAX_REMOVED = 200
 
-/** A register row as scanned. */
 export interface HolderAtVersion extends RegisteredHolder {
   readonly version: number
 }
 
-/** A closed allotment at the version at which it was seen closed; `null` when the row is gone already. */
+/** A closed allotment and the version at which it was read; `null` when the row is removed already. */
 export interface ClosedAllotment {
   readonly budget: string
   readonly version: number | null
 }
 
-/** Who registers. */
+/** The holder of this process. */
 export interface HolderSelf {
   readonly holder: string
   readonly domain: string
-  /** Name of the addresses it listens on; without it its successor proves nothing. */
+  /** Name of the addresses it listens on; without it, a later process on them proves nothing about this one. */
   readonly place?: string | undefined
-  /** Monotonic milliseconds at which this process had begun; absent where its clock does not tell. */
+  /** Monotonic milliseconds of the start of this process; absent where its clock does not provide it. */
   readonly begunAt?: number | undefined
 }
 
-/** Registers this holder and finds the others. */
+/** Registers this holder and lists the others. */
 export class BudgetRegistry {
   private registering = false
   private registered = false
@@ -51,12 +50,12 @@
 
   constructor (private readonly table: BudgetTable, private readonly self: HolderSelf) {}
 
-  /** Whether the row of this holder is durable; before, it must not take transfers. */
+  /** Whether the row of this holder is durable; it must not accept transfers before. */
   get isRegistered (): boolean {
     return this.registered
   }
 
-  /** Registers this holder, or looks whether its row is still there, unless that is done or under way. */
+  /** Registers this holder, or checks that its row still exists, unless that is done or in progress. */
   async register (): Promise<void> {
     if (this.registering || (this.registered && !this.isCheckDue)) return
     this.registering = true
@@ -78,8 +77,8 @@
   }
 
   /**
-   * By the table's clock. An answer tells a time that is not before the question was asked, so the
-   * time from the beginning of this process to the question can be taken off it.
+   * Upper bound of the start of this process on the table's clock. The table's time in an answer is not earlier than the
+   * request, so the time from the start of this process to the request can be subtracted from it.
    */
   private begunBy (askedAt: Instant): { readonly begunBy?: number } {
     const { begunAt } = this.self
@@ -96,12 +95,12 @@
     return this.registeredAt === undefined || elapsedMs(this.registeredAt, this.table.now()) > CHECK_MS
   }
 
-  /** This holder was taken for ended and may have been removed; it registers again. */
+  /** Makes this holder register again: it was considered terminated and its row may have been removed. */
   forget (): void {
     this.registered = false
   }
 
-  /** Removes this holder and its empty allotments after it drained. */
+  /** Removes this holder and its empty allotments after it has drained. */
   async retire (): Promise<void> {
     const { holder, domain } = this.self
     const own = { table: budgetTables.holders, key: holderKey(domain, holder) }
@@ -112,36 +111,31 @@
       const done = await this.table.run(`retire/${budget}`, drawKeys(holder, budget), rows => planRetire(rows, budget, holder))
       if (done.map(({ plan }) => plan.kind).orDefault('kept') === 'kept') return
     }
-    // Whoever gives this holder a new allotment row writes its register row again, and then it stays.
+    // A new allotment row for this holder rewrites its register row too, so the version check keeps the row then.
     const version = before.unsafeCoerce().rows[0]?.version ?? null
     await this.table.store.transact({ checks: [{ ...own, version }], writes: [{ ...own, value: null }, { table: budgetTables.places, key: holder, value: null }] })
   }
 
-  /** All registered holders. */
   async all (): Promise<Either<Failure, readonly HolderAtVersion[]>> {
     const scan = await scanAll(this.table.store, budgetTables.holders, '').run()
     return scan.map(({ rows }) => rows.map(row => ({ ...holderRowSchema.parse(row.value), registeredAt: row.updatedAt, version: row.version })))
   }
 
-  /** All holders that told where they listen. */
+  /** All holders that registered where they listen. */
   async places (): Promise<Either<Failure, readonly PlacedHolder[]>> {
     const scan = await scanAll(this.table.store, budgetTables.places, '').run()
     return scan.map(({ rows }) => rows.map(placedHolder))
   }
 
-  /**
-   * Budgets of which a holder has an allotment row.
-   * @param holder - holder id
-   */
+  /** Budgets for which a holder has an allotment row. */
   async budgetsOf (holder: string): Promise<Either<Failure, readonly string[]>> {
     const scan = await scanAll(this.table.store, budgetTables.holdings, `${holder}/`).run()
     return scan.map(({ rows }) => rows.map(row => holdingRowSchema.parse(row.value).budget))
   }
 
   /**
-   * Forgets an ended holder whose allotments are all closed, unless any of its rows changed since.
+   * Removes a terminated holder whose allotments are all closed, unless any of its rows has changed.
    * @param item - the holder as scanned
-   * @param closed - its closed allotments
    */
   async remove (item: HolderAtVersion, closed: readonly ClosedAllotment[]): Promise<void> {
     const { holder, domain, version } = item
--- a/packages/rosemaryspread/src/budget/budgetRowCache.ts
+++ b/packages/rosemaryspread/src/budget/budgetRowCache.ts
@@ -1,7 +1,7 @@
 /**
- * Rows that this holder alone writes while it lives, as it last wrote them. A transaction planned on
- * them needs no read before its write. Every row of a transaction is checked by its version, so an
- * outdated one costs a conflict and a read, never a wrong write.
+ * Caches rows that only this holder writes while it runs, as last written. A transaction planned on them needs no read
+ * before its write. Its write checks every row by version, so an outdated entry costs a conflict and a read, never a
+ * wrong write.
  */
 import type { PlanKey, PlanRow, PlanWrite } from '@rosemaryspread/decisions/budget/rowSet.js'
 
@@ -9,33 +9,26 @@
   return `${table}\n${key}`
 }
 
-/** Known rows; `null` stands for a row that is known not to exist. */
+/** Cached rows; `null` stands for a row that is known not to exist. */
 export class BudgetRowCache {
   private readonly rows = new Map<string, PlanRow | null>()
 
-  /** @param isOwn - whether a row is written by this holder alone */
+  /** @param isLocal - whether only this holder writes a row */
   constructor (private readonly isOwn: (key: PlanKey) => boolean) {}
 
-  /**
-   * A row as far as it is known; undefined when it has to be read.
-   * @param key - the row
-   */
+  /** Returns a cached row; undefined when it has to be read. */
   get (key: PlanKey): PlanRow | null | undefined {
     return this.rows.get(nameOf(key))
   }
 
-  /**
-   * Notes that a row does not exist: this holder never wrote it.
-   * @param key - the row
-   */
+  /** Records that a row does not exist, as this holder never wrote it. */
   absent (key: PlanKey): void {
     this.rows.set(nameOf(key), null)
   }
 
   /**
-   * Keeps the own ones of rows that were written.
-   * @param writes - the rows
-   * @param version - version that the transaction gave them
+   * Caches those of the written rows that only this holder writes.
+   * @param version - version that the transaction assigned to them
    * @param updatedAt - milliseconds of the table's clock
    */
   written (writes: readonly PlanWrite[], version: number, updatedAt: number): void {
@@ -46,10 +39,7 @@
     }
   }
 
-  /**
-   * Forgets rows.
-   * @param keys - the rows
-   */
+  /** Removes rows from the cache. */
   forget (keys: readonly PlanKey[]): void {
     for (const key of keys) this.rows.delete(nameOf(key))
   }
--- a/packages/rosemaryspread/src/budget/budgetRunPayers.ts
+++ b/packages/rosemaryspread/src/budget/budgetRunPayers.ts
@@ -1,7 +1,7 @@
 /**
- * Who pays for a request that two holders ran, because the first runner in the order of its key
- * could not be reached by the second. The run that is earlier in the order is billed, by its own
- * holder; the living settle by the same rule.
+ * Decides who pays for a request that two holders ran, which happens when the second could not reach the first runner in
+ * the order of its key. The run that is earlier in that order is billed to its holder; live holders settle by the same
+ * rule.
  */
 import { Either, type Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -9,16 +9,14 @@
 import type { RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { DeclaredRunner, RecoveryRunners } from './budgetRecoveryRuns.js'
 
-/** Looks for runs that pay in place of another. */
+/** Finds duplicate runs that are billed to another holder. */
 export class RunPayers {
   constructor (private readonly runners: RecoveryRunners) {}
 
   /**
-   * Whether another holder ran the same request at an earlier runner.
-   * @param record - a run of an ended holder
-   * @param ranAt - its runner
-   * @param wall - present wall time in milliseconds
-   * @returns fails while an earlier runner cannot be asked
+   * Whether another holder ran the same request at an earlier runner. Fails while an earlier runner cannot be queried.
+   * @param record - a run of a terminated holder
+   * @param wall - current wall clock time in milliseconds
    */
   async isPaidElsewhere (record: RunRecord, ranAt: string, wall: number): Promise<Either<Failure, boolean>> {
     const earlier = this.earlierRunners(record, ranAt, wall)
--- a/packages/rosemaryspread/src/budget/budgetSharing.ts
+++ b/packages/rosemaryspread/src/budget/budgetSharing.ts
@@ -1,5 +1,5 @@
 /**
- * Scans of the allotments of one budget: who holds how much, and what is unspent in all.
+ * Scans the allotments of one budget: what each holder holds, and what is unspent in total.
  */
 import { EitherAsync, type Either } from 'purify-ts'
 import { toFailure, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -7,10 +7,8 @@
 import { allotmentRowSchema, budgetRowSchema, type AllotmentRow, type BudgetRow } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Rows of one scan. */
 const SCAN_LIMIT = 500
 
-/** One allotment with its age. */
 export interface AgedAllotment {
   readonly row: AllotmentRow
   readonly version: number
@@ -18,7 +16,6 @@
   readonly ageMs: number
 }
 
-/** A budget with all its allotments. */
 export interface BudgetSurvey {
   readonly budget: BudgetRow | undefined
   readonly allotments: readonly AgedAllotment[]
@@ -27,11 +24,8 @@
 }
 
 /**
- * All rows under a prefix.
- * @param store - the table service
- * @param table - table name
- * @param prefix - prefix of the keys
- * @param after - only keys after this one
+ * Reads all rows under a key prefix, page by page.
+ * @param after - exclusive lower bound of the keys
  */
 export function scanAll (
   store: TableStore, table: string, prefix: string, after?: string
@@ -51,11 +45,6 @@
   })
 }
 
-/**
- * Reads a budget and all its allotments.
- * @param store - the table service
- * @param budget - budget id
- */
 export async function surveyBudget (store: TableStore, budget: string): Promise<Either<Failure, BudgetSurvey>> {
   return await EitherAsync<Failure, BudgetSurvey>(async ({ fromPromise }) => {
     const read = await fromPromise(store.read([{ table: budgetTables.budgets, key: budget }]))
--- a/packages/rosemaryspread/src/budget/budgetTable.ts
+++ b/packages/rosemaryspread/src/budget/budgetTable.ts
@@ -1,6 +1,6 @@
 /**
- * Optimistic transactions on budget rows: read what is not known, plan, write if unchanged. A conflict is read and
- * planned anew; a lost answer is resolved by the plan itself, which finds its earlier effect.
+ * Optimistic transactions on budget rows: read uncached rows, plan, and write if unchanged. A conflict is read and
+ * planned again; a lost answer is resolved by the plan itself, which finds its earlier effect.
  */
 import { Either, Left, Right } from 'purify-ts'
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -9,43 +9,38 @@
 import type { TableStore, TransactAnswer } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { BudgetRowCache } from './budgetRowCache.js'
 
-/** Tries of one transaction before the caller has to come back. */
+/** Attempts of one transaction before the caller has to retry. */
 const MAX_TRIES = 8
 
-/** A plan that is done, or has its writes in the row set. */
+/** A plan that is done, or whose writes are in the row set. */
 interface Planned {
   readonly kind: string
 }
 
-/** Outcome of a transaction; `sentAt` is an instant not after the one at which the write was sent. */
+/** Outcome of a transaction; `sentAt` is not later than the instant at which the write was sent. */
 export interface Committed<P> {
   readonly plan: P
   readonly sentAt: Instant
 }
 
-/** Runs planned transactions. */
 export class BudgetTable {
   /** Table writes that took effect, for metrics. */
   writes = 0
   conflicts = 0
-  /** Table's clock less the own monotonic one, by the last answer; undefined before the first. */
+  /** Table's clock minus the local monotonic clock, by the last answer; undefined before the first. */
   private aheadMs: number | undefined
 
-  /** Start of the first try of operations whose outcome is not known yet. */
+  /** Start of the first attempt of each operation whose outcome is unknown. */
   private readonly firstSent = new Map<string, Instant>()
 
-  /**
-   * @param store - the table service
-   * @param clock - clocks of this process
-   * @param cache - rows that need not be read before they are written
-   */
+  /** @param cache - rows that need not be read before they are written */
   constructor (readonly store: TableStore, private readonly clock: Clock, private readonly cache?: BudgetRowCache) {}
 
   /**
-   * Reads rows, plans on them and writes the result. A plan of another kind than `write` ends it without a write.
+   * Reads rows, plans on them and writes the result. A plan of a kind other than `write` ends it without a write.
    * @param operationIds - ids under which a later run finds its effects
    * @param keys - rows to read
-   * @param plan - changes the row set or says why not
+   * @param plan - changes the row set, or returns why not
    */
   async run<P extends Planned> (
     operationIds: string | readonly string[], keys: readonly PlanKey[], plan: (rows: RowSet) => Either<Failure, P>
@@ -58,7 +53,7 @@
       if (read.isLeft()) return Left(read.extract())
       const rows = new RowSet(keys, read.unsafeCoerce())
       const planned = Either.encase(() => plan(rows)).mapLeft(toFailure).chain(result => result)
-      // A write checks the versions of known rows; any other end needs rows that were read.
+      // A write checks the versions of cached rows; any other result needs rows that were read.
       if (unknown.length < keys.length && !isWrite(planned)) continue
       if (planned.isLeft()) return Left(planned.extract())
       const value = planned.unsafeCoerce()
@@ -67,7 +62,7 @@
       const written = await this.write(keys, rows)
       const failure = failureOf(written)
       if (failure === undefined) {
-        // In a batch some may have taken effect before, so the lease counts from the first of them.
+        // Some writes of a batch may have taken effect earlier, so the lease counts from the first of them.
         return Right({ plan: value, sentAt: this.resolved(ids, sentAt) })
       }
       if (failure.code === 'platformUnavailable') return Left(failure)
@@ -76,33 +71,30 @@
     return Left(new Failure('platformUnavailable', 'the transaction conflicted too often'))
   }
 
-  /**
-   * Whether a write of an operation may have taken effect without an answer.
-   * @param operationId - id of the operation
-   */
+  /** Whether a write of an operation may have taken effect without an answer. */
   isUnknown (operationId: string): boolean {
     return this.firstSent.has(operationId)
   }
 
-  /** Milliseconds of the table's clock; never ahead of it, since an answer takes time to come. 0 before the first answer. */
+  /** Milliseconds of the table's clock; never ahead of it, as an answer takes time to arrive. 0 before the first answer. */
   get tableNow (): number {
     return this.aheadMs === undefined ? 0 : Math.floor(this.clock.now().mono + this.aheadMs)
   }
 
-  /**
-   * Notes that an own row does not exist yet.
-   * @param key - the row
-   */
+  /** Records that a row written only by this holder does not exist yet. */
   assumeAbsent (key: PlanKey): void {
     this.cache?.absent(key)
   }
 
-  /** Both clocks. */
+  /** Current time on the monotonic and the wall clock. */
   now (): Instant {
     return this.clock.now()
   }
 
-  /** An effect found later was sent no later than the first try with an unknown outcome. */
+  /**
+   * Instant of the earliest attempt that may have taken effect: an effect found later was sent no earlier than the first
+   * attempt with an unknown outcome.
+   */
   private resolved (ids: readonly string[], startedAt: Instant): Instant {
     let first = startedAt
     for (const id of ids) {
@@ -121,7 +113,7 @@
     for (const id of ids) if (!this.firstSent.has(id)) this.firstSent.set(id, startedAt)
   }
 
-  /** Rows in the order of the keys; those that are not unknown are taken as they were written. */
+  /** Rows in the order of the keys; uncached ones are read. */
   private async read (keys: readonly PlanKey[], unknown: readonly PlanKey[]): Promise<Either<Failure, ReadonlyArray<PlanRow | null>>> {
     const known = keys.map(key => unknown.includes(key) ? undefined : this.cache?.get(key))
     if (unknown.length === 0) return Right(known.map(row => row ?? null))
--- a/packages/rosemaryspread/src/budget/budgetTopUps.ts
+++ b/packages/rosemaryspread/src/budget/budgetTopUps.ts
@@ -9,17 +9,16 @@
 import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSharing.js'
 import type { BudgetTable } from './budgetTable.js'
 
-/** Tells whether an allotment can still be spent by its holder. */
+/** Returns whether an allotment is in doubt: its holder may be unable to spend it any more. */
 export type IsInDoubt = (item: AgedAllotment) => boolean
 
-/** Operators' side of budgets. */
+/** Budget operations of operators. */
 export class BudgetTopUps {
   constructor (private readonly table: BudgetTable, private readonly isInDoubt: IsInDoubt) {}
 
   /**
-   * Adds paid tokens once for each operation id, or lowers the budget when `tokens` is negative. A
-   * failure with `ran: unknown` is resolved by the same call again.
-   * @param topUp - the operation
+   * Adds paid tokens once for each operation id, or lowers the budget when `tokens` is negative. A failure with `ran:
+   * unknown` is resolved by repeating the same call.
    */
   async topUp (topUp: TopUpRow): Promise<Either<Failure, BudgetAnswer>> {
     const keys = topUpKeys(topUp.operationId, topUp.budget)
@@ -28,10 +27,7 @@
     return await this.show(topUp.budget)
   }
 
-  /**
-   * A budget with all its holders.
-   * @param budget - budget id
-   */
+  /** Reads a budget with all its holders. */
   async show (budget: string): Promise<Either<Failure, BudgetAnswer>> {
     const survey = await surveyBudget(this.table.store, budget)
     return survey.chain(found => this.answer(budget, found))
@@ -49,7 +45,7 @@
     return Right({ budget: id, paid, spent: spent + settled, allotted: allotted - settled, inDoubt, holders })
   }
 
-  /** A write whose answer was lost in an earlier try may have taken effect. */
+  /** Reports the outcome as unknown where a write of an earlier attempt may have taken effect without an answer. */
   private orUnknown (failure: Failure, operationId: string): Failure {
     if (!this.table.isUnknown(operationId)) return failure
     return new Failure('platformOutcomeUnknown', failure.message, { ran: 'unknown', retryAfterMs: 1000 })
--- a/packages/rosemaryspread/src/budget/drawQueue.ts
+++ b/packages/rosemaryspread/src/budget/drawQueue.ts
@@ -1,26 +1,25 @@
 /**
- * Draws ahead of need wait a short time for others, so that one transaction carries those of
- * many budgets. A draw for which requests wait goes out at once.
+ * Queues draws made ahead of demand for a short time, so that one transaction covers many budgets. A draw for which
+ * requests wait is sent at once.
  */
 import { elapsedMs, type Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 import type { DrawAction } from './budgetDrawing.js'
 
-/** Queue of draws of one holder. */
 export class DrawQueue {
   private readonly waiting = new Map<string, DrawAction>()
   private readonly inFlight = new Set<string>()
   private oldest: Instant | undefined
 
   /**
-   * @param policy - a draw ahead of need waits as long as bills; draws of one transaction: each reads two rows and writes up to four
+   * @param policy - `flushMs`: how long a draw ahead of demand waits; `drawsAtOnce`: draws of one transaction, each of
+   * which reads two rows and writes up to four
    */
   constructor (private readonly policy: Pick<BudgetPolicy, 'flushMs' | 'drawsAtOnce'>) {}
 
   /**
-   * Takes a draw; answers what has to go out at once.
-   * @param action - the draw; one told again replaces the one that waits
-   * @param now - both clocks
+   * Queues a draw; returns what has to be sent at once.
+   * @param action - the draw; it replaces a queued one with the same id
    */
   add (action: DrawAction, now: Instant): readonly DrawAction[] {
     if (this.inFlight.has(action.drawId)) return []
@@ -33,10 +32,7 @@
     return []
   }
 
-  /**
-   * Draws that waited long enough, and those that may go with them.
-   * @param now - both clocks
-   */
+  /** Returns the draws that have waited long enough, and those that can join them. */
   due (now: Instant): readonly DrawAction[] {
     if (this.oldest === undefined || elapsedMs(this.oldest, now) < this.policy.flushMs) return []
     const batch = [...this.waiting.values()].slice(0, this.policy.drawsAtOnce)
@@ -45,10 +41,7 @@
     return this.send(batch)
   }
 
-  /**
-   * Notes that the outcome of draws is known.
-   * @param actions - the draws
-   */
+  /** Records that the outcome of draws is known. */
   done (actions: readonly DrawAction[]): void {
     for (const action of actions) this.inFlight.delete(action.drawId)
   }
--- a/packages/rosemaryspread/src/quarantine/answeredRequests.ts
+++ b/packages/rosemaryspread/src/quarantine/answeredRequests.ts
@@ -1,32 +1,27 @@
 /**
- * Requests that targets answered lately. A request that is asked for over and over (a page that many read) is open at each
- * target that ends for another reason; that it is answered elsewhere all the time proves it harmless.
+ * Remembers requests that targets answered recently. A request that many callers repeat (a popular page) is open at each
+ * target that terminates for another reason; that it is answered elsewhere all the time proves it harmless.
  */
 
-/** Largest body of a request that is remembered, in bytes: what many ask for alike is small, and larger bodies cost more to digest. */
+/**
+ * Largest body in bytes of a request that is remembered: requests that many callers repeat are small, and larger bodies
+ * cost more to hash.
+ */
 const MOST_BYTES = 2_048
 /** Milliseconds for which an answer counts. */
 const COUNTS_MS = 60_000
 /** Requests remembered; a VM answers some 20 of them a second. */
 const MOST_KEPT = 2_000
 
-/** Requests that one VM had answered. Times are monotonic milliseconds. */
+/** Recently answered requests of one VM. Times are monotonic milliseconds. */
 export class AnsweredRequests {
   private readonly at = new Map<string, number>()
 
-  /**
-   * Whether a request with this body is remembered.
-   * @param body - its body
-   */
+  /** Whether a request with this body is small enough to be remembered. */
   isKept (body: Buffer): boolean {
     return body.length <= MOST_BYTES
   }
 
-  /**
-   * Remembers a request.
-   * @param digest - digest of the request
-   * @param mono - present time
-   */
   add (digest: string, mono: number): void {
     this.at.delete(digest)
     this.at.set(digest, mono)
@@ -35,11 +30,7 @@
     if (oldest !== undefined) this.at.delete(oldest)
   }
 
-  /**
-   * Whether a request was answered lately.
-   * @param digest - digest of the request
-   * @param mono - present time
-   */
+  /** Whether a request was answered recently. */
   has (digest: string, mono: number): boolean {
     const at = this.at.get(digest)
     return at !== undefined && mono - at <= COUNTS_MS
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -1,6 +1,6 @@
 /**
- * The quarantine of one VM: keeps calls of quarantined requests from targets, finds out under which requests targets end, and
- * shares that with the other VMs.
+ * Quarantine of one VM: refuses calls of quarantined requests, detects which requests terminate targets, and shares this
+ * with the other VMs.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -18,7 +18,6 @@
 
 type Target = TargetChoice['target']
 
-/** What the quarantine works with. */
 export interface CallQuarantineParts {
   readonly clock: Clock
   readonly log: EventLog
@@ -27,7 +26,6 @@
   readonly share: QuarantineShare
 }
 
-/** Guards the calls of one VM. */
 export class CallQuarantine implements CallGuard {
   private readonly requests = new RequestQuarantine()
   private readonly answers = new AnsweredRequests()
@@ -74,10 +72,7 @@
     if (clearance !== undefined) this.parts.share.cleared(clearance)
   }
 
-  /**
-   * Takes what another VM told.
-   * @param news - the news
-   */
+  /** Handles an update from another VM. */
   told (news: QuarantineNews): void {
     this.carryOut(this.requests.take(news, this.mono), 'another VM')
   }
@@ -87,10 +82,7 @@
     return this.requests.list(this.mono)
   }
 
-  /**
-   * Lifts the suspicion from a request; answers whether there was one.
-   * @param digest - digest of the request
-   */
+  /** Lifts the suspicion from a request; returns whether there was one. */
   lift (digest: string): boolean {
     const clearance = this.requests.lift(digest, this.mono)
     if (clearance === undefined) return false
@@ -99,13 +91,13 @@
     return true
   }
 
-  /** Moves time on; to be called several times a second. */
+  /** Advances time; to be called several times a second. */
   tick (): void {
     this.requests.tick(this.mono)
     this.parts.share.tick()
   }
 
-  /** Whether a target ended; if so, calls that left it shortly before may have ended it just as those that broke with it. */
+  /** Whether a target terminated. If so, calls abandoned shortly before are suspected like those that broke with it. */
   private async isEnded (target: Target): Promise<boolean> {
     const { isEnded, since } = this.parts.watch.broke(target)
     if (!await isEnded) return false
@@ -126,7 +118,7 @@
     for (const verdict of verdicts) share.quarantined(verdict)
   }
 
-  /** Calls of the request that are under way are broken off: those that wait at a target have not ended it yet. */
+  /** Quarantines requests and cancels their open calls: those that still wait at a target have not terminated it yet. */
   private carryOut (verdicts: readonly Verdict[], by: string): void {
     for (const { digest, ends, level } of verdicts) {
       this.parts.metrics.count('requests_quarantined')
@@ -149,5 +141,5 @@
 }
 
 function refusalOf (call: OpenCall): Failure {
-  return new Failure('requestQuarantined', `targets ended each time this request ran; it is kept as ${call.digest}`, { ran: call.mayHaveRun ? 'unknown' : 'no' })
+  return new Failure('requestQuarantined', `targets terminated each time this request ran; it is quarantined under digest ${call.digest}`, { ran: call.mayHaveRun ? 'unknown' : 'no' })
 }
--- a/packages/rosemaryspread/src/quarantine/departures.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/departures.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Which departures the end of a target is held against.
+ * Guards against blaming the wrong abandoned calls for the termination of a target, and against missing the right ones.
  */
 import { expect } from 'chai'
 import { Departures } from './departures.js'
@@ -9,21 +9,21 @@
 interface DepartureCase {
   readonly name: string
   readonly left: { readonly id: string, readonly startedAt: number }
-  /** Milliseconds from the departure to the end of the target. */
+  /** Milliseconds from abandoning the call to the termination of the target. */
   readonly afterMs: number
   readonly isHeld: boolean
 }
 
 const cases: readonly DepartureCase[] = [
-  { name: 'right before the end', left: target, afterMs: 100, isHeld: true },
-  { name: 'long before it', left: target, afterMs: 1_001, isHeld: false },
-  { name: 'from another target', left: { id: 't2', startedAt: 1 }, afterMs: 100, isHeld: false },
-  { name: 'from an earlier process under its id', left: { id: 't1', startedAt: 0 }, afterMs: 100, isHeld: false }
+  { name: 'abandoned right before it', left: target, afterMs: 100, isHeld: true },
+  { name: 'abandoned long before it', left: target, afterMs: 1_001, isHeld: false },
+  { name: 'abandoned at another target', left: { id: 't2', startedAt: 1 }, afterMs: 100, isHeld: false },
+  { name: 'abandoned at an earlier process with the same id', left: { id: 't1', startedAt: 0 }, afterMs: 100, isHeld: false }
 ]
 
-describe('Departures', () => {
+describe('AbandonedCalls', () => {
   for (const { name, left, afterMs, isHeld } of cases) {
-    it(`${isHeld ? 'hold' : 'do not hold'} the end of a target against a call that left ${name}, once`, () => {
+    it(`${isHeld ? 'attributes' : 'does not attribute'} the termination of a target to a call ${name}, and never twice`, () => {
       const departures = new Departures()
       departures.add({ requestId: 'r', digest: 'a' }, left, 0)
       const taken = [departures.take(target, afterMs), departures.take(target, afterMs)].map(calls => calls.map(({ digest }) => digest))
@@ -31,7 +31,7 @@
     })
   }
 
-  it('forget the oldest when there are too many', () => {
+  it('evicts the oldest call above the limit', () => {
     const departures = new Departures()
     for (let index = 0; index <= 1_000; index += 1) departures.add({ requestId: 'r', digest: `${index}` }, target, 0)
     expect(departures.take(target, 0).map(({ digest }) => digest)).to.include('1000').and.not.include('0')
--- a/packages/rosemaryspread/src/quarantine/departures.ts
+++ b/packages/rosemaryspread/src/quarantine/departures.ts
@@ -1,18 +1,22 @@
 /**
- * Calls that were broken off from this side while a target may have run them. A target that ends right behind one may have
- * ended by it, though its connection was gone by then: else a caller of little patience would never be found out.
+ * Calls that this side cancelled while a target may have run them. A target that terminates right afterwards may have
+ * done so because of the call, though its connection was closed by then. Without this, the request of a caller with a
+ * short timeout would never be detected.
  */
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 import { processOf } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 
-/** Milliseconds behind a departure for which the end of its target is held against it; targets ended within 0.2 s of running such a request. */
+/**
+ * Milliseconds after a call was abandoned in which a termination of its target is attributed to it. Targets terminate
+ * within 0.2 s of running such a request.
+ */
 const HELD_MS = 1_000
-/** Departures remembered: more than all VMs of a small fleet have calls open. */
+/** Calls remembered: more than all VMs of a small fleet have open. */
 const MOST_KEPT = 1_000
 
 type Process = Pick<TargetView, 'id' | 'startedAt'>
 
-/** What is kept of a call; its body may be large. */
+/** What is stored of a call; its body may be large. */
 export interface NamedCall {
   readonly requestId: string
   readonly digest: string
@@ -24,32 +28,26 @@
   readonly at: number
 }
 
-/** Departures of one VM. Times are monotonic milliseconds. */
+/** Abandoned calls of one VM. Times are monotonic milliseconds. */
 export class Departures {
   private kept: Departure[] = []
 
   /**
-   * Remembers a departure.
-   * @param call - the call
-   * @param target - where it was
-   * @param mono - present time
+   * Remembers an abandoned call.
+   * @param target - where it may have run
    */
   add (call: NamedCall, target: Process, mono: number): void {
     this.kept = [...this.kept.filter(({ at }) => mono - at <= HELD_MS).slice(1 - MOST_KEPT), { process: nameOf(target), call, at: mono }]
   }
 
-  /**
-   * Whether some call left a target lately.
-   * @param target - the target
-   */
+  /** Whether a call on this target was abandoned recently. */
   has (target: Process): boolean {
     return this.kept.some(({ process }) => process === nameOf(target))
   }
 
   /**
-   * Calls that left a target shortly before it ended; each is told once.
-   * @param target - the target
-   * @param endedAt - when its end was noticed
+   * Removes and returns the calls abandoned shortly before a target terminated.
+   * @param endedAt - when the termination was detected
    */
   take (target: Process, endedAt: number): readonly NamedCall[] {
     const name = nameOf(target)
--- a/packages/rosemaryspread/src/quarantine/quarantineRows.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineRows.ts
@@ -1,6 +1,6 @@
 /**
- * The rows of the table by which VMs share what they know of requests under suspicion: writes those of this VM, also ones that could
- * not be written at once, follows those of all, and deletes what is of no use any more.
+ * Table rows by which VMs share updates on requests under suspicion. Writes those of this VM, with retries while the
+ * table is unavailable, follows those of all VMs, and deletes expired ones.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -12,17 +12,19 @@
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Rows of one transaction, and rows kept while the table is out of reach: the ends of 1,000 targets. */
+/** Rows of one transaction, and rows queued while the table is unavailable: the terminations of 1,000 targets. */
 const ROWS_AT_ONCE = 50
 const MOST_UNWRITTEN = 1_000
-/** Milliseconds before rows that could not be written are tried again. */
+/** Milliseconds before a failed write is retried. */
 const RETRY_MS = 250
-/** Milliseconds between two looks for rows whose time is over. */
+/** Milliseconds between two scans for expired rows. */
 const CLEAN_EVERY_MS = 10_000
-/** Rows are deleted by whichever VM comes first, at a random time up to so much later than they may be: one delete a row, mostly. */
+/**
+ * Random delay in milliseconds, up to this bound, before a VM deletes an expired row: the first VM deletes it, and mostly
+ * no other VM repeats that.
+ */
 const CLEAN_SPREAD_MS = SUSPECT_MS
 
-/** What the rows work with. */
 export interface QuarantineRowsParts {
   readonly table: TableStore
   readonly feed: TableFeed
@@ -30,17 +32,17 @@
   readonly log: EventLog
   /** Uniform in [0, 1). */
   random (): number
-  /** Takes what other VMs tell. */
+  /** Handles an update of another VM. */
   onNews (news: QuarantineNews): void
 }
 
-/** A row; null deletes it. */
+/** A row value; null deletes the row. */
 type Row = QuarantineNews | null
 
-/** The rows as one VM writes and reads them. Times are monotonic milliseconds. */
+/** The rows as written and read by one VM. Times are monotonic milliseconds. */
 export class QuarantineRows {
   private readonly unwritten = new Map<string, Row>()
-  /** When each row in the table may be deleted. */
+  /** Time at which each row of the table may be deleted. */
   private readonly deleteAt = new Map<string, number>()
   private isWriting = false
   private writeAt = 0
@@ -50,12 +52,12 @@
 
   constructor (private readonly parts: QuarantineRowsParts) {}
 
-  /** Whether the rows were read. */
+  /** Whether the rows have been read. */
   get isLoaded (): boolean {
     return this.loaded
   }
 
-  /** Begins to follow the table. */
+  /** Starts to follow the table. */
   start (): void {
     this.stopFeed = this.parts.feed.follow(QUARANTINE_TABLE, {
       replaced: rows => {
@@ -64,28 +66,26 @@
         for (const row of rows) this.takeRow(row)
       },
       changed: rows => { for (const row of rows) this.takeRow(row) },
-      // The configuration's feed tells of the same store; what is known stays in force.
+      // The configuration's feed reports failures of the same store; known updates stay in force.
       failed: () => {}
     }, 'seldom')
   }
 
-  /** Stops following the table. */
   stop (): void {
     this.stopFeed()
   }
 
   /**
-   * Writes a row as soon as the table takes it.
-   * @param key - its key
+   * Queues a row to be written as soon as the table is available.
    * @param row - its value; null deletes it
    */
   put (key: string, row: Row): void {
     if (this.unwritten.size < MOST_UNWRITTEN || this.unwritten.has(key)) this.unwritten.set(key, row)
-    else this.fault('overloaded', 'too many rows wait to be written')
+    else this.fault('overloaded', 'the queue of unwritten quarantine rows is full')
     this.tick()
   }
 
-  /** Writes what is to be written; to be called several times a second. */
+  /** Writes queued rows and deletes expired ones; to be called several times a second. */
   tick (): void {
     const now = this.mono
     if (now >= this.cleanAt) this.clean(now)
@@ -121,7 +121,7 @@
     const keptMs = news.success ? keptFor(news.data) : SUSPECT_MS
     this.deleteAt.set(key, this.mono + keptMs + CLEAN_SPREAD_MS * this.parts.random())
     if (news.success) this.parts.onNews(news.data)
-    else this.fault('badRequest', `row ${key} cannot be read`)
+    else this.fault('badRequest', `row ${key} does not match the schema of a quarantine update`)
   }
 
   private clean (now: number): void {
@@ -143,7 +143,7 @@
   }
 }
 
-/** Milliseconds for which a row is of use; a clearance outlives the ends that it clears. */
+/** Milliseconds for which a row is retained; a clearance outlives the terminations that it clears. */
 function keptFor (news: QuarantineNews): number {
   if (news.kind === 'quarantined') return quarantineMs(news.level)
   return news.kind === 'cleared' ? SUSPECT_MS + 2 * CLEAN_SPREAD_MS : SUSPECT_MS
--- a/packages/rosemaryspread/src/quarantine/quarantineShare.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineShare.spec.ts
@@ -1,6 +1,6 @@
 /**
- * How news of requests under suspicion reach other VMs: once each, also when the table was out of reach, and never more of
- * them than the links of a small fleet carry.
+ * Guards against lost, repeated or excessive updates between VMs: each update is published once, also after the table was
+ * unavailable, and peer messages stay within what the links of a small fleet carry.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { expect } from 'chai'
@@ -12,7 +12,7 @@
 import type { RowWrite, TableStore, TransactAnswer } from '@rosemaryspread/infra/table/tableTypes.js'
 import { QuarantineShare } from './quarantineShare.js'
 
-/** Longer than calls on one target are gathered. */
+/** Longer than the window in which calls on one target are batched. */
 const GATHERED_MS = 30
 
 class World implements TableFeed {
@@ -63,8 +63,8 @@
 const ended = (...digests: readonly string[]): QuarantineNews => ({ kind: 'ended', ends: [end], digests: [...digests] })
 const verdict: QuarantineNews = { kind: 'quarantined', digest: 'a', ends: [end], level: 1 }
 
-describe('QuarantineShare', () => {
-  it('tells of all requests on one ended target in one row and one message a VM', async () => {
+describe('QuarantineSync', () => {
+  it('publishes all requests on one terminated target in one row and one message to each VM', async () => {
     const world = new World(5)
     const share = world.share()
     for (const digest of ['a', 'b', 'c']) share.ended(end, digest)
@@ -74,7 +74,7 @@
     share.stop()
   })
 
-  it('adds requests that break later to the row', async () => {
+  it('adds requests whose calls break later to the row', async () => {
     const world = new World(0)
     const share = world.share()
     share.ended(end, 'a')
@@ -85,7 +85,7 @@
     share.stop()
   })
 
-  it('opens no links for it in a large fleet', async () => {
+  it('sends no peer messages in a large fleet', async () => {
     const world = new World(21)
     const share = world.share()
     share.ended(end, 'a')
@@ -94,7 +94,7 @@
     share.stop()
   })
 
-  it('keeps what could not be written and writes it once the table is back', async () => {
+  it('queues a row while the table is unavailable and writes it afterwards', async () => {
     const world = new World(0)
     const share = world.share()
     world.isDown = true
@@ -111,7 +111,7 @@
     share.stop()
   })
 
-  it('takes rows of other VMs, and leaves out one that cannot be read', () => {
+  it('handles rows of other VMs and skips a malformed one', () => {
     const world = new World(0)
     const share = world.share()
     expect(share.isLoaded).to.equal(false)
@@ -122,13 +122,13 @@
   })
 
   const ages: ReadonlyArray<{ readonly name: string, readonly row: QuarantineNews, readonly afterMs: number, readonly isDeleted: boolean }> = [
-    { name: 'an end that is suspected still', row: ended('a'), afterMs: SUSPECT_MS - 1, isDeleted: false },
-    { name: 'an end that is forgotten', row: ended('a'), afterMs: SUSPECT_MS, isDeleted: true },
+    { name: 'a termination still under suspicion', row: ended('a'), afterMs: SUSPECT_MS - 1, isDeleted: false },
+    { name: 'an expired termination', row: ended('a'), afterMs: SUSPECT_MS, isDeleted: true },
     { name: 'a verdict within its hour', row: verdict, afterMs: SUSPECT_MS, isDeleted: false },
-    { name: 'a verdict behind it', row: verdict, afterMs: 3_600_000, isDeleted: true }
+    { name: 'a verdict after its hour', row: verdict, afterMs: 3_600_000, isDeleted: true }
   ]
   for (const { name, row, afterMs, isDeleted } of ages) {
-    it(`${isDeleted ? 'deletes' : 'keeps'} the row of ${name}`, async () => {
+    it(`${isDeleted ? 'deletes' : 'retains'} the row of ${name}`, async () => {
       const world = new World(0)
       const share = world.share()
       world.handler?.replaced([{ key: 'x', value: row, version: 1 }])
--- a/packages/rosemaryspread/src/quarantine/quarantineShare.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineShare.ts
@@ -1,7 +1,7 @@
 /**
- * Carries news of requests under suspicion between VMs: rows of a table, whose feed reaches every VM, also one that begins later,
- * and in small fleets messages over the links as well, which also go while the table is out of reach. Nothing is written
- * or told but after the end of a target.
+ * Propagates updates on requests under suspicion between VMs: by table rows, whose feed reaches every VM, also one that
+ * starts later, and in small fleets also by peer messages, which work while the table is unavailable. Nothing is written
+ * or sent before a target has terminated.
  */
 import {
   MOST_DIGESTS, processOf, quarantineNewsSchema, type Clearance, type QuarantineNews, type TargetEnd, type Verdict
@@ -11,22 +11,27 @@
 import type { PeerVm } from '../presence/vmPresence.js'
 import { QuarantineRows, type QuarantineRowsParts } from './quarantineRows.js'
 
-/** Method between VMs. */
+/** Name of the peer method. */
 export const QUARANTINE_METHOD = 'quarantine.news'
-/** Milliseconds for which calls on one ended target are gathered into one row; most of them break within five, all within twenty. */
+/**
+ * Milliseconds in which calls on one terminated target are batched into one row; most of them break within five, all
+ * within twenty.
+ */
 const GATHER_MS = 10
-/** Milliseconds for which calls on an ended target are added to its row: the last of them break when their VM reads the close. */
+/**
+ * Milliseconds for which calls on a terminated target are added to its row: the last of them break when their VM reads
+ * the close of the connection.
+ */
 const REPORT_OPEN_MS = 5_000
 
-/** What sharing works with. */
 export interface QuarantineShareParts extends QuarantineRowsParts {
-  /** Name of this VM; lasts over restarts. */
+  /** Name of this VM, stable over restarts. */
   readonly vm: string
   peers (): readonly PeerVm[]
   notify (address: string, method: string, params: unknown): void
 }
 
-/** What this VM saw of the end of one target. */
+/** Requests that this VM had open on one terminated target. */
 interface OpenReport {
   readonly end: TargetEnd
   readonly digests: Set<string>
@@ -34,7 +39,7 @@
   isTold: boolean
 }
 
-/** Shares the news of one VM. Times are monotonic milliseconds. */
+/** Publishes the updates of one VM and receives those of others. Times are monotonic milliseconds. */
 export class QuarantineShare {
   private readonly rows: QuarantineRows
   private readonly reports = new Map<string, OpenReport>()
@@ -44,30 +49,29 @@
     this.rows = new QuarantineRows(parts)
   }
 
-  /** Whether what other VMs told before was read. */
+  /** Whether the stored updates of other VMs have been read. */
   get isLoaded (): boolean {
     return this.rows.isLoaded
   }
 
-  /** Begins to hear other VMs. */
+  /** Starts to receive updates of other VMs. */
   start (): void {
     this.rows.start()
   }
 
-  /** Stops hearing and telling. */
+  /** Stops receiving and publishing. */
   stop (): void {
     this.rows.stop()
     clearTimeout(this.gathering)
   }
 
-  /** Serves what other VMs tell over their links. */
+  /** Peer method that receives updates of other VMs. */
   method (): PeerMethod {
     return async params => { this.parts.onNews(quarantineNewsSchema.parse(params)) }
   }
 
   /**
-   * Tells of the end of a target under a request.
-   * @param end - the end
+   * Publishes the termination of a target on which a request was open.
    * @param digest - digest of the request
    */
   ended (end: TargetEnd, digest: string): void {
@@ -79,24 +83,18 @@
     this.gathering ??= setTimeout(() => { this.gathered() }, GATHER_MS)
   }
 
-  /**
-   * Tells that a request is quarantined.
-   * @param verdict - the verdict
-   */
+  /** Publishes that a request is quarantined. */
   quarantined (verdict: Verdict): void {
     this.tell(rowOfVerdict(verdict.digest), verdict)
   }
 
-  /**
-   * Tells that ends do not count for a request.
-   * @param clearance - the clearance
-   */
+  /** Publishes that terminations don't count for a request. */
   cleared (clearance: Clearance): void {
     this.tell(`cleared/${clearance.digest}/${this.parts.vm}`, clearance)
     this.rows.put(rowOfVerdict(clearance.digest), null)
   }
 
-  /** Writes what could not be written yet; to be called several times a second. */
+  /** Writes queued rows; to be called several times a second. */
   tick (): void {
     this.rows.tick()
   }
--- a/packages/rosemaryspread/src/quarantine/requestDigest.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/requestDigest.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Which requests are the same, and which are not.
+ * Guards against digests that confuse different requests or differ for the same request.
  */
 import { expect } from 'chai'
 import { requestDigest } from './requestDigest.js'
@@ -19,12 +19,12 @@
   { name: 'another body', body: 'adios', isSame: false },
   { name: 'another team', team: 'otros', isSame: false },
   { name: 'no team', team: undefined, isSame: false },
-  { name: 'parts that are divided elsewhere', path: '/chat/1 8', team: 'viajeros hola', body: '', isSame: false }
+  { name: 'the same text with other field boundaries', path: '/chat/1 8', team: 'viajeros hola', body: '', isSame: false }
 ]
 
 describe('requestDigest', () => {
   for (const test of cases) {
-    it(`is ${test.isSame ? 'the same' : 'another'} for ${test.name}`, () => {
+    it(`is ${test.isSame ? 'equal' : 'different'} for ${test.name}`, () => {
       const { path, body, team } = { ...base, ...test }
       const digest = requestDigest({ path, body: Buffer.from(body) }, team)
       const known = requestDigest({ path: base.path, body: Buffer.from(base.body) }, base.team)
--- a/packages/rosemaryspread/src/quarantine/targetEndWatch.ts
+++ b/packages/rosemaryspread/src/quarantine/targetEndWatch.ts
@@ -1,40 +1,36 @@
 /**
- * Tells the end of a target from a broken answer. Both break calls alike; but where a process ended, nothing listens at its address
- * any more and the next connection is refused at once, while after a reset, a cut answer or a cut link it is taken or hangs.
+ * Distinguishes the termination of a target from a broken response. Both break calls alike, but a terminated process no
+ * longer listens: the next connection is refused at once, while after a reset, a truncated response or a broken link it
+ * is accepted or hangs.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { processOf } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 import type { TargetProbe } from '../gateway/callTypes.js'
 
-/** Milliseconds for the proof; on a network that works a connection is taken or refused within three. */
+/** Timeout of the probe connection; on a working network it is accepted or refused within three milliseconds. */
 const PROOF_MS = 150
-/** Milliseconds for which what was found holds for further calls on the same process, so that each of a burst need not ask. */
+/** Milliseconds for which a result is reused for further calls on the same process, so that a burst sends one probe. */
 const HOLDS_MS = 200
 
-/** What the watch works with. */
 export interface TargetEndWatchParts {
   readonly clock: Clock
   readonly probe: TargetProbe
 }
 
-/** A process whose calls broke. */
 export interface BrokenProcess {
   readonly isEnded: Promise<boolean>
-  /** Monotonic milliseconds of the first call that broke. */
+  /** Monotonic milliseconds of the first broken call. */
   readonly since: number
 }
 
-/** Finds out which targets ended. */
+/** Detects which targets have terminated. */
 export class TargetEndWatch {
   private readonly found = new Map<string, BrokenProcess>()
 
   constructor (private readonly parts: TargetEndWatchParts) {}
 
-  /**
-   * Takes a call on a target that broke without an answer.
-   * @param target - the target
-   */
+  /** Checks a target on which a call broke without an answer. */
   broke (target: Pick<TargetView, 'id' | 'address' | 'startedAt'>): BrokenProcess {
     const now = this.parts.clock.now().mono
     this.forget(now)
