--- a/packages/rosemaryspread/src/quarantine/departures.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/departures.spec.ts
@@ -23,7 +23,7 @@
 
 describe('AbandonedCalls', () => {
   for (const { name, left, afterMs, isHeld } of cases) {
-    it(`${isHeld ? 'attributes' : 'does not attribute'} the termination of a target to a call ${name}, and never twice`, () => {
+    it(`${isHeld ? 'hold' : 'do not hold'} the termination of a target against a call ${name}, and never twice`, () => {
       const departures = new Departures()
       departures.add({ requestId: 'r', digest: 'a' }, left, 0)
       const taken = [departures.take(target, afterMs), departures.take(target, afterMs)].map(calls => calls.map(({ digest }) => digest))
@@ -31,7 +31,7 @@
     })
   }
 
-  it('evicts the oldest call above the limit', () => {
+  it('evict the oldest call above the limit', () => {
     const departures = new Departures()
     for (let index = 0; index <= 1_000; index += 1) departures.add({ requestId: 'r', digest: `${index}` }, target, 0)
     expect(departures.take(target, 0).map(({ digest }) => digest)).to.include('1000').and.not.include('0')
