--- a/packages/rosemaryspread/src/budget/budgetHeldAsSpent.ts
+++ b/packages/rosemaryspread/src/budget/assumedSpentRuns.ts
@@ -9,9 +9,9 @@
 import type { OwedBill } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
 import type { UnbilledRuns } from './budgetRecovery.js'
 import type { RunOwner } from './budgetRecoveryRuns.js'
-import type { AgedAllotment } from './budgetSharing.js'
+import type { AgedAllotment } from './budgetSurvey.js'
 
-export class HeldAsSpent implements UnbilledRuns {
+export class AssumedSpentRuns implements UnbilledRuns {
   beginPass (): void {}
 
   async contactAgeMs (item: AgedAllotment): Promise<number> {
--- a/packages/rosemaryspread/src/budget/billArchive.ts
+++ b/packages/rosemaryspread/src/budget/billArchive.ts
@@ -13,7 +13,7 @@
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
 /** Steps of one pass; a step skips a holder or archives a block. */
-const STEPS_A_PASS = 600
+const STEPS_PER_PASS = 600
 
 export interface ArchiveParts {
   readonly store: TableStore
@@ -28,7 +28,7 @@
   private isRunning = false
 
   /** @param steps - upper bound of steps in one pass */
-  constructor (private readonly parts: ArchiveParts, private readonly steps: number = STEPS_A_PASS) {}
+  constructor (private readonly parts: ArchiveParts, private readonly steps: number = STEPS_PER_PASS) {}
 
   /** Runs one pass, at most to the end of the table. Passes don't overlap, and a failure ends the pass. */
   async pass (): Promise<void> {
@@ -36,9 +36,9 @@
     this.isRunning = true
     try {
       for (let step = 0; step < this.steps; step++) {
-        const going = await this.step()
-        going.ifLeft(failure => { this.report(failure) })
-        if (!going.orDefault(false)) return
+        const isMoreLeft = await this.step()
+        isMoreLeft.ifLeft(failure => { this.report(failure) })
+        if (!isMoreLeft.orDefault(false)) return
       }
     } finally {
       this.isRunning = false
@@ -53,18 +53,18 @@
       Left: async () => scan.map(() => false),
       Right: async ({ rows, now }) => {
         const oldest = rows[0]
-        if (oldest === undefined) return this.beginAgain()
-        return isArchivable(oldest, now) ? await this.archiveOf(oldest) : this.skip(oldest)
+        if (oldest === undefined) return this.restart()
+        return isArchivable(oldest, now) ? await this.archiveOldestBlock(oldest) : this.skipHolder(oldest)
       }
     })
   }
 
-  private async archiveOf (oldest: Row): Promise<Either<Failure, boolean>> {
+  private async archiveOldestBlock (oldest: Row): Promise<Either<Failure, boolean>> {
     const prefix = `${holderOf(oldest)}/`
     const scan = await this.parts.store.scan({ table: budgetTables.segments, prefix, limit: BLOCK_SEGMENTS + 1 })
     const found = scan.map(({ rows, now }) => nextBlock(rows, now))
     const block = found.toMaybe().chain(value => value).extract()
-    if (block === undefined) return found.chain(() => this.skip(oldest))
+    if (block === undefined) return found.chain(() => this.skipHolder(oldest))
     return await this.archive(block)
   }
 
@@ -80,13 +80,13 @@
     return done.map(() => true).chainLeft(failure => failure.code === 'platformConflict' ? Right(true) : done.map(() => true))
   }
 
-  private skip (segment: SegmentAtVersion): Either<Failure, boolean> {
+  private skipHolder (segment: SegmentAtVersion): Either<Failure, boolean> {
     // '0' follows '/' in key order: this skips all keys of the holder and none of any other.
     this.after = `${holderOf(segment)}0`
     return Right(true)
   }
 
-  private beginAgain (): Either<Failure, boolean> {
+  private restart (): Either<Failure, boolean> {
     this.after = undefined
     return Right(false)
   }
--- a/packages/rosemaryspread/src/budget/budgetActions.ts
+++ b/packages/rosemaryspread/src/budget/budgetActionExecutor.ts
@@ -6,17 +6,17 @@
 import type { BudgetOwnership } from '@rosemaryspread/decisions/budget/budgetOwners.js'
 import { defaultBudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 import type { BudgetAction, BudgetEvent } from '@rosemaryspread/decisions/budget/budgetTypes.js'
-import { BudgetAsking } from './budgetAsking.js'
-import { BudgetDrawing, type DrawAction } from './budgetDrawing.js'
-import type { BudgetDriverParts, GiftOutcome } from './budgetDriverTypes.js'
-import { BudgetFlushing } from './budgetFlushing.js'
+import { TransferRequester } from './transferRequester.js'
+import { DrawExecutor, type DrawAction } from './drawExecutor.js'
+import type { BudgetDriverParts, GrantOutcome } from './budgetDriverTypes.js'
+import { FlushExecutor } from './flushExecutor.js'
 import type { BudgetRegistry } from './budgetRegistry.js'
 import type { BudgetTable } from './budgetTable.js'
 import { DrawQueue } from './drawQueue.js'
 import type { OpenReservations } from './openReservations.js'
 
 /** Components that the actions use. */
-export interface BudgetActionTargets {
+export interface BudgetActionContext {
   readonly table: BudgetTable
   readonly registry: BudgetRegistry
   readonly owners: BudgetOwnership
@@ -26,29 +26,29 @@
 }
 
 /** Executes the actions of one holder. */
-export class BudgetActions {
-  private readonly drawing: BudgetDrawing
+export class BudgetActionExecutor {
+  private readonly drawExecutor: DrawExecutor
   private readonly draws: DrawQueue
-  private readonly flushing: BudgetFlushing
-  private readonly asking: BudgetAsking
+  private readonly flushExecutor: FlushExecutor
+  private readonly transferRequester: TransferRequester
   /** Callbacks of recalls that wait until the returned tokens of a budget are in the table. */
   private readonly returnWaiters = new Map<string, Array<() => void>>()
   private inDoubt = 0
 
-  constructor (private readonly parts: BudgetDriverParts, private readonly targets: BudgetActionTargets) {
+  constructor (private readonly parts: BudgetDriverParts, private readonly targets: BudgetActionContext) {
     const { holder, domain, store, peers, clock, log } = parts
     const { table, registry, owners, dispatch } = targets
     const policy = parts.policy ?? defaultBudgetPolicy
-    this.drawing = new BudgetDrawing(table, { holder, domain, policy, holders: () => owners.count, declared: parts.declared ?? (() => undefined) }, log)
+    this.drawExecutor = new DrawExecutor(table, { holder, domain, policy, holders: () => owners.count, declared: parts.declared ?? (() => undefined) }, log)
     this.draws = new DrawQueue(policy)
-    this.flushing = new BudgetFlushing(table, { holder, domain }, log)
+    this.flushExecutor = new FlushExecutor(table, { holder, domain }, log)
     const isRegistered = (): boolean => registry.isRegistered
-    this.asking = new BudgetAsking({ holder, domain, peers, store, clock, log, isRegistered, dispatch })
+    this.transferRequester = new TransferRequester({ holder, domain, peers, store, clock, log, isRegistered, dispatch })
   }
 
   /** Whether no transfer request is pending. */
   get isIdle (): boolean {
-    return this.asking.isIdle
+    return this.transferRequester.isIdle
   }
 
   /** Total tokens in doubt at the time their allotments were closed, since the start. */
@@ -58,8 +58,8 @@
 
   /** Sends due draws, retries pending transfer requests and renews the registration of this holder. */
   tick (): void {
-    this.run(this.performDraws(this.draws.due(this.parts.clock.now())))
-    this.run(this.asking.repeatOpen())
+    this.run(this.performDraws(this.draws.dequeueDue(this.parts.clock.now())))
+    this.run(this.transferRequester.retryPending())
     this.run(this.targets.registry.register())
   }
 
@@ -71,10 +71,10 @@
       case 'refuse': reservations.answer(action.reservationId, action.failure); break
       case 'draw': this.run(this.performDraws(this.draws.add(action, this.parts.clock.now()))); break
       case 'flush': this.run(this.performFlush(action)); break
-      case 'askGive': this.run(this.asking.askGive(action)); break
-      case 'askGift': this.run(this.askGift(action)); break
+      case 'askGive': this.run(this.transferRequester.requestTransfer(action)); break
+      case 'askGift': this.run(this.requestGrant(action)); break
       case 'handOver': this.run(this.handOver(action)); break
-      case 'recall': this.run(this.asking.recall(action)); break
+      case 'recall': this.run(this.transferRequester.recall(action)); break
       case 'closed': this.reportClosed(action); break
       case 'give':
       case 'gift':
@@ -92,8 +92,8 @@
   }
 
   /** Opens a link to an owner of a budget. */
-  meet (budget: string): void {
-    if (this.parts.gifts !== undefined) this.run(this.parts.gifts.meet(budget))
+  connectOwner (budget: string): void {
+    if (this.parts.grantRequester !== undefined) this.run(this.parts.grantRequester.connectOwner(budget))
   }
 
   private run (work: Promise<void>): void {
@@ -102,17 +102,17 @@
 
   private async performDraws (actions: readonly DrawAction[]): Promise<void> {
     if (actions.length === 0) return
-    const outcomes = await this.drawing.draw(actions)
+    const outcomes = await this.drawExecutor.draw(actions)
     this.draws.done(actions)
     actions.forEach(({ drawId }, index) => {
       this.targets.dispatch({ kind: 'drawAnswered', drawId, outcome: outcomes[index] ?? { kind: 'unavailable' } })
     })
   }
 
-  private async askGift ({ giftId, budget, tokens }: Extract<BudgetAction, { kind: 'askGift' }>): Promise<void> {
-    let outcome: GiftOutcome = { tokens: 0, isReached: false }
+  private async requestGrant ({ giftId, budget, tokens }: Extract<BudgetAction, { kind: 'askGift' }>): Promise<void> {
+    let outcome: GrantOutcome = { tokens: 0, isReached: false }
     try {
-      outcome = await this.parts.gifts?.ask(giftId, budget, tokens) ?? outcome
+      outcome = await this.parts.grantRequester?.ask(giftId, budget, tokens) ?? outcome
     } finally {
       // Without this event the ledger would never request a grant again.
       this.targets.dispatch({ kind: 'giftAnswered', giftId, budget, ...outcome })
@@ -120,12 +120,12 @@
   }
 
   private async handOver ({ budget, tokens }: Extract<BudgetAction, { kind: 'handOver' }>): Promise<void> {
-    const isTaken = await this.parts.gifts?.handOver(budget, tokens) ?? false
+    const isTaken = await this.parts.grantRequester?.handOver(budget, tokens) ?? false
     this.parts.log.write('budgetHandedOver', { budget, tokens, isTaken })
   }
 
   private async performFlush (action: Extract<BudgetAction, { kind: 'flush' }>): Promise<void> {
-    const outcome = await this.flushing.flush(action)
+    const outcome = await this.flushExecutor.flush(action)
     this.targets.dispatch({ kind: 'flushAnswered', seq: action.seq, outcome })
     if (outcome.kind === 'unavailable') return
     for (const item of action.returns) {
@@ -136,7 +136,7 @@
 
   private reportClosed (action: Extract<BudgetAction, { kind: 'closed' }>): void {
     this.inDoubt += action.inDoubt
-    this.targets.registry.forget()
+    this.targets.registry.markUnregistered()
     this.parts.log.write('allotmentClosed', { budget: action.budget, inDoubt: action.inDoubt })
   }
 }
--- a/packages/rosemaryspread/src/budget/budgetDriver.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriver.ts
@@ -11,16 +11,16 @@
 import type { Bill, BudgetAction, BudgetEvent, BudgetView, TopUpRow } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { BudgetAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
 import { vmOf } from '@rosemaryspread/decisions/names/nameTypes.js'
-import { BudgetActions } from './budgetActions.js'
+import { BudgetActionExecutor } from './budgetActionExecutor.js'
 import { BudgetRowCache } from './budgetRowCache.js'
 import type { BudgetCounters, BudgetDriverParts } from './budgetDriverTypes.js'
-import type { GiftAnswer, GiftAsk } from './budgetGiftCalls.js'
-import type { ConfirmAnswer, ConfirmAsk, GiveAnswer, GiveAsk, RecallAnswer, RecallAsk } from './budgetPeers.js'
+import type { GrantResponse, GrantRequest } from './budgetGiftCalls.js'
+import type { ConfirmResponse, ConfirmRequest, TransferResponse, TransferRequest, RecallResponse, RecallRequest } from './budgetPeers.js'
 import type { BudgetPort, Reservation } from './budgetPort.js'
-import { BudgetRecovery, type ListEvidence } from './budgetRecovery.js'
+import { BudgetRecovery, type VmListEvidence } from './budgetRecovery.js'
 import { RecoveryRuns } from './budgetRecoveryRuns.js'
 import { BudgetRegistry } from './budgetRegistry.js'
-import type { AgedAllotment } from './budgetSharing.js'
+import type { AgedAllotment } from './budgetSurvey.js'
 import { BudgetTable } from './budgetTable.js'
 import { BudgetTopUps } from './budgetTopUps.js'
 import { OpenReservations } from './openReservations.js'
@@ -29,12 +29,12 @@
  * Key hashed to choose the VMs that recover terminated holders. If all 60 VMs of a fleet did it, each pass would read the
  * holders and places of the whole fleet and, after all had terminated at once, the holdings of each holder 60 times.
  */
-const RECOVERY_ROLE = 'recovery of ended holders'
+const RECOVERY_ROLE_KEY = 'recovery of ended holders'
 
 export class BudgetDriver implements BudgetPort {
   private readonly ledger: BudgetLedger
   private readonly table: BudgetTable
-  private readonly actions: BudgetActions
+  private readonly actions: BudgetActionExecutor
   private readonly reservations: OpenReservations
   private readonly topUps: BudgetTopUps
   private readonly registry: BudgetRegistry
@@ -42,7 +42,7 @@
   private readonly policy: BudgetPolicy
   private readonly owners: BudgetOwnership
   private drainWaiters: Array<() => void> = []
-  private waits: () => void = () => {}
+  private notifyWaiting: () => void = () => {}
 
   constructor (private readonly parts: BudgetDriverParts) {
     const { holder, domain, store, clock } = parts
@@ -50,18 +50,18 @@
     this.owners = parts.owners ?? ownedByAll(() => parts.peers.members().length + 1)
     this.ledger = new BudgetLedger(holder, this.policy, this.owners)
     this.table = new BudgetTable(store, clock, new BudgetRowCache(key => isOwnAllotment(key, holder)))
-    this.registry = new BudgetRegistry(this.table, { holder, domain, place: parts.place, begunAt: parts.begunAt })
+    this.registry = new BudgetRegistry(this.table, { holder, domain, place: parts.place, processStartedAt: parts.processStartedAt })
     this.reservations = new OpenReservations(holder)
-    const targets = { table: this.table, registry: this.registry, owners: this.owners, reservations: this.reservations, dispatch: (event: BudgetEvent) => { this.dispatch(event) } }
-    this.actions = new BudgetActions(parts, targets)
-    this.recovery = this.recoveryOf(parts)
+    const context = { table: this.table, registry: this.registry, owners: this.owners, reservations: this.reservations, dispatch: (event: BudgetEvent) => { this.dispatch(event) } }
+    this.actions = new BudgetActionExecutor(parts, context)
+    this.recovery = this.createRecovery(parts)
     this.topUps = new BudgetTopUps(this.table, item => this.isInDoubt(item))
   }
 
   async reserve (budget: string, tokens: number, giveUpAfterMs: number): Promise<Either<Failure, Reservation>> {
     return await this.reservations.add(budget, tokens, ({ reservationId }) => {
       this.dispatch({ kind: 'reserve', reservationId, budget, tokens, giveUpAfterMs })
-      if (this.isWaiting) this.waits()
+      if (this.isWaiting) this.notifyWaiting()
     })
   }
 
@@ -77,7 +77,7 @@
 
   /** Sets the listener called when a request starts to wait for tokens; ticks should be more frequent then. */
   onWaiting (listener: () => void): void {
-    this.waits = listener
+    this.notifyWaiting = listener
   }
 
   /** Whether a request waits for tokens and ticks should be frequent. */
@@ -117,8 +117,8 @@
    * this for all.
    * @param list - the platform's list of VMs, if it could be read
    */
-  async recoverDead (list?: ListEvidence): Promise<void> {
-    if (this.owners.owns(this.parts.holder, RECOVERY_ROLE)) await this.recovery?.pass(list)
+  async recoverTerminated (list?: VmListEvidence): Promise<void> {
+    if (this.owners.owns(this.parts.holder, RECOVERY_ROLE_KEY)) await this.recovery?.pass(list)
   }
 
   /** Handles a change of the paid amount in the configuration. */
@@ -133,7 +133,7 @@
   prepare (budget: string): void {
     this.refreshOwners()
     this.dispatch({ kind: 'prepare', budget })
-    if (!this.owners.owns(this.parts.holder, budget)) this.actions.meet(budget)
+    if (!this.owners.owns(this.parts.holder, budget)) this.actions.connectOwner(budget)
   }
 
   /** Handles the start of another holder, which needs its share of the budgets allotted to this one. */
@@ -146,7 +146,7 @@
    * Registers this holder and recovers what earlier processes of its VM held. To be repeated from the start on until it
    * returns true.
    */
-  async takeOver (): Promise<boolean> {
+  async recoverPredecessors (): Promise<boolean> {
     await this.registry.register()
     const isRecovered = await this.recovery?.pass(undefined, vmOf(this.parts.holder)) ?? true
     return this.registry.isRegistered && isRecovered
@@ -164,17 +164,17 @@
   }
 
   /** Handles a transfer request of another holder. */
-  onGive (ask: GiveAsk): GiveAnswer {
-    const { transferId, budget, to, wanted, atLeast, isRepeat } = ask
-    const sameDomain = ask.domain === this.parts.domain
+  onTransferRequest (request: TransferRequest): TransferResponse {
+    const { transferId, budget, to, wanted, atLeast, isRepeat } = request
+    const sameDomain = request.domain === this.parts.domain
     const actions = this.dispatch({ kind: 'giveAsked', transferId, budget, to, wanted, atLeast, sameDomain, isRepeat })
-    const given = actions.find(action => action.kind === 'give')
-    return given?.transfer === undefined ? {} : { transfer: given.transfer }
+    const granted = actions.find(action => action.kind === 'give')
+    return granted?.transfer === undefined ? {} : { transfer: granted.transfer }
   }
 
   /** Handles a recall; resolves when the returned tokens are in the table. */
-  async onRecall (ask: RecallAsk): Promise<RecallAnswer> {
-    const { budget, wanted, atLeast } = ask
+  async onRecall (request: RecallRequest): Promise<RecallResponse> {
+    const { budget, wanted, atLeast } = request
     const actions = this.dispatch({ kind: 'recallAsked', budget, wanted, atLeast })
     const returned = actions.find(action => action.kind === 'returning')?.tokens ?? 0
     if (returned > 0) await this.actions.returned(budget)
@@ -182,16 +182,16 @@
   }
 
   /** Handles a grant request of another holder: the tokens can be used at once. */
-  onGift ({ giftId, budget, tokens, to }: GiftAsk): GiftAnswer {
+  onGrantRequest ({ giftId, budget, tokens, to }: GrantRequest): GrantResponse {
     const actions = this.dispatch({ kind: 'giftAsked', giftId, budget, tokens, to })
-    const gift = actions.find(action => action.kind === 'gift')
-    const answer = { tokens: gift?.tokens ?? 0, left: gift?.left ?? 0 }
+    const grant = actions.find(action => action.kind === 'gift')
+    const answer = { tokens: grant?.tokens ?? 0, left: grant?.left ?? 0 }
     if (answer.tokens > 0) this.parts.log.write('budgetGiven', { budget, to, ...answer })
     return answer
   }
 
   /** Accepts tokens that a terminating holder hands over. */
-  onHandOver (budget: string, tokens: number): void {
+  onHandover (budget: string, tokens: number): void {
     this.dispatch({ kind: 'handedOver', budget, tokens })
   }
 
@@ -199,9 +199,9 @@
    * Confirms whether no transfer with a terminated holder is unrecorded here, and fences that holder: no transfer with it
    * starts afterwards.
    */
-  onConfirm (ask: ConfirmAsk): ConfirmAnswer {
-    this.dispatch({ kind: 'fence', holder: ask.holder })
-    return { none: !this.ledger.hasTransferWith(ask.holder) }
+  onConfirmRequest (request: ConfirmRequest): ConfirmResponse {
+    this.dispatch({ kind: 'fence', holder: request.holder })
+    return { none: !this.ledger.hasTransferWith(request.holder) }
   }
 
   private refreshOwners (): void {
@@ -212,12 +212,12 @@
     return this.ledger.isSettled && this.actions.isIdle
   }
 
-  private recoveryOf (parts: BudgetDriverParts): BudgetRecovery | undefined {
+  private createRecovery (parts: BudgetDriverParts): BudgetRecovery | undefined {
     const { holder, peers, log, runners } = parts
-    const runs = parts.unbilled ?? (runners === undefined ? undefined : new RecoveryRuns(this.table.store, runners))
+    const runs = parts.unbilledRuns ?? (runners === undefined ? undefined : new RecoveryRuns(this.table.store, runners))
     if (runs === undefined) return undefined
-    const confirmOwn = (ended: string): boolean => this.onConfirm({ holder: ended }).none
-    return new BudgetRecovery(this.table, { holder, policy: this.policy, peers, runs, log, confirmOwn }, this.registry)
+    const confirmLocally = (ended: string): boolean => this.onConfirmRequest({ holder: ended }).none
+    return new BudgetRecovery(this.table, { holder, policy: this.policy, peers, runs, log, confirmLocally }, this.registry)
   }
 
   private isInDoubt (item: AgedAllotment): boolean {
--- a/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
@@ -12,7 +12,7 @@
 import type { RecoveryRunners } from './budgetRecoveryRuns.js'
 
 /** Outcome of a grant request. */
-export interface GiftOutcome {
+export interface GrantOutcome {
   /** Tokens granted by all peers together. */
   readonly tokens: number
   /** Whether any peer answered. */
@@ -20,10 +20,10 @@
 }
 
 /** Requests grants from other holders: tokens that can be used at once. */
-export interface GiftAsker {
-  ask (giftId: string, budget: string, tokens: number): Promise<GiftOutcome>
+export interface GrantRequester {
+  ask (giftId: string, budget: string, tokens: number): Promise<GrantOutcome>
   /** Opens a link to an owner of a budget ahead of demand. */
-  meet (budget: string): Promise<void>
+  connectOwner (budget: string): Promise<void>
   /** Hands tokens over to another holder; resolves to whether one accepted them. */
   handOver (budget: string, tokens: number): Promise<boolean>
 }
@@ -34,7 +34,7 @@
   /** Name of the addresses on which this process listens. */
   readonly place?: string | undefined
   /** Monotonic milliseconds of the start of this process; absent where its clock does not provide it. */
-  readonly begunAt?: number
+  readonly processStartedAt?: number
   readonly store: TableStore
   readonly peers: BudgetPeers
   readonly clock: Clock
@@ -43,11 +43,11 @@
   /** Owners of each budget; absent where every holder owns all budgets. */
   readonly owners?: RendezvousOwners
   /** Requests grants from other holders; absent where holders grant none. */
-  readonly gifts?: GiftAsker
+  readonly grantRequester?: GrantRequester
   /** Runners queried by recovery; without them, and without `unbilledRuns`, nothing is recovered. */
   readonly runners?: RecoveryRunners
   /** Finds what terminated holders still owe, where runners keep no record of it. */
-  readonly unbilled?: UnbilledRuns
+  readonly unbilledRuns?: UnbilledRuns
   /** Amount paid for a budget according to the configuration, where top-ups don't define it. */
   readonly declared?: (budget: string) => DeclaredPaid | undefined
 }
--- a/packages/rosemaryspread/src/budget/budgetFirstSent.ts
+++ b/packages/rosemaryspread/src/budget/budgetFirstSent.ts
@@ -7,18 +7,18 @@
  * Milliseconds subtracted from the time of a first attempt. A report is created some time before it is sent, longer
  * before on a slow VM, and the allowance it grants must not start to grow later for others than for its holder.
  */
-const MADE_BEFORE_MS = 100
+const CREATION_ALLOWANCE_MS = 100
 
-export class FirstSent {
+export class FirstAttemptTimes {
   private readonly times = new Map<string, number>()
 
   /**
    * Records an attempt; only the first one counts. Returns whether it is the first.
    * @param tableNow - milliseconds of the table's clock, not later than the present
    */
-  begin (id: string, tableNow: number): boolean {
+  record (id: string, tableNow: number): boolean {
     if (this.times.has(id)) return false
-    this.times.set(id, tableNow - MADE_BEFORE_MS)
+    this.times.set(id, tableNow - CREATION_ALLOWANCE_MS)
     return true
   }
 
@@ -28,7 +28,7 @@
   }
 
   /** Removes an operation whose outcome is known. */
-  end (id: string): void {
+  forget (id: string): void {
     this.times.delete(id)
   }
 }
--- a/packages/rosemaryspread/src/budget/budgetGiftCalls.ts
+++ b/packages/rosemaryspread/src/budget/budgetGiftCalls.ts
@@ -10,34 +10,34 @@
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { LateAnswer, PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
 import type { PeerVm } from '../presence/vmPresence.js'
-import type { GiftOutcome } from './budgetDriverTypes.js'
+import type { GrantOutcome } from './budgetDriverTypes.js'
 import { parseAnswer } from './peerAnswer.js'
 
 /** Names of the peer methods. */
-export const GIFT_METHOD = 'budget.gift'
-export const HAND_OVER_METHOD = 'budget.handOver'
+export const GRANT_METHOD = 'budget.gift'
+export const HANDOVER_METHOD = 'budget.handOver'
 /** Timeout of one call: a few round trips of a slow VM, and short against the latency objective of the waiting request. */
-const ANSWER_MS = 60
+const CALL_TIMEOUT_MS = 60
 /** Milliseconds for which a VM that did not answer is tried last. */
-const SILENT_MS = 2_000
+const UNRESPONSIVE_MS = 2_000
 /** Upper bound of VMs called for one request. */
-const MOST_ASKED = 6
+const MAX_PEERS_PER_REQUEST = 6
 /** Milliseconds for which a reported balance is valid; afterwards it counts as unknown. */
-const KNOWN_MS = 3_000
+const BALANCE_TTL_MS = 3_000
 
 const amount = z.number().int().nonnegative()
-const giftAskSchema = z.object({ giftId: z.string(), budget: z.string(), to: z.string(), tokens: amount })
-const giftAnswerSchema = z.object({ tokens: amount, left: amount })
+const grantRequestSchema = z.object({ giftId: z.string(), budget: z.string(), to: z.string(), tokens: amount })
+const grantResponseSchema = z.object({ tokens: amount, left: amount })
 
-const handOverSchema = z.object({ budget: z.string(), tokens: amount })
+const handoverSchema = z.object({ budget: z.string(), tokens: amount })
 
 /** Tokens handed over to another VM. */
-export type HandOver = z.infer<typeof handOverSchema>
-export type GiftAsk = z.infer<typeof giftAskSchema>
+export type Handover = z.infer<typeof handoverSchema>
+export type GrantRequest = z.infer<typeof grantRequestSchema>
 /** Tokens granted, and the balance that remains to grant. */
-export type GiftAnswer = z.infer<typeof giftAnswerSchema>
+export type GrantResponse = z.infer<typeof grantResponseSchema>
 
-export interface GiftCallsParts {
+export interface GrantCallsParts {
   readonly holder: string
   readonly clock: Clock
   readonly log: EventLog
@@ -45,53 +45,53 @@
   peersFor (budget: string): readonly PeerVm[]
   call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
   /** Accepts tokens granted after the request for them timed out. */
-  takeLate (budget: string, tokens: number): void
+  acceptLateGrant (budget: string, tokens: number): void
   /** Rank of a VM whose balance for a budget is unknown: in [0, 1), constant for each pair. Higher ranks are called first. */
   preference (peer: string, budget: string): number
 }
 
-interface KnownLeft {
+interface ReportedBalance {
   readonly left: number
   readonly at: number
 }
 
 /** Calls other VMs for grants and handovers. */
-export class BudgetGiftCalls {
+export class BudgetGrantCalls {
   /** Last reported balance by VM and budget. */
-  private readonly known = new Map<string, KnownLeft>()
-  private readonly silentUntil = new Map<string, number>()
+  private readonly balances = new Map<string, ReportedBalance>()
+  private readonly unresponsiveUntil = new Map<string, number>()
 
-  constructor (private readonly parts: GiftCallsParts) {}
+  constructor (private readonly parts: GrantCallsParts) {}
 
   /**
    * Requests a grant.
    * @param tokens - tokens lacking
    */
-  async ask (giftId: string, budget: string, tokens: number): Promise<GiftOutcome> {
+  async ask (giftId: string, budget: string, tokens: number): Promise<GrantOutcome> {
     const { clock, log } = this.parts
     const startedAt = clock.now().mono
-    let given = 0
-    let asked = 0
+    let granted = 0
+    let callCount = 0
     let isReached = false
-    for (const peer of this.inOrder(budget)) {
-      if (given >= tokens) break
-      asked += 1
-      given += await this.askTwice(peer, { giftId: `${giftId}/${asked}`, budget, to: this.parts.holder, tokens: tokens - given })
-      isReached ||= !this.isSilent(peer)
+    for (const peer of this.rankedPeers(budget)) {
+      if (granted >= tokens) break
+      callCount += 1
+      granted += await this.requestWithRetry(peer, { giftId: `${giftId}/${callCount}`, budget, to: this.parts.holder, tokens: tokens - granted })
+      isReached ||= !this.isUnresponsive(peer)
     }
-    log.write('budgetGiftsTaken', { budget, asked: tokens, tokens: given, peers: asked, tookMs: clock.now().mono - startedAt })
-    return { tokens: given, isReached }
+    log.write('budgetGiftsTaken', { budget, asked: tokens, tokens: granted, peers: callCount, tookMs: clock.now().mono - startedAt })
+    return { tokens: granted, isReached }
   }
 
   /**
    * Opens a link to the first owner of a budget and reads its balance, because requests are refused while the first ones
    * in the traffic still open links.
    */
-  async meet (budget: string): Promise<void> {
-    const [peer] = this.inOrder(budget)
-    if (peer === undefined || this.known.has(keyOf(peer, budget))) return
-    const ask = { giftId: 'meet', budget, to: this.parts.holder, tokens: 0 }
-    this.taken(peer, ask, await this.callOnce(peer, ask))
+  async connectOwner (budget: string): Promise<void> {
+    const [peer] = this.rankedPeers(budget)
+    if (peer === undefined || this.balances.has(keyOf(peer, budget))) return
+    const request = { giftId: 'meet', budget, to: this.parts.holder, tokens: 0 }
+    this.taken(peer, request, await this.callOnce(peer, request))
   }
 
   /**
@@ -99,10 +99,10 @@
    * them.
    */
   async handOver (budget: string, tokens: number): Promise<boolean> {
-    for (const peer of this.inOrder(budget)) {
-      const answer = await this.parts.call(peer.address, HAND_OVER_METHOD, { budget, tokens }, ANSWER_MS)
-      const end = answer.caseOf({ Left: ({ ran }) => ran === 'no' ? 'notTaken' : 'lost', Right: () => 'taken' })
-      if (end !== 'notTaken') return end === 'taken'
+    for (const peer of this.rankedPeers(budget)) {
+      const answer = await this.parts.call(peer.address, HANDOVER_METHOD, { budget, tokens }, CALL_TIMEOUT_MS)
+      const outcome = answer.caseOf({ Left: ({ ran }) => ran === 'no' ? 'notTaken' : 'lost', Right: () => 'taken' })
+      if (outcome !== 'notTaken') return outcome === 'taken'
     }
     return false
   }
@@ -111,38 +111,38 @@
    * Retries once, because the link may have become unresponsive: the second call uses another link, which avoids trying
    * one VM after another over unresponsive links.
    */
-  private async askTwice (peer: PeerVm, ask: GiftAsk): Promise<number> {
-    const answer = await this.callOnce(peer, ask)
-    const mayBeSilent = answer.isLeft() && answer.extract().ran === 'unknown' && !this.isSilent(peer)
-    if (!mayBeSilent) return this.taken(peer, ask, answer)
-    return this.taken(peer, ask, await this.callOnce(peer, { ...ask, giftId: `${ask.giftId}/again` }))
+  private async requestWithRetry (peer: PeerVm, request: GrantRequest): Promise<number> {
+    const answer = await this.callOnce(peer, request)
+    const isLinkSuspect = answer.isLeft() && answer.extract().ran === 'unknown' && !this.isUnresponsive(peer)
+    if (!isLinkSuspect) return this.taken(peer, request, answer)
+    return this.taken(peer, request, await this.callOnce(peer, { ...request, giftId: `${request.giftId}/again` }))
   }
 
   /** Accepts late answers too: a busy VM reads answers late and would lose a large share of the tokens granted to it. */
-  private async callOnce (peer: PeerVm, ask: GiftAsk): Promise<Either<Failure, unknown>> {
-    return await this.parts.call(peer.address, GIFT_METHOD, ask, ANSWER_MS, late => {
-      parseAnswer(giftAnswerSchema, late, GIFT_METHOD).ifRight(({ tokens }) => {
-        const taken = Math.min(tokens, ask.tokens)
-        if (taken > 0) this.parts.takeLate(ask.budget, taken)
-        this.parts.log.write('budgetGiftLate', { budget: ask.budget, tokens: taken, from: peer.holder })
+  private async callOnce (peer: PeerVm, request: GrantRequest): Promise<Either<Failure, unknown>> {
+    return await this.parts.call(peer.address, GRANT_METHOD, request, CALL_TIMEOUT_MS, late => {
+      parseAnswer(grantResponseSchema, late, GRANT_METHOD).ifRight(({ tokens }) => {
+        const accepted = Math.min(tokens, request.tokens)
+        if (accepted > 0) this.parts.acceptLateGrant(request.budget, accepted)
+        this.parts.log.write('budgetGiftLate', { budget: request.budget, tokens: accepted, from: peer.holder })
       })
     })
   }
 
-  private isSilent (peer: PeerVm): boolean {
-    return (this.silentUntil.get(peer.holder) ?? 0) > this.parts.clock.now().mono
+  private isUnresponsive (peer: PeerVm): boolean {
+    return (this.unresponsiveUntil.get(peer.holder) ?? 0) > this.parts.clock.now().mono
   }
 
-  private taken (peer: PeerVm, ask: GiftAsk, answer: Either<Failure, unknown>): number {
+  private taken (peer: PeerVm, request: GrantRequest, answer: Either<Failure, unknown>): number {
     const { mono } = this.parts.clock.now()
-    return answer.chain(value => parseAnswer(giftAnswerSchema, value, GIFT_METHOD)).caseOf({
+    return answer.chain(value => parseAnswer(grantResponseSchema, value, GRANT_METHOD)).caseOf({
       Left: () => {
-        this.silentUntil.set(peer.holder, mono + SILENT_MS)
+        this.unresponsiveUntil.set(peer.holder, mono + UNRESPONSIVE_MS)
         return 0
       },
       Right: ({ tokens, left }) => {
-        this.known.set(keyOf(peer, ask.budget), { left, at: mono })
-        return Math.min(tokens, ask.tokens)
+        this.balances.set(keyOf(peer, request.budget), { left, at: mono })
+        return Math.min(tokens, request.tokens)
       }
     })
   }
@@ -151,19 +151,19 @@
    * Peers in calling order: highest balance first, then unknown balance, then empty, unresponsive ones last. Peers with
    * an unknown balance have a fixed order for each budget, so that a VM of a large fleet has links to few others.
    */
-  private inOrder (budget: string): readonly PeerVm[] {
+  private rankedPeers (budget: string): readonly PeerVm[] {
     const { mono } = this.parts.clock.now()
     return this.parts.peersFor(budget)
       .map(peer => ({ peer, rank: this.rank(peer, budget, mono) }))
       .sort((a, b) => b.rank - a.rank)
-      .slice(0, MOST_ASKED)
+      .slice(0, MAX_PEERS_PER_REQUEST)
       .map(({ peer }) => peer)
   }
 
   private rank (peer: PeerVm, budget: string, mono: number): number {
-    if (this.isSilent(peer)) return -2
-    const known = this.known.get(keyOf(peer, budget))
-    if (known === undefined || mono - known.at > KNOWN_MS) return this.parts.preference(peer.holder, budget)
+    if (this.isUnresponsive(peer)) return -2
+    const known = this.balances.get(keyOf(peer, budget))
+    if (known === undefined || mono - known.at > BALANCE_TTL_MS) return this.parts.preference(peer.holder, budget)
     return known.left > 0 ? known.left : -1
   }
 }
@@ -172,18 +172,18 @@
  * Peer method that answers grant requests.
  * @param grant - answers a request from the budgets of this VM
  */
-export function giftMethod (give: (ask: GiftAsk) => GiftAnswer): PeerMethod {
-  return async params => give(giftAskSchema.parse(params))
+export function grantMethod (grant: (request: GrantRequest) => GrantResponse): PeerMethod {
+  return async params => grant(grantRequestSchema.parse(params))
 }
 
 /**
  * Peer method that accepts handovers of terminating VMs.
  * @param accept - adds tokens to the budgets of this VM
  */
-export function handOverMethod (take: (budget: string, tokens: number) => void): PeerMethod {
+export function handoverMethod (accept: (budget: string, tokens: number) => void): PeerMethod {
   return async params => {
-    const { budget, tokens } = handOverSchema.parse(params)
-    take(budget, tokens)
+    const { budget, tokens } = handoverSchema.parse(params)
+    accept(budget, tokens)
   }
 }
 
--- a/packages/rosemaryspread/src/budget/budgetGiftCalls.spec.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
@@ -6,20 +6,20 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
-import { BudgetGiftCalls, giftMethod, type GiftAnswer } from './budgetGiftCalls.js'
+import { BudgetGrantCalls, grantMethod, type GrantResponse } from './budgetGiftCalls.js'
 
 const peers = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(name => ({ holder: name, address: `${name}:1` }))
 
 /** Other VMs with the tokens that each can grant; one without a number is unresponsive. */
-class World {
+class Harness {
   mono = 0
   readonly asked: string[] = []
   readonly late: Array<[budget: string, tokens: number]> = []
   readonly lateAnswers: LateAnswer[] = []
-  readonly calls: BudgetGiftCalls
+  readonly calls: BudgetGrantCalls
 
   constructor (readonly have: Record<string, number | undefined>) {
-    this.calls = new BudgetGiftCalls({
+    this.calls = new BudgetGrantCalls({
       holder: 'me',
       clock: { now: () => ({ mono: this.mono, wall: 0 }) },
       log: { write: () => {} },
@@ -28,7 +28,7 @@
         if (onLate !== undefined) this.lateAnswers.push(onLate)
         return this.answer(address.slice(0, 1), params as { tokens: number })
       },
-      takeLate: (budget, tokens) => { this.late.push([budget, tokens]) },
+      acceptLateGrant: (budget, tokens) => { this.late.push([budget, tokens]) },
       preference: () => 0.5
     })
   }
@@ -43,7 +43,7 @@
   }
 }
 
-interface AskCase {
+interface RequestCase {
   readonly name: string
   readonly have: Record<string, number | undefined>
   /** Tokens of each request, one after another, half a second apart. */
@@ -52,7 +52,7 @@
   readonly asked: readonly string[]
 }
 
-const cases: readonly AskCase[] = [
+const cases: readonly RequestCase[] = [
   { name: 'one VM if it has enough', have: { a: 100, b: 100 }, asks: [50], given: [50], asked: ['a'] },
   { name: 'the next VM for the rest', have: { a: 30, b: 100 }, asks: [50], given: [50], asked: ['a', 'b'] },
   { name: 'VMs with the highest balance first', have: { a: 60, b: 500 }, asks: [100, 10], given: [100, 10], asked: ['a', 'b', 'b'] },
@@ -64,13 +64,13 @@
 describe('BudgetGrantCalls', () => {
   for (const { name, have, asks, given, asked } of cases) {
     it(`requests a grant from ${name}`, async () => {
-      const world = new World({ ...have })
+      const harness = new Harness({ ...have })
       const got: number[] = []
       for (const tokens of asks) {
-        got.push((await world.calls.ask('g', 'b', tokens)).tokens)
-        world.mono += 500
+        got.push((await harness.calls.ask('g', 'b', tokens)).tokens)
+        harness.mono += 500
       }
-      expect([got, world.asked]).to.deep.equal([given, asked])
+      expect([got, harness.asked]).to.deep.equal([given, asked])
     })
   }
 
@@ -82,29 +82,29 @@
   ]
   for (const { name, answer, kept } of late) {
     it(`accepts ${name}`, async () => {
-      const world = new World({ a: undefined })
-      expect(await world.calls.ask('g', 'b', 50)).to.deep.equal({ tokens: 0, isReached: false })
-      world.lateAnswers[0]?.(answer)
-      expect(world.late).to.deep.equal(kept === undefined ? [] : [['b', kept]])
+      const harness = new Harness({ a: undefined })
+      expect(await harness.calls.ask('g', 'b', 50)).to.deep.equal({ tokens: 0, isReached: false })
+      harness.lateAnswers[0]?.(answer)
+      expect(harness.late).to.deep.equal(kept === undefined ? [] : [['b', kept]])
     })
   }
 
   it('opens a link to an owner once, without receiving tokens', async () => {
-    const world = new World({ a: 100 })
-    await world.calls.meet('b')
-    await world.calls.meet('b')
-    expect([world.asked, world.have]).to.deep.equal([['a'], { a: 100 }])
+    const harness = new Harness({ a: 100 })
+    await harness.calls.connectOwner('b')
+    await harness.calls.connectOwner('b')
+    expect([harness.asked, harness.have]).to.deep.equal([['a'], { a: 100 }])
   })
 
-  const hands: ReadonlyArray<{ readonly name: string, readonly have: Record<string, number | undefined>, readonly taken: boolean, readonly asked: readonly string[] }> = [
+  const handovers: ReadonlyArray<{ readonly name: string, readonly have: Record<string, number | undefined>, readonly taken: boolean, readonly asked: readonly string[] }> = [
     { name: 'the first VM that answers', have: { a: 0, b: 0 }, taken: true, asked: ['a'] },
     { name: 'no second VM if the first may have accepted them', have: { a: undefined, b: 0 }, taken: false, asked: ['a'] }
   ]
-  for (const { name, have, taken, asked } of hands) {
+  for (const { name, have, taken, asked } of handovers) {
     it(`hands tokens over to ${name}`, async () => {
-      const world = new World({ ...have })
-      const isTaken = await world.calls.handOver('b', 100)
-      expect([isTaken, world.asked]).to.deep.equal([taken, asked])
+      const harness = new Harness({ ...have })
+      const isTaken = await harness.calls.handOver('b', 100)
+      expect([isTaken, harness.asked]).to.deep.equal([taken, asked])
     })
   }
 
@@ -116,7 +116,7 @@
   for (const { name, params } of malformed) {
     it(`grants nothing for a request with ${name}`, async () => {
       let given = 0
-      const serve = giftMethod((): GiftAnswer => { given += 1; return { tokens: 1, left: 0 } })
+      const serve = grantMethod((): GrantResponse => { given += 1; return { tokens: 1, left: 0 } })
       const failed = await serve(params, 'v').then(() => false, () => true)
       expect([failed, given]).to.deep.equal([true, 0])
     })
--- a/packages/rosemaryspread/src/budget/budgetPeers.ts
+++ b/packages/rosemaryspread/src/budget/budgetPeers.ts
@@ -10,7 +10,7 @@
 const amount = z.number().int().nonnegative()
 
 /** Request for a transfer; repeats with the same `transferId` get the same answer. */
-export const giveAskSchema = z.object({
+export const transferRequestSchema = z.object({
   transferId: z.string(),
   budget: z.string(),
   to: z.string(),
@@ -20,27 +20,27 @@
   /** Queries only the outcome of an earlier request; nothing new is granted. */
   isRepeat: z.boolean().optional()
 })
-export type GiveAsk = z.infer<typeof giveAskSchema>
+export type TransferRequest = z.infer<typeof transferRequestSchema>
 
 /** Response to a {@link TransferRequest}; without a transfer when nothing can be granted. */
-export const giveAnswerSchema = z.object({ transfer: transferSchema.optional() })
-export type GiveAnswer = z.infer<typeof giveAnswerSchema>
+export const transferResponseSchema = z.object({ transfer: transferSchema.optional() })
+export type TransferResponse = z.infer<typeof transferResponseSchema>
 
 /** Request to return tokens to the table. */
-export const recallAskSchema = z.object({ budget: z.string(), wanted: amount, atLeast: amount })
-export type RecallAsk = z.infer<typeof recallAskSchema>
+export const recallRequestSchema = z.object({ budget: z.string(), wanted: amount, atLeast: amount })
+export type RecallRequest = z.infer<typeof recallRequestSchema>
 
 /** Response to a {@link RecallRequest}, sent when the returned tokens are durable. */
-export const recallAnswerSchema = z.object({ returned: amount })
-export type RecallAnswer = z.infer<typeof recallAnswerSchema>
+export const recallResponseSchema = z.object({ returned: amount })
+export type RecallResponse = z.infer<typeof recallResponseSchema>
 
 /** Request to confirm that no transfer from or to a terminated holder is unrecorded. */
-export const confirmAskSchema = z.object({ holder: z.string() })
-export type ConfirmAsk = z.infer<typeof confirmAskSchema>
+export const confirmRequestSchema = z.object({ holder: z.string() })
+export type ConfirmRequest = z.infer<typeof confirmRequestSchema>
 
 /** Response to a {@link ConfirmRequest}. */
-export const confirmAnswerSchema = z.object({ none: z.boolean() })
-export type ConfirmAnswer = z.infer<typeof confirmAnswerSchema>
+export const confirmResponseSchema = z.object({ none: z.boolean() })
+export type ConfirmResponse = z.infer<typeof confirmResponseSchema>
 
 /** Another VM by its current holder id. */
 export interface BudgetMember {
@@ -51,10 +51,10 @@
 /** Other VMs. Each call has its own timeout; `peerUnreachable` leaves open whether the request was handled. */
 export interface BudgetPeers {
   /** Whether holders never transfer tokens to each other, so that recovery need not rule out unrecorded transfers. */
-  readonly transfersNothing?: true
+  readonly hasNoTransfers?: true
   /** All other VMs that are live or leaving according to membership. */
   members (): readonly BudgetMember[]
-  give (holder: string, ask: GiveAsk): Promise<Either<Failure, GiveAnswer>>
-  recall (holder: string, ask: RecallAsk): Promise<Either<Failure, RecallAnswer>>
-  confirmNoTransfers (holder: string, ask: ConfirmAsk): Promise<Either<Failure, ConfirmAnswer>>
+  requestTransfer (holder: string, request: TransferRequest): Promise<Either<Failure, TransferResponse>>
+  recall (holder: string, request: RecallRequest): Promise<Either<Failure, RecallResponse>>
+  confirmNoTransfers (holder: string, request: ConfirmRequest): Promise<Either<Failure, ConfirmResponse>>
 }
--- a/packages/rosemaryspread/src/budget/budgetRecovery.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecovery.ts
@@ -14,11 +14,11 @@
 import type { BudgetPeers } from './budgetPeers.js'
 import type { BudgetRegistry, ClosedAllotment, HolderAtVersion } from './budgetRegistry.js'
 import type { RunOwner } from './budgetRecoveryRuns.js'
-import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSharing.js'
+import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSurvey.js'
 import type { BudgetTable, Committed } from './budgetTable.js'
 
 /** The platform's list of VMs as far as recovery needs it. */
-export interface ListEvidence {
+export interface VmListEvidence {
   readonly asOf: number
   readonly vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>
 }
@@ -47,7 +47,7 @@
   readonly runs: UnbilledRuns
   readonly log: EventLog
   /** Fences a terminated holder at this VM; returns true if no transfer with it is unrecorded here. */
-  confirmOwn (holder: string): boolean
+  confirmLocally (holder: string): boolean
 }
 
 /** Holders of one failure domain, classified for one pass. */
@@ -60,7 +60,7 @@
   readonly placed: readonly PlacedHolder[]
 }
 
-function waiting (detail: string): Failure {
+function pendingFailure (detail: string): Failure {
   return new Failure('budgetPending', detail)
 }
 
@@ -82,14 +82,14 @@
    * @param list - the platform's list, if it could be read
    * @param vm - if given, recovers only what earlier processes of this VM held
    */
-  async pass (list?: ListEvidence, vm?: string): Promise<boolean> {
+  async pass (list?: VmListEvidence, vm?: string): Promise<boolean> {
     if (list !== undefined) this.gone.note(list.asOf, list.vms)
     if (this.running) return false
     this.running = true
     this.runs.beginPass()
     try {
       const holders = await this.registry.all()
-      const placed = await this.registry.places()
+      const placed = await this.registry.listPlaces()
       if (holders.isLeft() || placed.isLeft()) return false
       return await this.recoverAll(holders.unsafeCoerce(), placed.unsafeCoerce(), vm)
     } finally {
@@ -100,13 +100,13 @@
   private async recoverAll (holders: readonly HolderAtVersion[], placed: readonly PlacedHolder[], vm?: string): Promise<boolean> {
     let isDone = true
     for (const domain of new Set(holders.map(item => item.domain))) {
-      const view = this.viewOf(holders.filter(item => item.domain === domain), placed)
-      isDone = await this.recoverDomain(vm === undefined ? view : onlyOf(view, vm)) && isDone
+      const view = this.classifyHolders(holders.filter(item => item.domain === domain), placed)
+      isDone = await this.recoverDomain(vm === undefined ? view : restrictToVm(view, vm)) && isDone
     }
     return isDone
   }
 
-  private viewOf (holders: readonly HolderAtVersion[], placed: readonly PlacedHolder[]): DomainView {
+  private classifyHolders (holders: readonly HolderAtVersion[], placed: readonly PlacedHolder[]): DomainView {
     const members = new Set([this.parts.holder, ...this.parts.peers.members().map(member => member.holder)])
     const isEnded = (item: HolderAtVersion): boolean => this.gone.proves(item) || isSucceeded(item.holder, placed)
     const ended = holders.filter(isEnded)
@@ -119,13 +119,13 @@
     const budgets = new Set<string>()
     let isDone = true
     for (const { holder } of [...view.ended, ...view.absent]) {
-      const found = await this.registry.budgetsOf(holder)
+      const found = await this.registry.listBudgets(holder)
       isDone &&= found.isRight()
       for (const budget of found.orDefault([])) budgets.add(budget)
     }
     for (const budget of budgets) isDone = await this.recoverBudget(view, budget) && isDone
     for (const item of view.ended) await this.removeWhenClosed(view, item)
-    for (const item of view.absent) if (this.isLongAbsent(item)) await this.removeWhenClosed(view, item)
+    for (const item of view.absent) if (this.isAbsentBeyondExpiry(item)) await this.removeWhenClosed(view, item)
     return isDone
   }
 
@@ -134,12 +134,12 @@
       const before = await fromPromise(surveyBudget(this.table.store, budget))
       if (this.closing(view, before).length === 0) return
       // Rows are read after the confirmations, as a transfer may be recorded just before its holder confirms.
-      const confirmed = await this.confirmedOf(view)
+      const confirmed = await this.confirmedHolders(view)
       const survey = await fromPromise(surveyBudget(this.table.store, budget))
       const closing = this.closing(view, survey)
       const open = closing.find(item => !confirmed.has(item.row.holder))
-      if (open !== undefined) throwE(waiting(`transfers with ${open.row.holder} may be unrecorded: a holder of its failure domain has not confirmed`))
-      const reason = await this.blocked(view, survey, closing)
+      if (open !== undefined) throwE(pendingFailure(`transfers with ${open.row.holder} may be unrecorded: a holder of its failure domain has not confirmed`))
+      const reason = await this.blockedReason(view, survey, closing)
       if (reason !== undefined) throwE(reason)
       const owed = await fromPromise(this.owed(view, survey, closing, budget))
       const order = { budget, owed, closing: closing.map(item => ({ holder: item.row.holder, version: item.version })) }
@@ -158,12 +158,12 @@
   }
 
   /** Returns why the allotments cannot be closed yet, if so. */
-  private async blocked (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): Promise<Failure | undefined> {
-    const unsure = this.parts.peers.transfersNothing === true ? undefined : this.unsure(view, survey, closing)
-    if (unsure !== undefined) return waiting(`absent holder ${unsure.holder} may hold transferred tokens that have not expired`)
+  private async blockedReason (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): Promise<Failure | undefined> {
+    const unsure = this.parts.peers.hasNoTransfers === true ? undefined : this.unsure(view, survey, closing)
+    if (unsure !== undefined) return pendingFailure(`absent holder ${unsure.holder} may hold transferred tokens that have not expired`)
     for (const item of closing) {
       if (mayBeForgotten(this.parts.policy, await this.runs.contactAgeMs(item, survey.now))) {
-        return waiting(`runners may no longer have the records of runs of ${item.row.holder}; an operator has to decide`)
+        return pendingFailure(`runners may no longer have the records of runs of ${item.row.holder}; an operator has to decide`)
       }
     }
     return undefined
@@ -184,7 +184,7 @@
    * Terminated and absent holders with which no other holder has an unrecorded transfer; empty unless this is confirmed
    * for all of them.
    */
-  private async confirmedOf (view: DomainView): Promise<ReadonlySet<string>> {
+  private async confirmedHolders (view: DomainView): Promise<ReadonlySet<string>> {
     const confirmed = new Set<string>()
     for (const { holder } of [...view.ended, ...view.absent]) {
       if (!await this.isConfirmed(view, holder)) return new Set()
@@ -195,10 +195,10 @@
 
   private async isConfirmed (view: DomainView, ended: string): Promise<boolean> {
     for (const { holder } of view.present) {
-      const isNone = holder === this.parts.holder
-        ? this.parts.confirmOwn(ended)
+      const isConfirmedByHolder = holder === this.parts.holder
+        ? this.parts.confirmLocally(ended)
         : (await this.parts.peers.confirmNoTransfers(holder, { holder: ended })).map(answer => answer.none).orDefault(false)
-      if (!isNone) return false
+      if (!isConfirmedByHolder) return false
     }
     return true
   }
@@ -214,7 +214,7 @@
       holder,
       lastSeq: rows.get(holder)?.row.lastSeq,
       ...allotmentOf(closing, holder),
-      ...endOf(holder, view.placed),
+      ...terminationOf(holder, view.placed),
       mayCancel: !ended.includes(holder)
     })), survey.now)
   }
@@ -234,7 +234,7 @@
   }
 
   /** Whether this process has observed for a whole expiry period that the holder is no member. */
-  private isLongAbsent (item: HolderAtVersion): boolean {
+  private isAbsentBeyondExpiry (item: HolderAtVersion): boolean {
     const now = this.table.now()
     const since = this.absentSince.get(item.holder) ?? now
     this.absentSince.set(item.holder, since)
@@ -246,9 +246,9 @@
    * holder must have confirmed first.
    */
   private async removeWhenClosed (view: DomainView, item: HolderAtVersion): Promise<void> {
-    if (view.absent.some(other => other !== item && !this.isLongAbsent(other))) return
+    if (view.absent.some(other => other !== item && !this.isAbsentBeyondExpiry(other))) return
     if (!await this.isConfirmed(view, item.holder)) return
-    const budgets = await this.registry.budgetsOf(item.holder)
+    const budgets = await this.registry.listBudgets(item.holder)
     if (budgets.isLeft()) return
     const closed: ClosedAllotment[] = []
     for (const budget of budgets.orDefault([])) {
@@ -266,12 +266,12 @@
   return item === undefined ? {} : { allotment: item.row }
 }
 
-function endOf (holder: string, placed: readonly PlacedHolder[]): Pick<RunOwner, 'endedBy'> {
+function terminationOf (holder: string, placed: readonly PlacedHolder[]): Pick<RunOwner, 'endedBy'> {
   const endedBy = succeededAt(holder, placed)
   return endedBy === undefined ? {} : { endedBy }
 }
 
 /** Restricts a view to the terminated holders of one VM. */
-function onlyOf (view: DomainView, vm: string): DomainView {
+function restrictToVm (view: DomainView, vm: string): DomainView {
   return { ...view, ended: view.ended.filter(({ holder }) => vmOf(holder) === vm), absent: [] }
 }
--- a/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
@@ -11,8 +11,8 @@
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { EngineClient, RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { UnbilledRuns } from './budgetRecovery.js'
-import { RunPayers } from './budgetRunPayers.js'
-import { scanAll, type AgedAllotment } from './budgetSharing.js'
+import { DuplicateRuns } from './duplicateRuns.js'
+import { scanAll, type AgedAllotment } from './budgetSurvey.js'
 
 /** All declared model runners, and the client to query them. */
 export interface RecoveryRunners {
@@ -41,9 +41,9 @@
 }
 
 /** Runners queried in parallel. */
-const ASKED_AT_ONCE = 16
+const MAX_PARALLEL_QUERIES = 16
 /** Segments read in the first step, counted back from the last one. */
-const FIRST_STEP = 256
+const INITIAL_SEGMENT_STEP = 256
 
 /** A run and the runner that reported it. */
 interface FoundRun {
@@ -55,17 +55,17 @@
 /** Finds unbilled runs by querying runners. */
 export class RecoveryRuns implements UnbilledRuns {
   /** Runs of certainly terminated holders, listed once in a pass for all their budgets. */
-  private readonly listed = new Map<string, Either<Failure, readonly FoundRun[]>>()
+  private readonly runsByHolder = new Map<string, Either<Failure, readonly FoundRun[]>>()
 
-  private readonly payers: RunPayers
+  private readonly duplicateRuns: DuplicateRuns
 
   constructor (private readonly store: TableStore, private readonly runners: RecoveryRunners) {
-    this.payers = new RunPayers(runners)
+    this.duplicateRuns = new DuplicateRuns(runners)
   }
 
   /** Discards the runs listed in the previous pass. */
   beginPass (): void {
-    this.listed.clear()
+    this.runsByHolder.clear()
   }
 
   /**
@@ -100,9 +100,9 @@
       for (const { runner, record } of runs.unsafeCoerce()) {
         if (seen.has(record.requestId)) continue
         seen.add(record.requestId)
-        const isPaid = await this.payers.isPaidElsewhere(record, runner, wall)
+        const isPaid = await this.duplicateRuns.isBilledToOtherHolder(record, runner, wall)
         if (isPaid.isLeft()) return Left(isPaid.extract())
-        if (!isPaid.unsafeCoerce()) owed.push({ holder: owner.holder, bill: billOf(record, runner) })
+        if (!isPaid.unsafeCoerce()) owed.push({ holder: owner.holder, bill: toBill(record, runner) })
       }
     }
     return Right(owed)
@@ -110,9 +110,9 @@
 
   /** Lists all runs of a holder; not cached for a holder that may still resume. */
   private async runsOf (owner: RunOwner): Promise<Either<Failure, readonly FoundRun[]>> {
-    const known = owner.mayCancel ? undefined : this.listed.get(owner.holder)
-    const runs = known ?? await this.list(owner.holder)
-    this.listed.set(owner.holder, runs)
+    const cached = owner.mayCancel ? undefined : this.runsByHolder.get(owner.holder)
+    const runs = cached ?? await this.list(owner.holder)
+    this.runsByHolder.set(owner.holder, runs)
     return runs
   }
 
@@ -121,8 +121,8 @@
     // Without a configuration the runners are unknown, so nothing is proved.
     if (declared.length === 0) return Left(new Failure('budgetPending', 'the configuration declares no runner'))
     const found: FoundRun[] = []
-    for (let from = 0; from < declared.length; from += ASKED_AT_ONCE) {
-      const answers = await Promise.all(declared.slice(from, from + ASKED_AT_ONCE).map(async ({ runner, address }) =>
+    for (let from = 0; from < declared.length; from += MAX_PARALLEL_QUERIES) {
+      const answers = await Promise.all(declared.slice(from, from + MAX_PARALLEL_QUERIES).map(async ({ runner, address }) =>
         (await this.runners.engines.listByHolder(address, holder)).map(records => records.map(record => ({ runner, address, record })))))
       const runs = Either.sequence(answers)
       if (runs.isLeft()) return Left(runs.extract())
@@ -133,14 +133,14 @@
 
   private async cancelRunning (owner: RunOwner, budget: string): Promise<void> {
     if (!owner.mayCancel) return
-    const runs = this.listed.get(owner.holder)?.orDefault([]) ?? []
+    const runs = this.runsByHolder.get(owner.holder)?.orDefault([]) ?? []
     const running = runs.filter(({ record }) => record.budget === budget && record.state === 'running')
     await Promise.all(running.map(async ({ address, record }) => await this.runners.engines.cancel(address, record.requestId)))
   }
 
   /** Request ids billed by segments that are not older than the oldest run that a runner may have on record. */
   private async billedIds (owner: RunOwner): Promise<Either<Failure, readonly string[]>> {
-    let step = FIRST_STEP
+    let step = INITIAL_SEGMENT_STEP
     for (;;) {
       const from = Math.max(0, (owner.lastSeq ?? 0) - step)
       const scan = await scanAll(this.store, budgetTables.segments, `${owner.holder}/`, segmentKey(owner.holder, from)).run()
@@ -163,7 +163,7 @@
   return running === 0 ? Right(runs) : Left(new Failure('budgetPending', `${running} runs of ${owner.holder} have not finished`))
 }
 
-function billOf (record: RunRecord, runner: string): OwedBill['bill'] {
+function toBill (record: RunRecord, runner: string): OwedBill['bill'] {
   const { requestId, budget, team, promptTokens, completionTokens } = record
   return { requestId, budget, team, tokens: promptTokens + completionTokens, runner }
 }
--- a/packages/rosemaryspread/src/budget/budgetRegistry.ts
+++ b/packages/rosemaryspread/src/budget/budgetRegistry.ts
@@ -12,15 +12,15 @@
 import { drawKeys } from '@rosemaryspread/decisions/budget/budgetPlans.js'
 import { planRetire } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
 import type { Row } from '@rosemaryspread/infra/table/tableTypes.js'
-import { scanAll } from './budgetSharing.js'
+import { scanAll } from './budgetSurvey.js'
 import type { BudgetTable } from './budgetTable.js'
 
 /** Milliseconds between two checks that the row of this holder still exists. */
-const CHECK_MS = 300_000
+const REGISTRATION_CHECK_MS = 300_000
 /** Milliseconds by which the table's clock may be ahead of the local estimate, after a slow answer. */
 const CLOCK_MARGIN_MS = 100
 /** Budgets of a holder removed in one transaction. */
-const MAX_REMOVED = 200
+const MAX_BUDGETS_PER_REMOVAL = 200
 
 export interface HolderAtVersion extends RegisteredHolder {
   readonly version: number
@@ -33,22 +33,22 @@
 }
 
 /** The holder of this process. */
-export interface HolderSelf {
+export interface LocalHolder {
   readonly holder: string
   readonly domain: string
   /** Name of the addresses it listens on; without it, a later process on them proves nothing about this one. */
   readonly place?: string | undefined
   /** Monotonic milliseconds of the start of this process; absent where its clock does not provide it. */
-  readonly begunAt?: number | undefined
+  readonly processStartedAt?: number | undefined
 }
 
 /** Registers this holder and lists the others. */
 export class BudgetRegistry {
-  private registering = false
+  private isRegistering = false
   private registered = false
   private registeredAt: Instant | undefined
 
-  constructor (private readonly table: BudgetTable, private readonly self: HolderSelf) {}
+  constructor (private readonly table: BudgetTable, private readonly self: LocalHolder) {}
 
   /** Whether the row of this holder is durable; it must not accept transfers before. */
   get isRegistered (): boolean {
@@ -57,19 +57,19 @@
 
   /** Registers this holder, or checks that its row still exists, unless that is done or in progress. */
   async register (): Promise<void> {
-    if (this.registering || (this.registered && !this.isCheckDue)) return
-    this.registering = true
+    if (this.isRegistering || (this.registered && !this.isCheckDue)) return
+    this.isRegistering = true
     const { holder, domain } = this.self
     const key = holderKey(domain, holder)
     const keys = [{ table: budgetTables.holders, key }, { table: budgetTables.places, key: holder }]
-    const askedAt = this.table.now()
+    const requestedAt = this.table.now()
     const done = await this.table.run('register', keys, rows => {
-      if (rows.version(budgetTables.holders, key) !== null && this.isPlaced(rows)) return Right({ kind: 'done' })
+      if (rows.version(budgetTables.holders, key) !== null && this.hasPlaceRow(rows)) return Right({ kind: 'done' })
       rows.set(budgetTables.holders, key, { holder, domain })
-      if (!this.isPlaced(rows)) rows.set(budgetTables.places, holder, { holder, place: this.self.place, ...this.begunBy(askedAt) })
+      if (!this.hasPlaceRow(rows)) rows.set(budgetTables.places, holder, { holder, place: this.self.place, ...this.begunBy(requestedAt) })
       return Right({ kind: 'write' })
     })
-    this.registering = false
+    this.isRegistering = false
     done.ifRight(({ sentAt }) => {
       this.registered = true
       this.registeredAt = sentAt
@@ -80,32 +80,32 @@
    * Upper bound of the start of this process on the table's clock. The table's time in an answer is not earlier than the
    * request, so the time from the start of this process to the request can be subtracted from it.
    */
-  private begunBy (askedAt: Instant): { readonly begunBy?: number } {
-    const { begunAt } = this.self
+  private begunBy (requestedAt: Instant): { readonly begunBy?: number } {
+    const { processStartedAt: begunAt } = this.self
     if (begunAt === undefined) return {}
-    const sinceAskedMs = this.table.now().mono - askedAt.mono
-    return { begunBy: Math.ceil(this.table.tableNow + sinceAskedMs + CLOCK_MARGIN_MS - (this.table.now().mono - begunAt)) }
+    const sinceRequestMs = this.table.now().mono - requestedAt.mono
+    return { begunBy: Math.ceil(this.table.tableNow + sinceRequestMs + CLOCK_MARGIN_MS - (this.table.now().mono - begunAt)) }
   }
 
-  private isPlaced (rows: RowSet): boolean {
+  private hasPlaceRow (rows: RowSet): boolean {
     return this.self.place === undefined || rows.version(budgetTables.places, this.self.holder) !== null
   }
 
   private get isCheckDue (): boolean {
-    return this.registeredAt === undefined || elapsedMs(this.registeredAt, this.table.now()) > CHECK_MS
+    return this.registeredAt === undefined || elapsedMs(this.registeredAt, this.table.now()) > REGISTRATION_CHECK_MS
   }
 
   /** Makes this holder register again: it was considered terminated and its row may have been removed. */
-  forget (): void {
+  markUnregistered (): void {
     this.registered = false
   }
 
   /** Removes this holder and its empty allotments after it has drained. */
   async retire (): Promise<void> {
     const { holder, domain } = this.self
-    const own = { table: budgetTables.holders, key: holderKey(domain, holder) }
-    const before = await this.table.store.read([own])
-    const budgets = await this.budgetsOf(holder)
+    const holderRow = { table: budgetTables.holders, key: holderKey(domain, holder) }
+    const before = await this.table.store.read([holderRow])
+    const budgets = await this.listBudgets(holder)
     if (before.isLeft() || budgets.isLeft()) return
     for (const budget of budgets.orDefault([])) {
       const done = await this.table.run(`retire/${budget}`, drawKeys(holder, budget), rows => planRetire(rows, budget, holder))
@@ -113,7 +113,7 @@
     }
     // A new allotment row for this holder rewrites its register row too, so the version check keeps the row then.
     const version = before.unsafeCoerce().rows[0]?.version ?? null
-    await this.table.store.transact({ checks: [{ ...own, version }], writes: [{ ...own, value: null }, { table: budgetTables.places, key: holder, value: null }] })
+    await this.table.store.transact({ checks: [{ ...holderRow, version }], writes: [{ ...holderRow, value: null }, { table: budgetTables.places, key: holder, value: null }] })
   }
 
   async all (): Promise<Either<Failure, readonly HolderAtVersion[]>> {
@@ -122,13 +122,13 @@
   }
 
   /** All holders that registered where they listen. */
-  async places (): Promise<Either<Failure, readonly PlacedHolder[]>> {
+  async listPlaces (): Promise<Either<Failure, readonly PlacedHolder[]>> {
     const scan = await scanAll(this.table.store, budgetTables.places, '').run()
     return scan.map(({ rows }) => rows.map(placedHolder))
   }
 
   /** Budgets for which a holder has an allotment row. */
-  async budgetsOf (holder: string): Promise<Either<Failure, readonly string[]>> {
+  async listBudgets (holder: string): Promise<Either<Failure, readonly string[]>> {
     const scan = await scanAll(this.table.store, budgetTables.holdings, `${holder}/`).run()
     return scan.map(({ rows }) => rows.map(row => holdingRowSchema.parse(row.value).budget))
   }
@@ -139,16 +139,16 @@
    */
   async remove (item: HolderAtVersion, closed: readonly ClosedAllotment[]): Promise<void> {
     const { holder, domain, version } = item
-    const part = closed.slice(0, MAX_REMOVED)
-    const own = { table: budgetTables.holders, key: holderKey(domain, holder) }
-    const allotments = part.map(({ budget, version }) => ({ table: budgetTables.allotments, key: allotmentKey(budget, holder), version }))
+    const batch = closed.slice(0, MAX_BUDGETS_PER_REMOVAL)
+    const holderRow = { table: budgetTables.holders, key: holderKey(domain, holder) }
+    const allotments = batch.map(({ budget, version }) => ({ table: budgetTables.allotments, key: allotmentKey(budget, holder), version }))
     const removed = [
       ...allotments.map(({ table, key }) => ({ table, key })),
-      ...part.map(({ budget }) => ({ table: budgetTables.holdings, key: holdingKey(holder, budget) })),
-      ...(part.length < closed.length ? [] : [own, { table: budgetTables.places, key: holder }])
+      ...batch.map(({ budget }) => ({ table: budgetTables.holdings, key: holdingKey(holder, budget) })),
+      ...(batch.length < closed.length ? [] : [holderRow, { table: budgetTables.places, key: holder }])
     ]
     await this.table.store.transact({
-      checks: [{ ...own, version }, ...allotments.filter(row => row.version !== null)],
+      checks: [{ ...holderRow, version }, ...allotments.filter(row => row.version !== null)],
       writes: removed.map(row => ({ ...row, value: null }))
     })
   }
--- a/packages/rosemaryspread/src/budget/budgetRowCache.ts
+++ b/packages/rosemaryspread/src/budget/budgetRowCache.ts
@@ -5,7 +5,7 @@
  */
 import type { PlanKey, PlanRow, PlanWrite } from '@rosemaryspread/decisions/budget/rowSet.js'
 
-function nameOf ({ table, key }: PlanKey): string {
+function cacheKey ({ table, key }: PlanKey): string {
   return `${table}\n${key}`
 }
 
@@ -14,16 +14,16 @@
   private readonly rows = new Map<string, PlanRow | null>()
 
   /** @param isLocal - whether only this holder writes a row */
-  constructor (private readonly isOwn: (key: PlanKey) => boolean) {}
+  constructor (private readonly isLocal: (key: PlanKey) => boolean) {}
 
   /** Returns a cached row; undefined when it has to be read. */
   get (key: PlanKey): PlanRow | null | undefined {
-    return this.rows.get(nameOf(key))
+    return this.rows.get(cacheKey(key))
   }
 
   /** Records that a row does not exist, as this holder never wrote it. */
-  absent (key: PlanKey): void {
-    this.rows.set(nameOf(key), null)
+  setAbsent (key: PlanKey): void {
+    this.rows.set(cacheKey(key), null)
   }
 
   /**
@@ -31,16 +31,16 @@
    * @param version - version that the transaction assigned to them
    * @param updatedAt - milliseconds of the table's clock
    */
-  written (writes: readonly PlanWrite[], version: number, updatedAt: number): void {
+  recordWritten (writes: readonly PlanWrite[], version: number, updatedAt: number): void {
     for (const write of writes) {
-      if (!this.isOwn(write)) continue
-      if (write.value === null) this.rows.delete(nameOf(write))
-      else this.rows.set(nameOf(write), { ...write, version, updatedAt })
+      if (!this.isLocal(write)) continue
+      if (write.value === null) this.rows.delete(cacheKey(write))
+      else this.rows.set(cacheKey(write), { ...write, version, updatedAt })
     }
   }
 
   /** Removes rows from the cache. */
   forget (keys: readonly PlanKey[]): void {
-    for (const key of keys) this.rows.delete(nameOf(key))
+    for (const key of keys) this.rows.delete(cacheKey(key))
   }
 }
--- a/packages/rosemaryspread/src/budget/budgetSharing.ts
+++ b/packages/rosemaryspread/src/budget/budgetSurvey.ts
@@ -52,13 +52,13 @@
     const value = read.rows[0]?.value
     return {
       budget: value === undefined ? undefined : budgetRowSchema.parse(value),
-      allotments: rows.map(row => agedAllotment(row, now)),
+      allotments: rows.map(row => toAgedAllotment(row, now)),
       now
     }
   }).mapLeft(toFailure)
 }
 
-function agedAllotment (row: Row, now: number): AgedAllotment {
+function toAgedAllotment (row: Row, now: number): AgedAllotment {
   const { version, updatedAt } = row
   return { row: allotmentRowSchema.parse(row.value), version, updatedAt, ageMs: Math.max(0, now - updatedAt) }
 }
--- a/packages/rosemaryspread/src/budget/budgetTable.ts
+++ b/packages/rosemaryspread/src/budget/budgetTable.ts
@@ -10,7 +10,7 @@
 import type { BudgetRowCache } from './budgetRowCache.js'
 
 /** Attempts of one transaction before the caller has to retry. */
-const MAX_TRIES = 8
+const MAX_ATTEMPTS = 8
 
 /** A plan that is done, or whose writes are in the row set. */
 interface Planned {
@@ -28,7 +28,7 @@
   writes = 0
   conflicts = 0
   /** Table's clock minus the local monotonic clock, by the last answer; undefined before the first. */
-  private aheadMs: number | undefined
+  private clockOffsetMs: number | undefined
 
   /** Start of the first attempt of each operation whose outcome is unknown. */
   private readonly firstSent = new Map<string, Instant>()
@@ -47,43 +47,43 @@
   ): Promise<Either<Failure, Committed<P>>> {
     const ids = typeof operationIds === 'string' ? [operationIds] : operationIds
     const startedAt = this.clock.now()
-    for (let tries = 1; tries <= MAX_TRIES; tries += 1) {
-      const unknown = tries === 1 ? keys.filter(key => this.cache?.get(key) === undefined) : keys
-      const read = await this.read(keys, unknown)
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
+      const uncached = attempt === 1 ? keys.filter(key => this.cache?.get(key) === undefined) : keys
+      const read = await this.read(keys, uncached)
       if (read.isLeft()) return Left(read.extract())
       const rows = new RowSet(keys, read.unsafeCoerce())
       const planned = Either.encase(() => plan(rows)).mapLeft(toFailure).chain(result => result)
       // A write checks the versions of cached rows; any other result needs rows that were read.
-      if (unknown.length < keys.length && !isWrite(planned)) continue
+      if (uncached.length < keys.length && !isWrite(planned)) continue
       if (planned.isLeft()) return Left(planned.extract())
       const value = planned.unsafeCoerce()
-      if (value.kind !== 'write') return Right({ plan: value, sentAt: this.resolved(ids, startedAt) })
+      if (value.kind !== 'write') return Right({ plan: value, sentAt: this.resolveSentAt(ids, startedAt) })
       const sentAt = this.clock.now()
       const written = await this.write(keys, rows)
       const failure = failureOf(written)
       if (failure === undefined) {
         // Some writes of a batch may have taken effect earlier, so the lease counts from the first of them.
-        return Right({ plan: value, sentAt: this.resolved(ids, sentAt) })
+        return Right({ plan: value, sentAt: this.resolveSentAt(ids, sentAt) })
       }
       if (failure.code === 'platformUnavailable') return Left(failure)
-      if (failure.code !== 'platformConflict') this.noteUnknown(ids, startedAt)
+      if (failure.code !== 'platformConflict') this.recordUnknownOutcome(ids, startedAt)
     }
     return Left(new Failure('platformUnavailable', 'the transaction conflicted too often'))
   }
 
   /** Whether a write of an operation may have taken effect without an answer. */
-  isUnknown (operationId: string): boolean {
+  isOutcomeUnknown (operationId: string): boolean {
     return this.firstSent.has(operationId)
   }
 
   /** Milliseconds of the table's clock; never ahead of it, as an answer takes time to arrive. 0 before the first answer. */
   get tableNow (): number {
-    return this.aheadMs === undefined ? 0 : Math.floor(this.clock.now().mono + this.aheadMs)
+    return this.clockOffsetMs === undefined ? 0 : Math.floor(this.clock.now().mono + this.clockOffsetMs)
   }
 
   /** Records that a row written only by this holder does not exist yet. */
   assumeAbsent (key: PlanKey): void {
-    this.cache?.absent(key)
+    this.cache?.setAbsent(key)
   }
 
   /** Current time on the monotonic and the wall clock. */
@@ -95,7 +95,7 @@
    * Instant of the earliest attempt that may have taken effect: an effect found later was sent no earlier than the first
    * attempt with an unknown outcome.
    */
-  private resolved (ids: readonly string[], startedAt: Instant): Instant {
+  private resolveSentAt (ids: readonly string[], startedAt: Instant): Instant {
     let first = startedAt
     for (const id of ids) {
       const sentAt = this.firstSent.get(id) ?? startedAt
@@ -105,22 +105,22 @@
     return first
   }
 
-  private noteClock (now: number): void {
-    this.aheadMs = now - this.clock.now().mono
+  private recordClock (now: number): void {
+    this.clockOffsetMs = now - this.clock.now().mono
   }
 
-  private noteUnknown (ids: readonly string[], startedAt: Instant): void {
+  private recordUnknownOutcome (ids: readonly string[], startedAt: Instant): void {
     for (const id of ids) if (!this.firstSent.has(id)) this.firstSent.set(id, startedAt)
   }
 
   /** Rows in the order of the keys; uncached ones are read. */
-  private async read (keys: readonly PlanKey[], unknown: readonly PlanKey[]): Promise<Either<Failure, ReadonlyArray<PlanRow | null>>> {
-    const known = keys.map(key => unknown.includes(key) ? undefined : this.cache?.get(key))
-    if (unknown.length === 0) return Right(known.map(row => row ?? null))
-    return (await this.store.read(unknown)).map(({ rows, now }) => {
-      this.noteClock(now)
+  private async read (keys: readonly PlanKey[], uncached: readonly PlanKey[]): Promise<Either<Failure, ReadonlyArray<PlanRow | null>>> {
+    const cached = keys.map(key => uncached.includes(key) ? undefined : this.cache?.get(key))
+    if (uncached.length === 0) return Right(cached.map(row => row ?? null))
+    return (await this.store.read(uncached)).map(({ rows, now }) => {
+      this.recordClock(now)
       let next = 0
-      return keys.map((key, index) => unknown.includes(key) ? rows[next++] ?? null : known[index] ?? null)
+      return keys.map((key, index) => uncached.includes(key) ? rows[next++] ?? null : cached[index] ?? null)
     })
   }
 
@@ -129,9 +129,9 @@
     this.cache?.forget([...keys, ...writes])
     const result = await this.store.transact({ checks: [...rows.checks()], writes: [...writes] })
     result.ifRight(({ now, version }) => {
-      this.cache?.written(writes, version, now)
+      this.cache?.recordWritten(writes, version, now)
       this.writes += 1
-      this.noteClock(now)
+      this.recordClock(now)
     })
     result.ifLeft(failure => { if (failure.code === 'platformConflict') this.conflicts += 1 })
     return result
--- a/packages/rosemaryspread/src/budget/budgetTopUps.ts
+++ b/packages/rosemaryspread/src/budget/budgetTopUps.ts
@@ -6,7 +6,7 @@
 import { planTopUp, topUpKeys } from '@rosemaryspread/decisions/budget/budgetPlans.js'
 import type { TopUpRow } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { BudgetAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
-import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSharing.js'
+import { surveyBudget, type AgedAllotment, type BudgetSurvey } from './budgetSurvey.js'
 import type { BudgetTable } from './budgetTable.js'
 
 /** Returns whether an allotment is in doubt: its holder may be unable to spend it any more. */
@@ -23,7 +23,7 @@
   async topUp (topUp: TopUpRow): Promise<Either<Failure, BudgetAnswer>> {
     const keys = topUpKeys(topUp.operationId, topUp.budget)
     const done = await this.table.run(topUp.operationId, keys, rows => planTopUp(rows, topUp))
-    if (done.isLeft()) return Left(this.orUnknown(done.extract(), topUp.operationId))
+    if (done.isLeft()) return Left(this.withUnknownOutcome(done.extract(), topUp.operationId))
     return await this.show(topUp.budget)
   }
 
@@ -46,8 +46,8 @@
   }
 
   /** Reports the outcome as unknown where a write of an earlier attempt may have taken effect without an answer. */
-  private orUnknown (failure: Failure, operationId: string): Failure {
-    if (!this.table.isUnknown(operationId)) return failure
+  private withUnknownOutcome (failure: Failure, operationId: string): Failure {
+    if (!this.table.isOutcomeUnknown(operationId)) return failure
     return new Failure('platformOutcomeUnknown', failure.message, { ran: 'unknown', retryAfterMs: 1000 })
   }
 }
--- a/packages/rosemaryspread/src/budget/budgetDrawing.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -9,8 +9,8 @@
 import type { BudgetAction, DeclaredPaid, DrawOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { drawKeys, planDraw, type DrawOrder, type DrawPlan } from '@rosemaryspread/decisions/budget/budgetPlans.js'
 import type { BudgetTable } from './budgetTable.js'
-import { FirstSent } from './budgetFirstSent.js'
-import { surveyBudget } from './budgetSharing.js'
+import { FirstAttemptTimes } from './budgetFirstSent.js'
+import { surveyBudget } from './budgetSurvey.js'
 
 /** The drawing holder; `holders` is read for each draw. */
 export interface DrawingHolder {
@@ -24,8 +24,8 @@
 
 export type DrawAction = Extract<BudgetAction, { kind: 'draw' }>
 
-export class BudgetDrawing {
-  private readonly since = new FirstSent()
+export class DrawExecutor {
+  private readonly since = new FirstAttemptTimes()
 
   constructor (
     private readonly table: BudgetTable,
@@ -42,16 +42,16 @@
     const drawer = { holder, domain, shareDivisor, evenPart, holders: this.self.holders() }
     const keys = actions.flatMap(action => drawKeys(holder, action.budget))
     const ids = actions.map(action => action.drawId)
-    for (const id of ids) this.since.begin(id, this.table.tableNow)
+    for (const id of ids) this.since.record(id, this.table.tableNow)
     const done = await this.table.run(ids, keys, rows =>
-      Either.sequence(actions.map(action => planDraw(rows, this.orderOf(action), drawer))).map(batchOf))
-    if (done.isLeft()) return await this.allFailed(actions, done.extract())
+      Either.sequence(actions.map(action => planDraw(rows, this.drawOrder(action), drawer))).map(toBatch))
+    if (done.isLeft()) return await this.retryOrFail(actions, done.extract())
     const { plan, sentAt } = done.unsafeCoerce()
-    for (const id of ids) this.since.end(id)
+    for (const id of ids) this.since.forget(id)
     return await Promise.all(plan.plans.map(async (item, index) => await this.outcome(actions[index], item, sentAt)))
   }
 
-  private orderOf ({ report, ...action }: DrawAction): DrawOrder {
+  private drawOrder ({ report, ...action }: DrawAction): DrawOrder {
     const declared = this.self.declared(action.budget)
     return {
       ...action,
@@ -61,7 +61,7 @@
   }
 
   /** Retries each draw alone, so that a malformed row fails only the draw of its own budget. */
-  private async allFailed (actions: readonly DrawAction[], failure: Failure): Promise<readonly DrawOutcome[]> {
+  private async retryOrFail (actions: readonly DrawAction[], failure: Failure): Promise<readonly DrawOutcome[]> {
     if (failure.code !== 'internal' || actions.length === 1) return actions.map(action => this.failed(action, failure))
     const outcomes = await Promise.all(actions.map(async action => await this.draw([action])))
     return outcomes.flat()
@@ -102,7 +102,7 @@
   readonly plans: readonly DrawPlan[]
 }
 
-function batchOf (plans: readonly DrawPlan[]): DrawBatch {
+function toBatch (plans: readonly DrawPlan[]): DrawBatch {
   const isChanged = (plan: DrawPlan): boolean => plan.kind === 'write' || (plan.kind === 'short' && plan.isRowChanged === true)
   return { kind: plans.some(isChanged) ? 'write' : 'done', plans }
 }
--- a/packages/rosemaryspread/src/budget/drawQueue.ts
+++ b/packages/rosemaryspread/src/budget/drawQueue.ts
@@ -4,7 +4,7 @@
  */
 import { elapsedMs, type Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
-import type { DrawAction } from './budgetDrawing.js'
+import type { DrawAction } from './drawExecutor.js'
 
 export class DrawQueue {
   private readonly waiting = new Map<string, DrawAction>()
@@ -33,7 +33,7 @@
   }
 
   /** Returns the draws that have waited long enough, and those that can join them. */
-  due (now: Instant): readonly DrawAction[] {
+  dequeueDue (now: Instant): readonly DrawAction[] {
     if (this.oldest === undefined || elapsedMs(this.oldest, now) < this.policy.flushMs) return []
     const batch = [...this.waiting.values()].slice(0, this.policy.drawsAtOnce)
     for (const action of batch) this.waiting.delete(action.drawId)
--- a/packages/rosemaryspread/src/budget/budgetRunPayers.ts
+++ b/packages/rosemaryspread/src/budget/duplicateRuns.ts
@@ -10,7 +10,7 @@
 import type { DeclaredRunner, RecoveryRunners } from './budgetRecoveryRuns.js'
 
 /** Finds duplicate runs that are billed to another holder. */
-export class RunPayers {
+export class DuplicateRuns {
   constructor (private readonly runners: RecoveryRunners) {}
 
   /**
@@ -18,20 +18,20 @@
    * @param record - a run of a terminated holder
    * @param wall - current wall clock time in milliseconds
    */
-  async isPaidElsewhere (record: RunRecord, ranAt: string, wall: number): Promise<Either<Failure, boolean>> {
-    const earlier = this.earlierRunners(record, ranAt, wall)
+  async isBilledToOtherHolder (record: RunRecord, runner: string, wall: number): Promise<Either<Failure, boolean>> {
+    const earlier = this.earlierRunners(record, runner, wall)
     const found = await Promise.all(earlier.map(async ({ address }) => await this.runners.engines.find(address, record.requestId)))
-    return Either.sequence(found).map(all => all.some(run => isOfAnother(run, record.holder)))
+    return Either.sequence(found).map(all => all.some(run => isRunOfOtherHolder(run, record.holder)))
   }
 
   private earlierRunners (record: RunRecord, ranAt: string, wall: number): readonly DeclaredRunner[] {
     const serving = this.runners.declared().filter(({ servesSince }) => record.model in servesSince)
     const rank = ({ runner, servesSince }: DeclaredRunner): number => keyedRank(record.requestId, runner, servesSince[record.model], wall)
-    const own = serving.find(({ runner }) => runner === ranAt)
-    return own === undefined ? serving : serving.filter(other => rank(other) > rank(own))
+    const executing = serving.find(({ runner }) => runner === ranAt)
+    return executing === undefined ? serving : serving.filter(other => rank(other) > rank(executing))
   }
 }
 
-function isOfAnother (run: Maybe<RunRecord>, holder: string): boolean {
+function isRunOfOtherHolder (run: Maybe<RunRecord>, holder: string): boolean {
   return run.map(found => found.state !== 'sealed' && found.holder !== holder).orDefault(false)
 }
--- a/packages/rosemaryspread/src/budget/budgetFlushing.ts
+++ b/packages/rosemaryspread/src/budget/flushExecutor.ts
@@ -6,13 +6,13 @@
 import type { BudgetAction, FlushOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { budgetTables, segmentKey } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { flushKeys, planFlush, type Flusher } from '@rosemaryspread/decisions/budget/flushPlan.js'
-import { FirstSent } from './budgetFirstSent.js'
+import { FirstAttemptTimes } from './budgetFirstSent.js'
 import type { BudgetTable } from './budgetTable.js'
 
 type FlushAction = Extract<BudgetAction, { kind: 'flush' }>
 
-export class BudgetFlushing {
-  private readonly since = new FirstSent()
+export class FlushExecutor {
+  private readonly since = new FirstAttemptTimes()
 
   constructor (
     private readonly table: BudgetTable,
@@ -25,11 +25,11 @@
     const keys = flushKeys(action, this.self)
     const id = `flush${action.seq}`
     // The segment cannot exist before the first attempt.
-    if (this.since.begin(id, this.table.tableNow)) this.table.assumeAbsent({ table: budgetTables.segments, key: segmentKey(this.self.holder, action.seq) })
+    if (this.since.record(id, this.table.tableNow)) this.table.assumeAbsent({ table: budgetTables.segments, key: segmentKey(this.self.holder, action.seq) })
     const order = { ...action, since: this.since.of(id) }
     const done = await this.table.run(id, keys, rows => planFlush(rows, order, this.self))
     if (done.isLeft()) return this.failed(action, done.extract())
-    this.since.end(id)
+    this.since.forget(id)
     const { plan, sentAt } = done.unsafeCoerce()
     if (plan.kind === 'closed') return plan
     this.report(action)
--- a/packages/rosemaryspread/src/budget/openReservations.ts
+++ b/packages/rosemaryspread/src/budget/openReservations.ts
@@ -12,7 +12,7 @@
 
 export class OpenReservations {
   private readonly open = new Map<string, OpenReservation>()
-  private opened = 0
+  private openedCount = 0
   private admittedCount = 0
   private refusedCount = 0
 
@@ -35,12 +35,12 @@
    * Opens a reservation; resolves when it is admitted or refused.
    * @param submit - passes it to the ledger, which may answer it at once
    */
-  async add (budget: string, tokens: number, ask: (reservation: Reservation) => void): Promise<Either<Failure, Reservation>> {
-    this.opened += 1
-    const reservation = { reservationId: `${this.holder}.r${this.opened}`, budget, tokens }
+  async add (budget: string, tokens: number, submit: (reservation: Reservation) => void): Promise<Either<Failure, Reservation>> {
+    this.openedCount += 1
+    const reservation = { reservationId: `${this.holder}.r${this.openedCount}`, budget, tokens }
     return await new Promise(resolve => {
       this.open.set(reservation.reservationId, { reservation, resolve })
-      ask(reservation)
+      submit(reservation)
     })
   }
 
--- a/packages/rosemaryspread/src/budget/presentHolders.ts
+++ b/packages/rosemaryspread/src/budget/presentHolders.ts
@@ -4,22 +4,22 @@
  */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { BudgetMember, BudgetPeers, ConfirmAnswer, GiveAnswer, RecallAnswer } from './budgetPeers.js'
+import type { BudgetMember, BudgetPeers, ConfirmResponse, TransferResponse, RecallResponse } from './budgetPeers.js'
 
-export class PresentHolders implements BudgetPeers {
-  readonly transfersNothing = true
+export class NoTransferPeers implements BudgetPeers {
+  readonly hasNoTransfers = true
 
   constructor (readonly members: () => readonly BudgetMember[]) {}
 
-  async give (): Promise<Either<Failure, GiveAnswer>> {
+  async requestTransfer (): Promise<Either<Failure, TransferResponse>> {
     return Right({})
   }
 
-  async recall (): Promise<Either<Failure, RecallAnswer>> {
+  async recall (): Promise<Either<Failure, RecallResponse>> {
     return Right({ returned: 0 })
   }
 
-  async confirmNoTransfers (): Promise<Either<Failure, ConfirmAnswer>> {
+  async confirmNoTransfers (): Promise<Either<Failure, ConfirmResponse>> {
     return Right({ none: true })
   }
 }
--- a/packages/rosemaryspread/src/budget/budgetAsking.ts
+++ b/packages/rosemaryspread/src/budget/transferRequester.ts
@@ -9,22 +9,22 @@
 import { allotmentKey, budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { allotmentRowSchema, transferSchema, type BudgetAction, type BudgetEvent } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import { surveyBudget, type AgedAllotment } from './budgetSharing.js'
-import type { BudgetPeers, GiveAnswer, GiveAsk } from './budgetPeers.js'
+import { surveyBudget, type AgedAllotment } from './budgetSurvey.js'
+import type { BudgetPeers, TransferResponse, TransferRequest } from './budgetPeers.js'
 
-type AskAction = Extract<BudgetAction, { kind: 'askGive' }>
+type TransferRequestAction = Extract<BudgetAction, { kind: 'askGive' }>
 type RecallAction = Extract<BudgetAction, { kind: 'recall' }>
 
 /** A transfer request whose outcome is not known yet. */
-interface OpenAsk {
-  readonly giver: string
-  readonly ask: GiveAsk
+interface PendingTransferRequest {
+  readonly granter: string
+  readonly ask: TransferRequest
 }
 
 /** Pending requests retried in one tick. */
-const REPEATS_PER_TICK = 8
+const RETRIES_PER_TICK = 8
 
-export interface AskingParts {
+export interface TransferRequesterParts {
   readonly holder: string
   readonly domain: string
   readonly peers: BudgetPeers
@@ -37,53 +37,53 @@
 }
 
 /** Sends transfer requests and recalls to other holders. */
-export class BudgetAsking {
-  private readonly open = new Map<string, OpenAsk>()
-  private repeating = false
+export class TransferRequester {
+  private readonly open = new Map<string, PendingTransferRequest>()
+  private isRetrying = false
 
-  constructor (private readonly parts: AskingParts) {}
+  constructor (private readonly parts: TransferRequesterParts) {}
 
   /** Requests a transfer from one holder of the local domain after another until enough was granted. */
-  async askGive (action: AskAction): Promise<void> {
+  async requestTransfer (action: TransferRequestAction): Promise<void> {
     let missing = action.atLeast
-    for (const giver of this.domainMembers()) {
+    for (const granter of this.domainPeers()) {
       if (missing <= 0) break
-      const transferId = `${action.transferId}/${giver}`
+      const transferId = `${action.transferId}/${granter}`
       const { holder: to, domain } = this.parts
-      missing -= await this.ask({ giver, ask: { transferId, budget: action.budget, to, domain, wanted: action.tokens, atLeast: missing } })
+      missing -= await this.ask({ granter, ask: { transferId, budget: action.budget, to, domain, wanted: action.tokens, atLeast: missing } })
     }
     this.parts.dispatch({ kind: 'giveAnswered', transferId: action.transferId })
   }
 
   /** Retries requests whose response was lost; called on each tick. */
-  async repeatOpen (): Promise<void> {
-    if (this.repeating || this.open.size === 0) return
-    this.repeating = true
-    const present = new Set(this.domainMembers())
-    for (const item of [...this.open.values()].slice(0, REPEATS_PER_TICK)) {
-      if (present.has(item.giver)) await this.ask({ giver: item.giver, ask: { ...item.ask, isRepeat: true } })
-      if (this.open.has(item.ask.transferId)) await this.askTable(item)
+  async retryPending (): Promise<void> {
+    if (this.isRetrying || this.open.size === 0) return
+    this.isRetrying = true
+    const present = new Set(this.domainPeers())
+    for (const item of [...this.open.values()].slice(0, RETRIES_PER_TICK)) {
+      if (present.has(item.granter)) await this.ask({ granter: item.granter, ask: { ...item.ask, isRepeat: true } })
+      if (this.open.has(item.ask.transferId)) await this.resolveFromTable(item)
     }
-    this.repeating = false
+    this.isRetrying = false
   }
 
   /**
    * Looks for the outcome in the table: the granter may have recorded the transfer, and can no longer do so once its
    * allotment is closed.
    */
-  private async askTable (item: OpenAsk): Promise<void> {
+  private async resolveFromTable (item: PendingTransferRequest): Promise<void> {
     const { transferId, budget } = item.ask
-    const askedAt = this.parts.clock.now()
+    const requestedAt = this.parts.clock.now()
     const read = await this.parts.store.read([
       { table: budgetTables.transfers, key: transferId },
-      { table: budgetTables.allotments, key: allotmentKey(budget, item.giver) }
+      { table: budgetTables.allotments, key: allotmentKey(budget, item.granter) }
     ])
     if (read.isLeft()) return
     const [recorded, allotment] = read.unsafeCoerce().rows
     const isOpen = allotment !== null && allotment !== undefined && allotmentRowSchema.parse(allotment.value).state === 'open'
     if ((recorded === null || recorded === undefined) && isOpen) return
     if (!this.open.delete(transferId) || recorded === null || recorded === undefined) return
-    this.parts.dispatch({ kind: 'giveAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt })
+    this.parts.dispatch({ kind: 'giveAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt: requestedAt })
   }
 
   /** Whether no request is pending. */
@@ -104,24 +104,24 @@
     this.parts.dispatch({ kind: 'recallAnswered', recallId, returned, unreachable })
   }
 
-  private async ask (item: OpenAsk): Promise<number> {
-    const askedAt = this.parts.clock.now()
+  private async ask (item: PendingTransferRequest): Promise<number> {
+    const requestedAt = this.parts.clock.now()
     this.open.set(item.ask.transferId, item)
-    const answer: Either<Failure, GiveAnswer> = await this.parts.peers.give(item.giver, item.ask)
+    const answer: Either<Failure, TransferResponse> = await this.parts.peers.requestTransfer(item.granter, item.ask)
     if (answer.isLeft()) {
       const failure = answer.extract()
       if (failure.ran === 'no') this.open.delete(item.ask.transferId)
-      this.parts.log.write('budgetFault', { operation: 'give', budget: item.ask.budget, peer: item.giver, code: failure.code })
+      this.parts.log.write('budgetFault', { operation: 'give', budget: item.ask.budget, peer: item.granter, code: failure.code })
       return 0
     }
     this.open.delete(item.ask.transferId)
     const { transfer } = answer.unsafeCoerce()
     if (transfer === undefined || transfer.transferId !== item.ask.transferId || transfer.to !== this.parts.holder) return 0
-    this.parts.dispatch({ kind: 'giveAnswered', transferId: transfer.transferId, transfer, askedAt })
+    this.parts.dispatch({ kind: 'giveAnswered', transferId: transfer.transferId, transfer, askedAt: requestedAt })
     return transfer.tokens
   }
 
-  private domainMembers (): readonly string[] {
+  private domainPeers (): readonly string[] {
     if (!this.parts.isRegistered()) return []
     return this.parts.peers.members()
       .filter(member => member.domain === this.parts.domain && member.holder !== this.parts.holder)
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -126,7 +126,7 @@
   private async recover (): Promise<void> {
     if (!this.container.get(ids.members).isCandidate(RECOVERY_ROLE)) return
     const list = await this.container.get(ids.vmList).list()
-    await this.container.get(ids.budgets).recoverDead(list.toMaybe().extract())
+    await this.container.get(ids.budgets).recoverTerminated(list.toMaybe().extract())
   }
 
   private async archiveBills (): Promise<void> {
--- a/packages/rosemaryspread/src/gateway/bindGateway.ts
+++ b/packages/rosemaryspread/src/gateway/bindGateway.ts
@@ -17,8 +17,8 @@
 import { TableDigest } from '../digest/tableDigest.js'
 import { VmPresence } from '../presence/vmPresence.js'
 import { CallQuarantine } from '../quarantine/callQuarantine.js'
-import { QuarantineShare } from '../quarantine/quarantineShare.js'
-import { TargetEndWatch } from '../quarantine/targetEndWatch.js'
+import { QuarantineSync } from '../quarantine/quarantineSync.js'
+import { TargetEndDetector } from '../quarantine/targetEndWatch.js'
 import { gatewayBudgets } from './gatewayBudgets.js'
 import type { ConnectionSilence } from './connectionSilence.js'
 import { CallDispatch } from './callDispatch.js'
@@ -103,7 +103,7 @@
 }
 
 function bindQuarantine (container: Container, { vm }: GatewaySettings, { table, feed, client }: GatewayEdge): void {
-  container.bind(ids.quarantineShare).toResolvedValue((clock, log, random, presence, links): QuarantineShare => new QuarantineShare({
+  container.bind(ids.quarantineShare).toResolvedValue((clock, log, random, presence, links): QuarantineSync => new QuarantineSync({
     vm,
     table,
     feed,
@@ -112,10 +112,10 @@
     random: () => random.next(),
     peers: () => presence.peers(),
     notify: (address, method, params) => { links.notify(address, method, params) },
-    onNews: news => { container.get(ids.quarantine).told(news) }
+    onUpdate: news => { container.get(ids.quarantine).receive(news) }
   }), [ids.clock, ids.log, ids.random, ids.presence, ids.links]).inSingletonScope()
   container.bind(ids.quarantine).toResolvedValue((clock, log, metrics, share) =>
-    new CallQuarantine({ clock, log, metrics, share, watch: new TargetEndWatch({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineShare]).inSingletonScope()
+    new CallQuarantine({ clock, log, metrics, share, watch: new TargetEndDetector({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineShare]).inSingletonScope()
 }
 
 function bindPipeline (container: Container, { vm, retries }: GatewaySettings, { client }: GatewayEdge): void {
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
@@ -12,10 +12,10 @@
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
 import { BudgetDriver } from '../budget/budgetDriver.js'
-import { BudgetGiftCalls } from '../budget/budgetGiftCalls.js'
-import { HeldAsSpent } from '../budget/budgetHeldAsSpent.js'
+import { BudgetGrantCalls } from '../budget/budgetGiftCalls.js'
+import { AssumedSpentRuns } from '../budget/assumedSpentRuns.js'
 import type { BudgetMember } from '../budget/budgetPeers.js'
-import { PresentHolders } from '../budget/presentHolders.js'
+import { NoTransferPeers } from '../budget/presentHolders.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 import { fleetBudgetPolicy } from './gatewayBudgetPolicy.js'
 
@@ -59,23 +59,23 @@
     holder,
     domain,
     place,
-    begunAt: PROCESS_BEGUN_AT,
+    processStartedAt: PROCESS_BEGUN_AT,
     store,
-    peers: new PresentHolders(() => fleet.members()),
+    peers: new NoTransferPeers(() => fleet.members()),
     clock,
     log,
-    gifts: new BudgetGiftCalls({
+    grantRequester: new BudgetGrantCalls({
       holder,
       clock,
       log,
       peersFor: budget => fleet.peers().filter(peer => owners.owns(peer.holder, budget)),
       call,
-      takeLate: (budget, tokens) => { budgets.onHandOver(budget, tokens) },
+      acceptLateGrant: (budget, tokens) => { budgets.onHandover(budget, tokens) },
       preference: (peer, budget) => pairWeight(hashName(`${holder} ${budget}`), hashName(peer)) / HASH_RANGE
     }),
     owners,
     policy: fleetBudgetPolicy(() => fleet.size),
-    unbilled: new HeldAsSpent(),
+    unbilledRuns: new AssumedSpentRuns(),
     declared
   })
   return budgets
--- a/packages/rosemaryspread/src/gateway/gatewayIds.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayIds.ts
@@ -6,7 +6,7 @@
 import type { FleetLinks } from '../presence/fleetLinks.js'
 import type { VmPresence } from '../presence/vmPresence.js'
 import type { CallQuarantine } from '../quarantine/callQuarantine.js'
-import type { QuarantineShare } from '../quarantine/quarantineShare.js'
+import type { QuarantineSync } from '../quarantine/quarantineSync.js'
 import type { FrontWatch } from './frontWatch.js'
 import type { GatewayConfigHolder } from './gatewayConfigHolder.js'
 import type { GatewayPipeline } from './gatewayPipeline.js'
@@ -32,7 +32,7 @@
   balancer: id<TargetBalancer>('TargetBalancer'),
   targets: id<GatewayTargets>('GatewayTargets'),
   quarantine: id<CallQuarantine>('CallQuarantine'),
-  quarantineShare: id<QuarantineShare>('QuarantineShare'),
+  quarantineShare: id<QuarantineSync>('QuarantineShare'),
   frontWatch: id<FrontWatch>('FrontWatch'),
   pipeline: id<GatewayPipeline>('GatewayPipeline')
 }
--- a/packages/rosemaryspread/src/gateway/gatewayVm.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayVm.ts
@@ -8,8 +8,8 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { GIFT_METHOD, giftMethod, HAND_OVER_METHOD, handOverMethod } from '../budget/budgetGiftCalls.js'
-import { QUARANTINE_METHOD } from '../quarantine/quarantineShare.js'
+import { GRANT_METHOD, grantMethod, HANDOVER_METHOD, handoverMethod } from '../budget/budgetGiftCalls.js'
+import { QUARANTINE_METHOD } from '../quarantine/quarantineSync.js'
 import { gatewayIds as ids } from './gatewayIds.js'
 import { bindGateway, type GatewayEdge } from './bindGateway.js'
 import { BudgetPreparation } from './budgetPreparation.js'
@@ -97,7 +97,7 @@
     this.ticks = ticks
     budgets.onWaiting(() => { ticks.hurry() })
     ticks.start()
-    this.every(RECOVERY_MS, async () => { await budgets.recoverDead() })
+    this.every(RECOVERY_MS, async () => { await budgets.recoverTerminated() })
     this.openLinks()
     this.inBackground(this.takeOver())
     this.log.write('started', { ...this.settings })
@@ -133,8 +133,8 @@
     const links = this.container.get(ids.links)
     const budgets = this.container.get(ids.budgets)
     const balancer = this.container.get(ids.balancer)
-    links.serve(GIFT_METHOD, giftMethod(ask => budgets.onGift(ask)))
-    links.serve(HAND_OVER_METHOD, handOverMethod((budget, tokens) => { budgets.onHandOver(budget, tokens) }))
+    links.serve(GRANT_METHOD, grantMethod(ask => budgets.onGrantRequest(ask)))
+    links.serve(HANDOVER_METHOD, handoverMethod((budget, tokens) => { budgets.onHandover(budget, tokens) }))
     links.serve(WORK_METHOD, workMethod(notice => { balancer.told(notice, this.clock.now().mono) }))
     links.serve(QUARANTINE_METHOD, this.container.get(ids.quarantineShare).method())
     this.inBackground(links.open())
@@ -143,7 +143,7 @@
   /** What earlier processes of this VM held is missing to everybody until it is taken back. */
   private async takeOver (): Promise<void> {
     const budgets = this.container.get(ids.budgets)
-    while (!this.container.get(ids.work).draining && !await budgets.takeOver()) await pause(TAKE_OVER_RETRY_MS)
+    while (!this.container.get(ids.work).draining && !await budgets.recoverPredecessors()) await pause(TAKE_OVER_RETRY_MS)
   }
 
   private async handBack (): Promise<void> {
--- a/packages/rosemaryspread/src/quarantine/answeredRequests.ts
+++ b/packages/rosemaryspread/src/quarantine/answeredRequests.ts
@@ -7,25 +7,25 @@
  * Largest body in bytes of a request that is remembered: requests that many callers repeat are small, and larger bodies
  * cost more to hash.
  */
-const MOST_BYTES = 2_048
+const MAX_BODY_BYTES = 2_048
 /** Milliseconds for which an answer counts. */
-const COUNTS_MS = 60_000
+const RETENTION_MS = 60_000
 /** Requests remembered; a VM answers some 20 of them a second. */
-const MOST_KEPT = 2_000
+const MAX_ENTRIES = 2_000
 
 /** Recently answered requests of one VM. Times are monotonic milliseconds. */
 export class AnsweredRequests {
   private readonly at = new Map<string, number>()
 
   /** Whether a request with this body is small enough to be remembered. */
-  isKept (body: Buffer): boolean {
-    return body.length <= MOST_BYTES
+  isEligible (body: Buffer): boolean {
+    return body.length <= MAX_BODY_BYTES
   }
 
   add (digest: string, mono: number): void {
     this.at.delete(digest)
     this.at.set(digest, mono)
-    if (this.at.size <= MOST_KEPT) return
+    if (this.at.size <= MAX_ENTRIES) return
     const [oldest] = this.at.keys()
     if (oldest !== undefined) this.at.delete(oldest)
   }
@@ -33,6 +33,6 @@
   /** Whether a request was answered recently. */
   has (digest: string, mono: number): boolean {
     const at = this.at.get(digest)
-    return at !== undefined && mono - at <= COUNTS_MS
+    return at !== undefined && mono - at <= RETENTION_MS
   }
 }
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -12,9 +12,9 @@
 import type { OpenCall } from '../gateway/callOpen.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 import { AnsweredRequests } from './answeredRequests.js'
-import { Departures, type NamedCall } from './departures.js'
-import type { QuarantineShare } from './quarantineShare.js'
-import type { TargetEndWatch } from './targetEndWatch.js'
+import { AbandonedCalls, type CallIdentity } from './departures.js'
+import type { QuarantineSync } from './quarantineSync.js'
+import type { TargetEndDetector } from './targetEndWatch.js'
 
 type Target = TargetChoice['target']
 
@@ -22,14 +22,14 @@
   readonly clock: Clock
   readonly log: EventLog
   readonly metrics: Metrics
-  readonly watch: TargetEndWatch
-  readonly share: QuarantineShare
+  readonly watch: TargetEndDetector
+  readonly share: QuarantineSync
 }
 
 export class CallQuarantine implements CallGuard {
   private readonly requests = new RequestQuarantine()
   private readonly answers = new AnsweredRequests()
-  private readonly departures = new Departures()
+  private readonly abandonedCalls = new AbandonedCalls()
   private readonly open = new Set<OpenCall>()
 
   constructor (private readonly parts: CallQuarantineParts) {}
@@ -43,7 +43,7 @@
   }
 
   refusal (call: OpenCall): Failure | undefined {
-    return !this.requests.isEmpty && this.requests.standing(call.digest, this.mono) === 'quarantined' ? refusalOf(call) : undefined
+    return !this.requests.isEmpty && this.requests.standing(call.digest, this.mono) === 'quarantined' ? refusalFor(call) : undefined
   }
 
   suspicion (call: OpenCall): Suspicion | undefined {
@@ -53,28 +53,28 @@
 
   async broke (call: OpenCall, { target }: TargetChoice): Promise<boolean> {
     const isEnded = await this.isEnded(target)
-    if (isEnded) this.suspect(nameOf(call), target)
+    if (isEnded) this.suspect(identityOf(call), target)
     return isEnded
   }
 
   left (call: OpenCall, { target }: TargetChoice): void {
-    this.departures.add(nameOf(call), target, this.mono)
+    this.abandonedCalls.add(identityOf(call), target, this.mono)
   }
 
   unreached ({ target }: TargetChoice): void {
-    if (this.departures.has(target)) this.inBackground(this.isEnded(target))
+    if (this.abandonedCalls.has(target)) this.inBackground(this.isEnded(target))
   }
 
   answered (call: OpenCall): void {
-    if (this.answers.isKept(call.admitted.call.body)) this.answers.add(call.digest, this.mono)
+    if (this.answers.isEligible(call.admitted.call.body)) this.answers.add(call.digest, this.mono)
     if (this.requests.isEmpty) return
     const clearance = this.requests.answered(call.digest, this.mono)
     if (clearance !== undefined) this.parts.share.cleared(clearance)
   }
 
   /** Handles an update from another VM. */
-  told (news: QuarantineNews): void {
-    this.carryOut(this.requests.take(news, this.mono), 'another VM')
+  receive (update: QuarantineNews): void {
+    this.applyVerdicts(this.requests.take(update, this.mono), 'another VM')
   }
 
   /** Requests under suspicion, for operators. */
@@ -99,13 +99,13 @@
 
   /** Whether a target terminated. If so, calls abandoned shortly before are suspected like those that broke with it. */
   private async isEnded (target: Target): Promise<boolean> {
-    const { isEnded, since } = this.parts.watch.broke(target)
+    const { isEnded, since } = this.parts.watch.check(target)
     if (!await isEnded) return false
-    for (const call of this.departures.take(target, since)) this.suspect(call, target)
+    for (const call of this.abandonedCalls.removeFor(target, since)) this.suspect(call, target)
     return true
   }
 
-  private suspect ({ requestId, digest }: NamedCall, target: Target): void {
+  private suspect ({ requestId, digest }: CallIdentity, target: Target): void {
     const { log, metrics, share, clock } = this.parts
     if (this.answers.has(digest, this.mono)) return
     const { id, domain, startedAt } = target
@@ -114,16 +114,16 @@
     log.write('requestSuspected', { request: requestId, digest, runner: end.target, startedAt: end.startedAt })
     share.ended(end, digest)
     const verdicts = this.requests.take({ kind: 'ended', ends: [end], digests: [digest] }, this.mono)
-    this.carryOut(verdicts, 'this VM')
+    this.applyVerdicts(verdicts, 'this VM')
     for (const verdict of verdicts) share.quarantined(verdict)
   }
 
   /** Quarantines requests and cancels their open calls: those that still wait at a target have not terminated it yet. */
-  private carryOut (verdicts: readonly Verdict[], by: string): void {
+  private applyVerdicts (verdicts: readonly Verdict[], by: string): void {
     for (const { digest, ends, level } of verdicts) {
       this.parts.metrics.count('requests_quarantined')
       this.parts.log.write('requestQuarantined', { digest, runners: ends.map(({ target }) => target), level, by })
-      for (const call of this.open) if (call.digest === digest) call.breakOff(refusalOf(call))
+      for (const call of this.open) if (call.digest === digest) call.breakOff(refusalFor(call))
     }
   }
 
@@ -136,10 +136,10 @@
   }
 }
 
-function nameOf ({ digest, admitted: { call: { requestId } } }: OpenCall): NamedCall {
+function identityOf ({ digest, admitted: { call: { requestId } } }: OpenCall): CallIdentity {
   return { requestId, digest }
 }
 
-function refusalOf (call: OpenCall): Failure {
+function refusalFor (call: OpenCall): Failure {
   return new Failure('requestQuarantined', `targets terminated each time this request ran; it is quarantined under digest ${call.digest}`, { ran: call.mayHaveRun ? 'unknown' : 'no' })
 }
--- a/packages/rosemaryspread/src/quarantine/departures.ts
+++ b/packages/rosemaryspread/src/quarantine/departures.ts
@@ -10,53 +10,53 @@
  * Milliseconds after a call was abandoned in which a termination of its target is attributed to it. Targets terminate
  * within 0.2 s of running such a request.
  */
-const HELD_MS = 1_000
+const ATTRIBUTION_WINDOW_MS = 1_000
 /** Calls remembered: more than all VMs of a small fleet have open. */
-const MOST_KEPT = 1_000
+const MAX_CALLS = 1_000
 
 type Process = Pick<TargetView, 'id' | 'startedAt'>
 
 /** What is stored of a call; its body may be large. */
-export interface NamedCall {
+export interface CallIdentity {
   readonly requestId: string
   readonly digest: string
 }
 
-interface Departure {
+interface AbandonedCall {
   readonly process: string
-  readonly call: NamedCall
+  readonly call: CallIdentity
   readonly at: number
 }
 
 /** Abandoned calls of one VM. Times are monotonic milliseconds. */
-export class Departures {
-  private kept: Departure[] = []
+export class AbandonedCalls {
+  private calls: AbandonedCall[] = []
 
   /**
    * Remembers an abandoned call.
    * @param target - where it may have run
    */
-  add (call: NamedCall, target: Process, mono: number): void {
-    this.kept = [...this.kept.filter(({ at }) => mono - at <= HELD_MS).slice(1 - MOST_KEPT), { process: nameOf(target), call, at: mono }]
+  add (call: CallIdentity, target: Process, mono: number): void {
+    this.calls = [...this.calls.filter(({ at }) => mono - at <= ATTRIBUTION_WINDOW_MS).slice(1 - MAX_CALLS), { process: processNameOf(target), call, at: mono }]
   }
 
   /** Whether a call on this target was abandoned recently. */
   has (target: Process): boolean {
-    return this.kept.some(({ process }) => process === nameOf(target))
+    return this.calls.some(({ process }) => process === processNameOf(target))
   }
 
   /**
    * Removes and returns the calls abandoned shortly before a target terminated.
    * @param endedAt - when the termination was detected
    */
-  take (target: Process, endedAt: number): readonly NamedCall[] {
-    const name = nameOf(target)
-    const taken = this.kept.filter(({ process, at }) => process === name && endedAt - at <= HELD_MS)
-    this.kept = this.kept.filter(({ process }) => process !== name)
+  removeFor (target: Process, endedAt: number): readonly CallIdentity[] {
+    const name = processNameOf(target)
+    const taken = this.calls.filter(({ process, at }) => process === name && endedAt - at <= ATTRIBUTION_WINDOW_MS)
+    this.calls = this.calls.filter(({ process }) => process !== name)
     return taken.map(({ call }) => call)
   }
 }
 
-function nameOf ({ id, startedAt }: Process): string {
+function processNameOf ({ id, startedAt }: Process): string {
   return processOf({ target: id, startedAt })
 }
--- a/packages/rosemaryspread/src/quarantine/quarantineRows.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineRows.ts
@@ -13,17 +13,17 @@
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
 /** Rows of one transaction, and rows queued while the table is unavailable: the terminations of 1,000 targets. */
-const ROWS_AT_ONCE = 50
-const MOST_UNWRITTEN = 1_000
+const ROWS_PER_TRANSACTION = 50
+const MAX_UNWRITTEN_ROWS = 1_000
 /** Milliseconds before a failed write is retried. */
 const RETRY_MS = 250
 /** Milliseconds between two scans for expired rows. */
-const CLEAN_EVERY_MS = 10_000
+const CLEANUP_INTERVAL_MS = 10_000
 /**
  * Random delay in milliseconds, up to this bound, before a VM deletes an expired row: the first VM deletes it, and mostly
  * no other VM repeats that.
  */
-const CLEAN_SPREAD_MS = SUSPECT_MS
+const CLEANUP_JITTER_MS = SUSPECT_MS
 
 export interface QuarantineRowsParts {
   readonly table: TableStore
@@ -33,7 +33,7 @@
   /** Uniform in [0, 1). */
   random (): number
   /** Handles an update of another VM. */
-  onNews (news: QuarantineNews): void
+  onUpdate (update: QuarantineNews): void
 }
 
 /** A row value; null deletes the row. */
@@ -45,8 +45,8 @@
   /** Time at which each row of the table may be deleted. */
   private readonly deleteAt = new Map<string, number>()
   private isWriting = false
-  private writeAt = 0
-  private cleanAt = 0
+  private nextWriteAt = 0
+  private nextCleanupAt = 0
   private stopFeed: () => void = () => {}
   private loaded = false
 
@@ -63,9 +63,9 @@
       replaced: rows => {
         this.loaded = true
         this.deleteAt.clear()
-        for (const row of rows) this.takeRow(row)
+        for (const row of rows) this.handleRow(row)
       },
-      changed: rows => { for (const row of rows) this.takeRow(row) },
+      changed: rows => { for (const row of rows) this.handleRow(row) },
       // The configuration's feed reports failures of the same store; known updates stay in force.
       failed: () => {}
     }, 'seldom')
@@ -80,7 +80,7 @@
    * @param row - its value; null deletes it
    */
   put (key: string, row: Row): void {
-    if (this.unwritten.size < MOST_UNWRITTEN || this.unwritten.has(key)) this.unwritten.set(key, row)
+    if (this.unwritten.size < MAX_UNWRITTEN_ROWS || this.unwritten.has(key)) this.unwritten.set(key, row)
     else this.fault('overloaded', 'the queue of unwritten quarantine rows is full')
     this.tick()
   }
@@ -88,20 +88,20 @@
   /** Writes queued rows and deletes expired ones; to be called several times a second. */
   tick (): void {
     const now = this.mono
-    if (now >= this.cleanAt) this.clean(now)
-    if (this.isWriting || this.unwritten.size === 0 || now < this.writeAt) return
+    if (now >= this.nextCleanupAt) this.cleanUp(now)
+    if (this.isWriting || this.unwritten.size === 0 || now < this.nextWriteAt) return
     this.inBackground(this.write())
   }
 
   private async write (): Promise<void> {
-    const batch = [...this.unwritten].slice(0, ROWS_AT_ONCE)
+    const batch = [...this.unwritten].slice(0, ROWS_PER_TRANSACTION)
     this.isWriting = true
     const written = await this.transact(batch)
     this.isWriting = false
     written.ifRight(() => {
       for (const [key, row] of batch) if (this.unwritten.get(key) === row) this.unwritten.delete(key)
     }).ifLeft(({ code }) => {
-      this.writeAt = this.mono + RETRY_MS
+      this.nextWriteAt = this.mono + RETRY_MS
       this.fault(code)
     })
   }
@@ -112,22 +112,22 @@
     return answer.caseOf<Either<Failure, void>>({ Left: failure => Left(failure), Right: () => Right(undefined) })
   }
 
-  private takeRow ({ key, value }: FeedRow): void {
+  private handleRow ({ key, value }: FeedRow): void {
     if (value === null) {
       this.deleteAt.delete(key)
       return
     }
-    const news = quarantineNewsSchema.safeParse(value)
-    const keptMs = news.success ? keptFor(news.data) : SUSPECT_MS
-    this.deleteAt.set(key, this.mono + keptMs + CLEAN_SPREAD_MS * this.parts.random())
-    if (news.success) this.parts.onNews(news.data)
+    const update = quarantineNewsSchema.safeParse(value)
+    const retainedMs = update.success ? retentionMs(update.data) : SUSPECT_MS
+    this.deleteAt.set(key, this.mono + retainedMs + CLEANUP_JITTER_MS * this.parts.random())
+    if (update.success) this.parts.onUpdate(update.data)
     else this.fault('badRequest', `row ${key} does not match the schema of a quarantine update`)
   }
 
-  private clean (now: number): void {
-    this.cleanAt = now + CLEAN_EVERY_MS
-    const over = [...this.deleteAt].filter(([, at]) => at <= now).slice(0, ROWS_AT_ONCE)
-    if (over.length > 0) this.inBackground(this.transact(over.map(([key]) => [key, null])).then(done => done.ifLeft(({ code }) => { this.fault(code) })))
+  private cleanUp (now: number): void {
+    this.nextCleanupAt = now + CLEANUP_INTERVAL_MS
+    const expired = [...this.deleteAt].filter(([, at]) => at <= now).slice(0, ROWS_PER_TRANSACTION)
+    if (expired.length > 0) this.inBackground(this.transact(expired.map(([key]) => [key, null])).then(done => done.ifLeft(({ code }) => { this.fault(code) })))
   }
 
   private fault (code: string, detail?: string): void {
@@ -144,7 +144,7 @@
 }
 
 /** Milliseconds for which a row is retained; a clearance outlives the terminations that it clears. */
-function keptFor (news: QuarantineNews): number {
-  if (news.kind === 'quarantined') return quarantineMs(news.level)
-  return news.kind === 'cleared' ? SUSPECT_MS + 2 * CLEAN_SPREAD_MS : SUSPECT_MS
+function retentionMs (update: QuarantineNews): number {
+  if (update.kind === 'quarantined') return quarantineMs(update.level)
+  return update.kind === 'cleared' ? SUSPECT_MS + 2 * CLEANUP_JITTER_MS : SUSPECT_MS
 }
--- a/packages/rosemaryspread/src/quarantine/quarantineShare.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.spec.ts
@@ -10,12 +10,12 @@
 import { SUSPECT_MS } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import type { FeedHandler, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { RowWrite, TableStore, TransactAnswer } from '@rosemaryspread/infra/table/tableTypes.js'
-import { QuarantineShare } from './quarantineShare.js'
+import { QuarantineSync } from './quarantineSync.js'
 
 /** Longer than the window in which calls on one target are batched. */
-const GATHERED_MS = 30
+const BATCHED_MS = 30
 
-class World implements TableFeed {
+class Harness implements TableFeed {
   mono = 0
   isDown = false
   readonly written: RowWrite[] = []
@@ -25,8 +25,8 @@
 
   constructor (private readonly peers: number) {}
 
-  share (): QuarantineShare {
-    const share = new QuarantineShare({
+  share (): QuarantineSync {
+    const share = new QuarantineSync({
       vm: 'vm-1',
       table: this.table,
       feed: this,
@@ -35,7 +35,7 @@
       random: () => 0,
       peers: () => Array.from({ length: this.peers }, (_, index) => ({ holder: `h${index}`, address: `a${index}` })),
       notify: address => { this.notified.push(address) },
-      onNews: news => { this.news.push(news) }
+      onUpdate: news => { this.news.push(news) }
     })
     share.start()
     return share
@@ -65,59 +65,59 @@
 
 describe('QuarantineSync', () => {
   it('publishes all requests on one terminated target in one row and one message to each VM', async () => {
-    const world = new World(5)
-    const share = world.share()
+    const harness = new Harness(5)
+    const share = harness.share()
     for (const digest of ['a', 'b', 'c']) share.ended(end, digest)
-    await pause(GATHERED_MS)
-    expect(world.written.map(({ key, value }) => [key, value])).to.deep.equal([['ended/t1@7/vm-1', ended('a', 'b', 'c')]])
-    expect(world.notified).to.have.length(5)
+    await pause(BATCHED_MS)
+    expect(harness.written.map(({ key, value }) => [key, value])).to.deep.equal([['ended/t1@7/vm-1', ended('a', 'b', 'c')]])
+    expect(harness.notified).to.have.length(5)
     share.stop()
   })
 
   it('adds requests whose calls break later to the row', async () => {
-    const world = new World(0)
-    const share = world.share()
+    const harness = new Harness(0)
+    const share = harness.share()
     share.ended(end, 'a')
-    await pause(GATHERED_MS)
+    await pause(BATCHED_MS)
     share.ended(end, 'b')
-    await pause(GATHERED_MS)
-    expect(world.written.at(-1)?.value).to.deep.equal(ended('a', 'b'))
+    await pause(BATCHED_MS)
+    expect(harness.written.at(-1)?.value).to.deep.equal(ended('a', 'b'))
     share.stop()
   })
 
   it('sends no peer messages in a large fleet', async () => {
-    const world = new World(21)
-    const share = world.share()
+    const harness = new Harness(21)
+    const share = harness.share()
     share.ended(end, 'a')
-    await pause(GATHERED_MS)
-    expect([world.notified.length, world.written.length]).to.deep.equal([0, 1])
+    await pause(BATCHED_MS)
+    expect([harness.notified.length, harness.written.length]).to.deep.equal([0, 1])
     share.stop()
   })
 
   it('queues a row while the table is unavailable and writes it afterwards', async () => {
-    const world = new World(0)
-    const share = world.share()
-    world.isDown = true
+    const harness = new Harness(0)
+    const share = harness.share()
+    harness.isDown = true
     share.quarantined({ kind: 'quarantined', digest: 'a', ends: [end], level: 1 })
     await pause(0)
-    world.isDown = false
+    harness.isDown = false
     share.tick()
-    expect(world.written).to.have.length(0)
-    world.mono = 300
+    expect(harness.written).to.have.length(0)
+    harness.mono = 300
     share.tick()
     await pause(0)
     share.tick()
-    expect(world.written.map(({ key }) => key)).to.deep.equal(['quarantined/a'])
+    expect(harness.written.map(({ key }) => key)).to.deep.equal(['quarantined/a'])
     share.stop()
   })
 
   it('handles rows of other VMs and skips a malformed one', () => {
-    const world = new World(0)
-    const share = world.share()
+    const harness = new Harness(0)
+    const share = harness.share()
     expect(share.isLoaded).to.equal(false)
-    world.handler?.replaced([{ key: 'x', value: 'no news', version: 1 }, { key: 'y', value: verdict, version: 2 }])
-    world.handler?.changed([{ key: 'z', value: ended('b'), version: 3 }, { key: 'y', value: null, version: 4 }])
-    expect([share.isLoaded, world.news]).to.deep.equal([true, [verdict, ended('b')]])
+    harness.handler?.replaced([{ key: 'x', value: 'no news', version: 1 }, { key: 'y', value: verdict, version: 2 }])
+    harness.handler?.changed([{ key: 'z', value: ended('b'), version: 3 }, { key: 'y', value: null, version: 4 }])
+    expect([share.isLoaded, harness.news]).to.deep.equal([true, [verdict, ended('b')]])
     share.stop()
   })
 
@@ -129,13 +129,13 @@
   ]
   for (const { name, row, afterMs, isDeleted } of ages) {
     it(`${isDeleted ? 'deletes' : 'retains'} the row of ${name}`, async () => {
-      const world = new World(0)
-      const share = world.share()
-      world.handler?.replaced([{ key: 'x', value: row, version: 1 }])
-      world.mono = afterMs
+      const harness = new Harness(0)
+      const share = harness.share()
+      harness.handler?.replaced([{ key: 'x', value: row, version: 1 }])
+      harness.mono = afterMs
       share.tick()
       await pause(0)
-      expect(world.written.map(({ key, value }) => [key, value])).to.deep.equal(isDeleted ? [['x', null]] : [])
+      expect(harness.written.map(({ key, value }) => [key, value])).to.deep.equal(isDeleted ? [['x', null]] : [])
       share.stop()
     })
   }
--- a/packages/rosemaryspread/src/quarantine/quarantineShare.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.ts
@@ -17,14 +17,14 @@
  * Milliseconds in which calls on one terminated target are batched into one row; most of them break within five, all
  * within twenty.
  */
-const GATHER_MS = 10
+const BATCH_WINDOW_MS = 10
 /**
  * Milliseconds for which calls on a terminated target are added to its row: the last of them break when their VM reads
  * the close of the connection.
  */
-const REPORT_OPEN_MS = 5_000
+const REPORT_RETENTION_MS = 5_000
 
-export interface QuarantineShareParts extends QuarantineRowsParts {
+export interface QuarantineSyncParts extends QuarantineRowsParts {
   /** Name of this VM, stable over restarts. */
   readonly vm: string
   peers (): readonly PeerVm[]
@@ -36,16 +36,16 @@
   readonly end: TargetEnd
   readonly digests: Set<string>
   readonly since: number
-  isTold: boolean
+  isPublished: boolean
 }
 
 /** Publishes the updates of one VM and receives those of others. Times are monotonic milliseconds. */
-export class QuarantineShare {
+export class QuarantineSync {
   private readonly rows: QuarantineRows
   private readonly reports = new Map<string, OpenReport>()
-  private gathering: NodeJS.Timeout | undefined
+  private batchTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly parts: QuarantineShareParts) {
+  constructor (private readonly parts: QuarantineSyncParts) {
     this.rows = new QuarantineRows(parts)
   }
 
@@ -62,12 +62,12 @@
   /** Stops receiving and publishing. */
   stop (): void {
     this.rows.stop()
-    clearTimeout(this.gathering)
+    clearTimeout(this.batchTimer)
   }
 
   /** Peer method that receives updates of other VMs. */
   method (): PeerMethod {
-    return async params => { this.parts.onNews(quarantineNewsSchema.parse(params)) }
+    return async params => { this.parts.onUpdate(quarantineNewsSchema.parse(params)) }
   }
 
   /**
@@ -76,22 +76,22 @@
    */
   ended (end: TargetEnd, digest: string): void {
     const name = processOf(end)
-    const open = this.reports.get(name) ?? { end, digests: new Set<string>(), since: this.mono, isTold: true }
+    const open = this.reports.get(name) ?? { end, digests: new Set<string>(), since: this.mono, isPublished: true }
     open.digests.add(digest)
-    open.isTold = false
+    open.isPublished = false
     this.reports.set(name, open)
-    this.gathering ??= setTimeout(() => { this.gathered() }, GATHER_MS)
+    this.batchTimer ??= setTimeout(() => { this.publishBatch() }, BATCH_WINDOW_MS)
   }
 
   /** Publishes that a request is quarantined. */
   quarantined (verdict: Verdict): void {
-    this.tell(rowOfVerdict(verdict.digest), verdict)
+    this.publish(verdictKey(verdict.digest), verdict)
   }
 
   /** Publishes that terminations don't count for a request. */
   cleared (clearance: Clearance): void {
-    this.tell(`cleared/${clearance.digest}/${this.parts.vm}`, clearance)
-    this.rows.put(rowOfVerdict(clearance.digest), null)
+    this.publish(`cleared/${clearance.digest}/${this.parts.vm}`, clearance)
+    this.rows.put(verdictKey(clearance.digest), null)
   }
 
   /** Writes queued rows; to be called several times a second. */
@@ -99,19 +99,19 @@
     this.rows.tick()
   }
 
-  private gathered (): void {
-    this.gathering = undefined
+  private publishBatch (): void {
+    this.batchTimer = undefined
     for (const [name, open] of this.reports) {
-      if (!open.isTold) this.tell(`ended/${name}/${this.parts.vm}`, { kind: 'ended', ends: [open.end], digests: [...open.digests].slice(0, MOST_DIGESTS) })
-      open.isTold = true
-      if (this.mono - open.since > REPORT_OPEN_MS) this.reports.delete(name)
+      if (!open.isPublished) this.publish(`ended/${name}/${this.parts.vm}`, { kind: 'ended', ends: [open.end], digests: [...open.digests].slice(0, MOST_DIGESTS) })
+      open.isPublished = true
+      if (this.mono - open.since > REPORT_RETENTION_MS) this.reports.delete(name)
     }
   }
 
-  private tell (key: string, news: QuarantineNews): void {
+  private publish (key: string, update: QuarantineNews): void {
     const peers = this.parts.peers()
-    if (peers.length <= MOST_TOLD) for (const { address } of peers) this.parts.notify(address, QUARANTINE_METHOD, news)
-    this.rows.put(key, news)
+    if (peers.length <= MOST_TOLD) for (const { address } of peers) this.parts.notify(address, QUARANTINE_METHOD, update)
+    this.rows.put(key, update)
   }
 
   private get mono (): number {
@@ -119,6 +119,6 @@
   }
 }
 
-function rowOfVerdict (digest: string): string {
+function verdictKey (digest: string): string {
   return `quarantined/${digest}`
 }
--- a/packages/rosemaryspread/src/quarantine/requestDigest.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/requestDigest.spec.ts
@@ -27,8 +27,8 @@
     it(`is ${test.isSame ? 'equal' : 'different'} for ${test.name}`, () => {
       const { path, body, team } = { ...base, ...test }
       const digest = requestDigest({ path, body: Buffer.from(body) }, team)
-      const known = requestDigest({ path: base.path, body: Buffer.from(base.body) }, base.team)
-      expect(digest === known).to.equal(test.isSame)
+      const baseDigest = requestDigest({ path: base.path, body: Buffer.from(base.body) }, base.team)
+      expect(digest === baseDigest).to.equal(test.isSame)
       expect(digest).to.have.length(22)
     })
   }
--- a/packages/rosemaryspread/src/quarantine/targetEndWatch.ts
+++ b/packages/rosemaryspread/src/quarantine/targetEndWatch.ts
@@ -9,11 +9,11 @@
 import type { TargetProbe } from '../gateway/callTypes.js'
 
 /** Timeout of the probe connection; on a working network it is accepted or refused within three milliseconds. */
-const PROOF_MS = 150
+const PROBE_TIMEOUT_MS = 150
 /** Milliseconds for which a result is reused for further calls on the same process, so that a burst sends one probe. */
-const HOLDS_MS = 200
+const RESULT_TTL_MS = 200
 
-export interface TargetEndWatchParts {
+export interface TargetEndDetectorParts {
   readonly clock: Clock
   readonly probe: TargetProbe
 }
@@ -25,24 +25,24 @@
 }
 
 /** Detects which targets have terminated. */
-export class TargetEndWatch {
-  private readonly found = new Map<string, BrokenProcess>()
+export class TargetEndDetector {
+  private readonly results = new Map<string, BrokenProcess>()
 
-  constructor (private readonly parts: TargetEndWatchParts) {}
+  constructor (private readonly parts: TargetEndDetectorParts) {}
 
   /** Checks a target on which a call broke without an answer. */
-  broke (target: Pick<TargetView, 'id' | 'address' | 'startedAt'>): BrokenProcess {
+  check (target: Pick<TargetView, 'id' | 'address' | 'startedAt'>): BrokenProcess {
     const now = this.parts.clock.now().mono
-    this.forget(now)
+    this.evictExpired(now)
     const name = processOf({ target: target.id, startedAt: target.startedAt })
-    const known = this.found.get(name)
-    if (known !== undefined) return known
-    const fresh = { isEnded: this.parts.probe.isRefused(target.address, PROOF_MS), since: now }
-    this.found.set(name, fresh)
+    const cached = this.results.get(name)
+    if (cached !== undefined) return cached
+    const fresh = { isEnded: this.parts.probe.isRefused(target.address, PROBE_TIMEOUT_MS), since: now }
+    this.results.set(name, fresh)
     return fresh
   }
 
-  private forget (now: number): void {
-    for (const [name, { since }] of this.found) if (now - since > HOLDS_MS) this.found.delete(name)
+  private evictExpired (now: number): void {
+    for (const [name, { since }] of this.results) if (now - since > RESULT_TTL_MS) this.results.delete(name)
   }
 }
--- a/packages/stand-ins/src/budget/budgetDriver.spec.ts
+++ b/packages/stand-ins/src/budget/budgetDriver.spec.ts
@@ -16,7 +16,7 @@
 
 const noPeers: BudgetPeers = {
   members: () => [],
-  give: async () => Right({}),
+  requestTransfer: async () => Right({}),
   recall: async () => Right({ returned: 0 }),
   confirmNoTransfers: async () => Right({ none: true })
 }
--- a/packages/stand-ins/src/budget/heldAsSpent.spec.ts
+++ b/packages/stand-ins/src/budget/heldAsSpent.spec.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
-import { HeldAsSpent } from 'rosemaryspread/budget/budgetHeldAsSpent.js'
+import { AssumedSpentRuns } from 'rosemaryspread/budget/assumedSpentRuns.js'
 import type { BudgetPeers } from 'rosemaryspread/budget/budgetPeers.js'
 import { gatewayBudgetPolicy } from 'rosemaryspread/gateway/gatewayBudgetPolicy.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
@@ -17,7 +17,7 @@
 
 const alone: BudgetPeers = {
   members: () => [],
-  give: async () => Right({}),
+  requestTransfer: async () => Right({}),
   recall: async () => Right({ returned: 0 }),
   confirmNoTransfers: async () => Right({ none: true })
 }
@@ -33,13 +33,13 @@
       holder: `vm1~${token}`,
       domain: 'd',
       place: '10.0.0.1:80',
-      begunAt,
+      processStartedAt: begunAt,
       store: this.store,
       peers: alone,
       policy: gatewayBudgetPolicy,
       clock: { now: () => ({ mono: this.mono, wall: this.mono }) },
       log: { write: () => {} },
-      unbilled: new HeldAsSpent(),
+      unbilledRuns: new AssumedSpentRuns(),
       declared: () => ({ tokens: PAID, version: 1 })
     })
   }
@@ -101,7 +101,7 @@
       const second = world.process('b')
       await world.pass(1_000, second)
       const held = (await second.show('b')).map(({ allotted }) => allotted).orDefault(0)
-      await second.recoverDead()
+      await second.recoverTerminated()
       const shown = (await second.show('b')).unsafeCoerce()
       expect(used).to.be.greaterThan(0)
       expect(shown.spent).to.be.at.least(used)
@@ -117,7 +117,7 @@
       await world.pass(outageMs, second)
       world.store.outage = false
       await world.pass(1_000, second)
-      await second.recoverDead()
+      await second.recoverTerminated()
       return (await second.show('b')).unsafeCoerce().spent
     }
     expect(await spentAfter(6_000)).to.equal(await spentAfter(0))
@@ -126,9 +126,9 @@
   it('says whether a successor took back what its VM held', async () => {
     const world = new World()
     const second = await world.successorInOutage(10)
-    const during = await second.takeOver()
+    const during = await second.recoverPredecessors()
     world.store.outage = false
-    const after = await second.takeOver()
+    const after = await second.recoverPredecessors()
     expect([during, after, (await second.show('b')).unsafeCoerce().allotted]).to.deep.equal([false, true, 0])
   })
 })
--- a/packages/stand-ins/src/measure/budget/budgetBench.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBench.ts
@@ -8,7 +8,7 @@
 import { BudgetLedger } from '@rosemaryspread/decisions/budget/budgetLedger.js'
 import { defaultBudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 import type { BudgetAction, BudgetEvent } from '@rosemaryspread/decisions/budget/budgetTypes.js'
-import type { DrawAction } from 'rosemaryspread/budget/budgetDrawing.js'
+import type { DrawAction } from 'rosemaryspread/budget/drawExecutor.js'
 import { DrawQueue } from 'rosemaryspread/budget/drawQueue.js'
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 
@@ -37,7 +37,7 @@
 
   tick (): void {
     this.send({ kind: 'tick' })
-    this.grant(this.draws.due({ mono: this.mono, wall: this.mono }))
+    this.grant(this.draws.dequeueDue({ mono: this.mono, wall: this.mono }))
   }
 
   request (id: string, budget: string): void {
--- a/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
@@ -7,7 +7,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
-import type { GiveAnswer, GiveAsk } from 'rosemaryspread/budget/budgetPeers.js'
+import type { TransferResponse, TransferRequest } from 'rosemaryspread/budget/budgetPeers.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { ChaosRun, productDriver, type ChaosStep, type DriverFactory, type Tally } from './budgetChaos.js'
 import type { SpenderParts } from './budgetVm.js'
@@ -60,12 +60,12 @@
 
 /** Closes a dead holder without asking for transfers that are not recorded. */
 const asksNoPeer = weaker(({ peers }) => ({
-  peers: { members: () => peers.members(), give: async (holder, ask) => await peers.give(holder, ask), recall: async (holder, ask) => await peers.recall(holder, ask), confirmNoTransfers: async () => Right({ none: true }) }
+  peers: { members: () => peers.members(), requestTransfer: async (holder, ask) => await peers.requestTransfer(holder, ask), recall: async (holder, ask) => await peers.recall(holder, ask), confirmNoTransfers: async () => Right({ none: true }) }
 }))
 
 /** Answers an ask before it subtracts. */
 class GivesFirst extends BudgetDriver {
-  override onGive (ask: GiveAsk): GiveAnswer {
+  override onTransferRequest (ask: TransferRequest): TransferResponse {
     const { transferId, budget, to, atLeast: tokens } = ask
     return { transfer: { transferId, budget, to, tokens, from: to === 'vm1~1' ? 'vm2~1' : 'vm1~1', validForMs: 40_000 } }
   }
--- a/packages/stand-ins/src/measure/budget/budgetVm.ts
+++ b/packages/stand-ins/src/measure/budget/budgetVm.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import type { BudgetPeers, ConfirmAsk, GiveAsk, RecallAsk } from 'rosemaryspread/budget/budgetPeers.js'
+import type { BudgetPeers, ConfirmRequest, TransferRequest, RecallRequest } from 'rosemaryspread/budget/budgetPeers.js'
 import type { BudgetPort } from 'rosemaryspread/budget/budgetPort.js'
 import type { RecoveryRunners } from 'rosemaryspread/budget/budgetRecoveryRuns.js'
 import type { VirtualTime } from '../../time/virtualTime.js'
@@ -96,9 +96,9 @@
     const take = async <T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> => await this.take(await answer)
     return {
       members: () => peers.members(),
-      give: async (holder: string, ask: GiveAsk) => await take(peers.give(holder, ask)),
-      recall: async (holder: string, ask: RecallAsk) => await take(peers.recall(holder, ask)),
-      confirmNoTransfers: async (holder: string, ask: ConfirmAsk) => await take(peers.confirmNoTransfers(holder, ask))
+      requestTransfer: async (holder: string, ask: TransferRequest) => await take(peers.requestTransfer(holder, ask)),
+      recall: async (holder: string, ask: RecallRequest) => await take(peers.recall(holder, ask)),
+      confirmNoTransfers: async (holder: string, ask: ConfirmRequest) => await take(peers.confirmNoTransfers(holder, ask))
     }
   }
 }
--- a/packages/stand-ins/src/measure/budget/budgetWorld.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorld.ts
@@ -167,7 +167,7 @@
     const { list } = this
     const able = this.nodes.filter(node => node.vm.isServing && !this.faults.cut.has(node.vm.domain))
     for (const { spender } of able.slice(0, 2)) {
-      if (spender instanceof BudgetDriver) spender.recoverDead(list).catch(err => { throw err })
+      if (spender instanceof BudgetDriver) spender.recoverTerminated(list).catch(err => { throw err })
     }
     this.time.after(this.shape.recoverEveryMs, () => this.recover())
   }
@@ -192,9 +192,9 @@
           .filter(node => node.vm !== self && !gone.has(node.vm.vm) && !this.replaced.has(node.vm))
           .map(({ vm }) => ({ holder: vm.holder, domain: vm.domain }))
       },
-      give: async (holder, ask) => await call(holder, async driver => driver.onGive(ask)),
+      requestTransfer: async (holder, ask) => await call(holder, async driver => driver.onTransferRequest(ask)),
       recall: async (holder, ask) => await call(holder, async driver => await driver.onRecall(ask)),
-      confirmNoTransfers: async (holder, ask) => await call(holder, async driver => driver.onConfirm(ask))
+      confirmNoTransfers: async (holder, ask) => await call(holder, async driver => driver.onConfirmRequest(ask))
     }
   }
 }
--- a/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
@@ -99,7 +99,7 @@
       holder: 'quito-centro-a~0123456789ab',
       domain: 'quito-centro',
       store: this.table,
-      peers: { members: () => [], give: unused, recall: unused, confirmNoTransfers: unused },
+      peers: { members: () => [], requestTransfer: unused, recall: unused, confirmNoTransfers: unused },
       clock: { now: () => ({ mono: this.mono, wall: this.mono }) },
       log
     })
--- a/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
@@ -38,7 +38,7 @@
   const names = Array.from({ length: budgets }, (_, index) => `budget-${index}`)
   for (const budget of names) state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: budget, value: { budget, paid: PAID, spent: 0, allotted: 0 } }] })
   const unreachable = async (): Promise<Either<Failure, never>> => Left(new Failure('peerUnreachable', 'there are no other VMs'))
-  const peers = { members: () => [], give: unreachable, recall: unreachable, confirmNoTransfers: unreachable }
+  const peers = { members: () => [], requestTransfer: unreachable, recall: unreachable, confirmNoTransfers: unreachable }
   const ended = new BudgetDriver({ holder: `${ENDED}~0123456789ab`, domain: DOMAIN, store: new MemoryTableStore(state), peers, clock, log })
   for (const budget of names) {
     const reserved = await ended.reserve(budget, TOKENS, TICK_MS)
@@ -63,7 +63,7 @@
   }
   const table = new CountingTable(new MemoryTableStore(state))
   const other = new BudgetDriver({ holder: 'quito-centro-b~0123456789ab', domain: DOMAIN, store: table, peers, clock, log, runners: known })
-  await other.recoverDead({ asOf: mono + TICK_MS, vms: [{ vm: ENDED, state: 'gone' }] })
+  await other.recoverTerminated({ asOf: mono + TICK_MS, vms: [{ vm: ENDED, state: 'gone' }] })
   const left = state.all(budgetTables.allotments).filter(({ value }) => (value as { state: string }).state === 'open')
   if (left.length > 0) throw new Error(`${left.length} allotments of the ended VM stayed open`)
   return { runnerCalls, tableCalls: table.counts.reads + table.counts.writes }
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -7,7 +7,7 @@
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import type { Bill } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { HttpTableStore } from '@rosemaryspread/infra/table/httpTableStore.js'
-import { BudgetFlushing } from 'rosemaryspread/budget/budgetFlushing.js'
+import { FlushExecutor } from 'rosemaryspread/budget/flushExecutor.js'
 import { BudgetTable } from 'rosemaryspread/budget/budgetTable.js'
 import { tmpdir } from 'node:os'
 import { mkdtemp } from 'node:fs/promises'
@@ -91,7 +91,7 @@
     const standIn = new StandInProcess('table', ['table'], ports, join(folder, 'table.log'))
     await standIn.ready()
     const table = new CountingTable(new HttpTableStore(standIn.url, 'quito-centro-a', TIMEOUT_MS))
-    const flushing = new BudgetFlushing(new BudgetTable(table, clock), { holder: HOLDER, domain: 'quito-centro' }, log)
+    const flushing = new FlushExecutor(new BudgetTable(table, clock), { holder: HOLDER, domain: 'quito-centro' }, log)
     await openAllotments(table)
     const points: ProbePoint[] = []
     let seq = 0
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -8,7 +8,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ReadAnswer, RowKey, ScanAnswer, ScanRequest, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
-import { GIFT_METHOD, type GiftAsk, type HandOver } from 'rosemaryspread/budget/budgetGiftCalls.js'
+import { GRANT_METHOD, type GrantRequest, type Handover } from 'rosemaryspread/budget/budgetGiftCalls.js'
 import { BudgetPreparation } from 'rosemaryspread/gateway/budgetPreparation.js'
 import { gatewayBudgets } from 'rosemaryspread/gateway/gatewayBudgets.js'
 import { gatewayConfigSchema, type GatewayConfig } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
@@ -130,7 +130,7 @@
   /** Has each VM look for ended holders once; answers the calls of the store that it took. */
   async recover (): Promise<number> {
     const before = this.storeCalls
-    await this.time.until(Promise.all(this.vms.map(async ({ budgets }) => { await budgets.recoverDead() })))
+    await this.time.until(Promise.all(this.vms.map(async ({ budgets }) => { await budgets.recoverTerminated() })))
     return this.storeCalls - before
   }
 
@@ -216,7 +216,7 @@
   }
 
   private takeOver (budgets: BudgetDriver): void {
-    budgets.takeOver().then(isDone => {
+    budgets.recoverPredecessors().then(isDone => {
       if (!isDone) this.time.after(TAKE_OVER_RETRY_MS, () => { this.takeOver(budgets) })
     }, err => { throw err })
   }
@@ -275,9 +275,9 @@
 
   private answer (address: string, { method, params }: LinkCall): unknown {
     const budgets = this.vms.find(vm => vm.address === address)?.budgets
-    if (method === GIFT_METHOD) return budgets?.onGift(params as GiftAsk)
-    const { budget, tokens } = params as HandOver
-    budgets?.onHandOver(budget, tokens)
+    if (method === GRANT_METHOD) return budgets?.onGrantRequest(params as GrantRequest)
+    const { budget, tokens } = params as Handover
+    budgets?.onHandover(budget, tokens)
     return null
   }
 
--- a/packages/stand-ins/src/scenario/weak/weaknesses.ts
+++ b/packages/stand-ins/src/scenario/weak/weaknesses.ts
@@ -106,6 +106,6 @@
   stuckVersion: container => versionsBy(container, new StuckConfigHolder()),
   cutIsWhole: container => weaken(container, ids.engines, cutIsWhole),
   allRunsAreOurs: container => weaken(container, ids.engines, allRunsAreOurs),
-  noRecovery: container => weaken(container, ids.budgets, () => ({ recoverDead: async () => {} })),
+  noRecovery: container => weaken(container, ids.budgets, () => ({ recoverTerminated: async () => {} })),
   abruptStop: () => {}
 }
