--- a/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
@@ -6,7 +6,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
-import { BudgetGrantCalls, grantMethod, type GrantResponse } from './budgetGiftCalls.js'
+import { BudgetGrantCalls, grantMethod, type GrantResponse } from './budgetGrantCalls.js'
 
 const peers = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(name => ({ holder: name, address: `${name}:1` }))
 
--- a/packages/rosemaryspread/src/budget/drawExecutor.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -9,7 +9,7 @@
 import type { BudgetAction, DeclaredPaid, DrawOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { drawKeys, planDraw, type DrawOrder, type DrawPlan } from '@rosemaryspread/decisions/budget/budgetPlans.js'
 import type { BudgetTable } from './budgetTable.js'
-import { FirstAttemptTimes } from './budgetFirstSent.js'
+import { FirstAttemptTimes } from './firstAttemptTimes.js'
 import { surveyBudget } from './budgetSurvey.js'
 
 /** The drawing holder; `holders` is read for each draw. */
--- a/packages/rosemaryspread/src/budget/flushExecutor.ts
+++ b/packages/rosemaryspread/src/budget/flushExecutor.ts
@@ -6,7 +6,7 @@
 import type { BudgetAction, FlushOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { budgetTables, segmentKey } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { flushKeys, planFlush, type Flusher } from '@rosemaryspread/decisions/budget/flushPlan.js'
-import { FirstAttemptTimes } from './budgetFirstSent.js'
+import { FirstAttemptTimes } from './firstAttemptTimes.js'
 import type { BudgetTable } from './budgetTable.js'
 
 type FlushAction = Extract<BudgetAction, { kind: 'flush' }>
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
@@ -12,10 +12,10 @@
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
 import { BudgetDriver } from '../budget/budgetDriver.js'
-import { BudgetGrantCalls } from '../budget/budgetGiftCalls.js'
+import { BudgetGrantCalls } from '../budget/budgetGrantCalls.js'
 import { AssumedSpentRuns } from '../budget/assumedSpentRuns.js'
 import type { BudgetMember } from '../budget/budgetPeers.js'
-import { NoTransferPeers } from '../budget/presentHolders.js'
+import { NoTransferPeers } from '../budget/noTransferPeers.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 import { fleetBudgetPolicy } from './gatewayBudgetPolicy.js'
 
--- a/packages/rosemaryspread/src/quarantine/departures.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.spec.ts
@@ -2,7 +2,7 @@
  * Guards against blaming the wrong abandoned calls for the termination of a target, and against missing the right ones.
  */
 import { expect } from 'chai'
-import { AbandonedCalls } from './departures.js'
+import { AbandonedCalls } from './abandonedCalls.js'
 
 const target = { id: 't1', startedAt: 1 }
 
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -12,9 +12,9 @@
 import type { OpenCall } from '../gateway/callOpen.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 import { AnsweredRequests } from './answeredRequests.js'
-import { AbandonedCalls, type CallIdentity } from './departures.js'
+import { AbandonedCalls, type CallIdentity } from './abandonedCalls.js'
 import type { QuarantineSync } from './quarantineSync.js'
-import type { TargetEndDetector } from './targetEndWatch.js'
+import type { TargetEndDetector } from './targetEndDetector.js'
 
 type Target = TargetChoice['target']
 
