--- a/packages/decisions/src/codes/failure.ts
+++ b/packages/decisions/src/codes/failure.ts
@@ -1,32 +1,28 @@
 /**
- * The one error value of the system: a result code, whether the work ran, and when to come back.
- * Functions return it inside purify-ts `Either`; it is thrown only where a library demands it.
+ * Error value of the whole system: a result code, whether the request was executed, and when to retry. Functions return it in a
+ * purify-ts `Either`; it is thrown only where a library requires it.
  */
 import type { Either } from 'purify-ts'
 import { resultCodes, type Ran, type ResultCode, type ResultName } from './resultCodes.js'
 
-/** Optional parts of a {@link Failure}. */
+/** Optional properties of a {@link Failure}. */
 export interface FailureExtras {
-  /** Whether the work ran; `no` unless given. */
+  /** Whether the request was executed; `no` by default. */
   readonly ran?: Ran
-  /** Milliseconds after which the caller should come back. */
+  /** Milliseconds after which to retry. */
   readonly retryAfterMs?: number
-  /** Every single mistake found, when there are several. */
+  /** Individual errors, if there are several. */
   readonly errors?: readonly string[]
 }
 
-/** A numbered failure. */
+/** A failure with a numbered result code. */
 export class Failure extends Error {
   readonly code: ResultName
   readonly ran: Ran
   readonly retryAfterMs: number | undefined
   readonly errors: readonly string[]
 
-  /**
-   * @param code - name in the table of result codes
-   * @param detail - what happened, for people
-   * @param extras - whether it ran and when to come back
-   */
+  /** @param detail - what happened, for people */
   constructor (code: ResultName, detail: string, extras: FailureExtras = {}) {
     super(detail)
     this.name = 'Failure'
@@ -36,7 +32,6 @@
     this.errors = extras.errors ?? []
   }
 
-  /** The table entry of this failure. */
   get entry (): ResultCode {
     return resultCodes[this.code]
   }
@@ -55,10 +50,7 @@
   readonly errors?: readonly string[]
 }
 
-/**
- * Renders a failure as an RFC 9457 problem body.
- * @param failure - the failure to render
- */
+/** Renders a failure as an RFC 9457 problem body. */
 export function toProblem (failure: Failure): ProblemBody {
   const { number, status, title } = failure.entry
   return {
@@ -74,19 +66,13 @@
   }
 }
 
-/**
- * Turns anything thrown into a {@link Failure}.
- * @param err - the thrown value
- */
+/** Wraps any thrown value in a {@link Failure}. */
 export function toFailure (err: unknown): Failure {
   if (err instanceof Failure) return err
   return new Failure('internal', err instanceof Error ? err.message : String(err), { ran: 'unknown' })
 }
 
-/**
- * The failure of a result, or undefined when it succeeded.
- * @param result - any result
- */
+/** The failure of a result; undefined on success. */
 export function failureOf (result: Either<Failure, unknown>): Failure | undefined {
   return result.caseOf<Failure | undefined>({ Left: failure => failure, Right: () => undefined })
 }
--- a/packages/decisions/src/digest/digestEntry.ts
+++ b/packages/decisions/src/digest/digestEntry.ts
@@ -1,32 +1,30 @@
 /**
- * What a digest says of one row of a table of heartbeats. A few VMs follow such a table themselves and
- * write into the digest only what changed beside the heartbeats; all others read the digest.
+ * Entries of a digest, each with the state of one row of a heartbeat table. A few VMs follow such a table and publish to the
+ * digest only what changes beyond heartbeats; all other VMs read the digest.
  */
 import * as z from 'zod'
 
-/** Stages of the owner of a row, from the first to the last. */
+/** Stages of the owner of a row, in order. */
 const stages = ['present', 'late', 'gone'] as const
 
-/** One entry. */
 export const digestEntrySchema = z.object({
   /** Version of the row in its table. */
   version: z.number().int(),
-  /** `late` while heartbeats are missing, `gone` once the row was deleted or its owner counts as ended. */
+  /** `late` while heartbeats are missing, `gone` once the row was deleted or its owner is considered terminated. */
   stage: z.enum(stages),
-  /** Value of the row without what changes with each heartbeat; absent when it is gone. */
+  /** Value of the row without the fields that change with each heartbeat; absent if `gone`. */
   value: z.unknown().optional()
 })
 export type DigestEntry = z.infer<typeof digestEntrySchema>
 export type DigestStage = DigestEntry['stage']
 
-/** Where a row stands, whatever its value. */
+/** Version and stage of a row, without its value. */
 type RowState = Pick<DigestEntry, 'version' | 'stage'>
 
 /**
- * Whether an entry is later than another of the same row: two VMs that pass a table on see it at different times,
- * and the slower one must not take back what the other told.
- * @param next - the entry that may be later
- * @param known - the other; absent when there is none
+ * Whether an entry is newer than another of the same row: publishers see a table at different times, and the slower one must not
+ * revert what the other published.
+ * @param known - absent if there is no entry
  */
 export function isLater (next: RowState, known: RowState | undefined): boolean {
   if (known === undefined) return true
@@ -35,9 +33,9 @@
 }
 
 /**
- * Whether an entry has to be told: it is later than what is told, and says something else.
- * @param next - what a VM sees
- * @param told - what the digest says; absent when it says nothing
+ * Whether an entry has to be published: it is newer than the published one and differs from it in stage or value.
+ * @param next - the row as this VM sees it
+ * @param told - the published entry; absent if there is none
  */
 export function isNews (next: DigestEntry, told: DigestEntry | undefined): boolean {
   if (told === undefined) return next.stage !== 'gone'
--- a/packages/decisions/src/digest/digestTrust.ts
+++ b/packages/decisions/src/digest/digestTrust.ts
@@ -1,20 +1,20 @@
 /**
- * Whether the digest can be relied on: some VM that passes tables on says every second that it is in
- * touch with them and that the digest is complete. Without that a VM follows the tables itself.
+ * Decides whether the digest is reliable: a publisher confirms every second that it reaches the tables and that the digest is
+ * complete. Without that confirmation a VM follows the tables itself.
  */
 import * as z from 'zod'
 
-/** Milliseconds between two beats of the VM that passes tables on. */
+/** Interval between two heartbeats of the publisher. */
 export const DIGEST_BEAT_MS = 1_000
-/** Milliseconds without a beat after which the digest is not relied on. */
+/** Time without a heartbeat after which the digest is no longer trusted. */
 const SILENT_MS = 2_500
-/** Milliseconds for which beats have to come before the digest is relied on again. */
+/** Time for which heartbeats must arrive before the digest is trusted again. */
 const STEADY_MS = 2_000
 
-/** What a VM says that passes tables on. */
+/** Heartbeat of a publisher. */
 export const digestBeatSchema = z.object({
   beat: z.number().int(),
-  /** Whether the digest says all that this VM knows. */
+  /** Whether the digest contains everything that the publisher knows. */
   isComplete: z.boolean()
 })
 export type DigestBeat = z.infer<typeof digestBeatSchema>
@@ -25,9 +25,7 @@
   private heardAt = -Infinity
 
   /**
-   * Takes a beat that was written just now. Beats that were written before this VM began to read say nothing.
-   * @param beat - the beat
-   * @param mono - present time
+   * Records a heartbeat that was just written. Heartbeats from before this VM began to read prove nothing and must not be passed.
    */
   heard ({ isComplete }: DigestBeat, mono: number): void {
     if (!isComplete) return
@@ -35,23 +33,16 @@
     this.heardAt = mono
   }
 
-  /** Forgets what was heard: the digest could not be read, or holds what cannot be decoded. */
+  /** Ends the trust: the digest could not be read, or contains an entry that cannot be decoded. */
   lost (): void {
     this.heardAt = -Infinity
   }
 
-  /**
-   * Milliseconds since the last beat.
-   * @param mono - present time
-   */
+  /** Milliseconds since the last heartbeat that confirmed a complete digest. */
   silentMs (mono: number): number {
     return mono - this.heardAt
   }
 
-  /**
-   * Whether the digest can be relied on.
-   * @param mono - present time
-   */
   isTrusted (mono: number): boolean {
     return this.silentMs(mono) <= SILENT_MS && this.steadySince !== undefined && mono - this.steadySince >= STEADY_MS
   }
--- a/packages/decisions/src/gateway/domainEvacuations.ts
+++ b/packages/decisions/src/gateway/domainEvacuations.ts
@@ -1,27 +1,25 @@
 /**
- * Failure domains that operators evacuated: nothing new is sent to their targets until the order is taken back. What runs there
- * goes on.
+ * Failure domains evacuated by operators: their targets get no new requests until the evacuation is lifted. Requests that run
+ * there continue.
  */
 
-/** A domain that was evacuated, or is used again. */
+/** A domain that became evacuated, or whose evacuation was lifted. */
 export interface EvacuationChange {
   readonly domain: string
   readonly isEvacuated: boolean
 }
 
-/** Orders in force. */
+/** Evacuations in force. */
 export class DomainEvacuations {
   private readonly domains = new Set<string>()
 
-  /** Evacuated domains. */
   get all (): ReadonlySet<string> {
     return this.domains
   }
 
   /**
-   * Takes all orders.
-   * @param domains - their domains
-   * @returns what changed
+   * Replaces all evacuations by those of `domains`.
+   * @returns the changes
    */
   replace (domains: ReadonlySet<string>): readonly EvacuationChange[] {
     const ended = [...this.domains].filter(domain => !domains.has(domain))
@@ -29,10 +27,8 @@
   }
 
   /**
-   * Takes one order, or that it was taken back.
-   * @param domain - its domain
-   * @param isEvacuated - whether it is in force
-   * @returns what changed
+   * Sets or lifts the evacuation of one domain.
+   * @returns the changes; none if the domain is in this state already
    */
   set (domain: string, isEvacuated: boolean): readonly EvacuationChange[] {
     if (this.domains.has(domain) === isEvacuated) return []
--- a/packages/decisions/src/gateway/refusal.spec.ts
+++ b/packages/decisions/src/gateway/refusal.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Statuses of refusals: a promise that nothing ran is given exactly where it is true.
+ * Statuses of refusals: the promise that a request was not executed is given exactly where it is true.
  */
 import { expect } from 'chai'
 import { Failure } from '../codes/failure.js'
--- a/packages/decisions/src/gateway/refusal.ts
+++ b/packages/decisions/src/gateway/refusal.ts
@@ -1,31 +1,27 @@
 /**
- * How a failure of the gateway is told to a caller. Some statuses promise that the request did not
- * run and never will; they are used for nothing else, and everything that did not run gets one.
+ * Maps a failure of the gateway to a response for the caller. Some statuses promise that the request was not executed and never
+ * will be; they are used for nothing else, and a server error without execution is always mapped to one.
  */
 import { toProblem, type Failure, type ProblemBody } from '../codes/failure.js'
 
-/** Statuses that promise that the request did not run. */
+/** Statuses that promise that the request was not executed. */
 const PROMISES = new Set([408, 421, 429, 503])
 const UNAVAILABLE = 503
 const BAD_GATEWAY = 502
 const FIRST_SERVER_ERROR = 500
 const MS_PER_SECOND = 1_000
 
-/** Milliseconds to come back after where a failure names none. */
+/** Retry delay for failures that name none. */
 const DEFAULT_RETRY_MS = 250
 
-/** An answer that refuses a request. */
+/** A response that refuses a request. */
 export interface Refusal {
   readonly status: number
-  /** Seconds with fractions after which to come back; absent where coming back is of no use. */
+  /** Retry delay in fractional seconds; absent if a retry is useless. */
   readonly retryAfterS: number | undefined
   readonly body: ProblemBody
 }
 
-/**
- * The answer for a failure.
- * @param failure - the failure
- */
 export function refusalOf (failure: Failure): Refusal {
   const status = statusOf(failure)
   const retryMs = failure.retryAfterMs ?? (PROMISES.has(status) ? DEFAULT_RETRY_MS : undefined)
--- a/packages/decisions/src/gateway/routeTable.spec.ts
+++ b/packages/decisions/src/gateway/routeTable.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Routes of requests: host, longest prefix, and the split between services.
+ * Routing of requests by host and longest prefix, and the split between services.
  */
 import { expect } from 'chai'
 import { gatewayConfigSchema, type GatewayRoute } from './gatewayConfig.js'
@@ -44,7 +44,7 @@
     })
   }
 
-  it('has no service where no weight is left', () => {
+  it('returns no service if no weight is positive', () => {
     expect(chooseService([{ service: 'a', weight: 0 }], 0.5)).to.equal(undefined)
   })
 })
--- a/packages/decisions/src/gateway/routeTable.ts
+++ b/packages/decisions/src/gateway/routeTable.ts
@@ -1,13 +1,12 @@
 /**
- * Finds the route of a request: of those with its host, the one with the longest prefix.
+ * Finds the route of a request by its host and the longest matching path prefix.
  */
 import type { GatewayConfig, GatewayRoute, RouteService } from './gatewayConfig.js'
 
-/** Routes of one configuration, prepared for lookups. */
+/** Routes of one configuration, indexed by host and sorted by prefix length. */
 export class RouteTable {
   private readonly byHost = new Map<string, GatewayRoute[]>()
 
-  /** @param config - the configuration */
   constructor (config: GatewayConfig) {
     for (const route of config.routes) {
       const routes = this.byHost.get(hostName(route.host)) ?? []
@@ -18,8 +17,8 @@
   }
 
   /**
-   * The route of a request; undefined when there is none.
-   * @param host - host as sent, with or without a port
+   * The route of a request; undefined if none matches.
+   * @param host - Host header, with or without a port
    * @param target - path with its query
    */
   find (host: string, target: string): GatewayRoute | undefined {
@@ -33,8 +32,7 @@
 }
 
 /**
- * Chooses one of the services that share a route, each as often as its weight says.
- * @param services - services of the route
+ * Picks a service of a route at random, in proportion to the weights; undefined if no weight is positive.
  * @param random - a number in [0, 1)
  */
 export function chooseService (services: readonly RouteService[], random: number): string | undefined {
--- a/packages/decisions/src/gateway/targetBalancer.spec.ts
+++ b/packages/decisions/src/gateway/targetBalancer.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Choice of targets: affinity of shared parts, less work elsewhere, and targets that fail.
+ * Choice of targets: affinity of shared parts, less work elsewhere, and failing targets.
  */
 import { expect } from 'chai'
 import { TargetBalancer, type TargetChoice, type TargetDemand } from './targetBalancer.js'
@@ -27,7 +27,7 @@
   readonly reason: TargetChoice['reason']
 }
 
-/** Tokens sent to the first target by an earlier request that has no answer yet. */
+/** Sends tokens to the home target with an earlier request that has no response yet. */
 function sentHome (tokens: number): (balancer: TargetBalancer) => void {
   return balancer => { balancer.sent({ target: home, work: tokens, candidates: 5, reason: 'affinity' }, ['x'], 0) }
 }
@@ -36,7 +36,7 @@
   return balancer => { balancer.told({ target: home.id, work, parts: 'x' }, 0) }
 }
 
-/** The first target took two seconds to read 4,000 tokens. */
+/** The home target took two seconds to prefill 4,000 tokens. */
 function slowHome (balancer: TargetBalancer): void {
   const { ticket } = balancer.sent({ target: home, work: 4_000, candidates: 5, reason: 'affinity' }, ['x'], 0)
   balancer.begun(home.id, ticket, true, 2_000)
@@ -52,12 +52,12 @@
 }
 
 const cases: readonly BalancerCase[] = [
-  { name: 'the same parts meet at the same target', before: () => {}, atHome: true, reason: 'affinity' },
-  { name: 'little work does not drive them away', before: sentHome(3_900), atHome: true, reason: 'affinity' },
-  { name: 'work that costs more than reading the parts does', before: sentHome(4_100), atHome: false, reason: 'lessWork' },
-  { name: 'few shared tokens leave sooner', before: sentHome(210), demand: demand({ sharedTokens: 50 }), atHome: false, reason: 'lessWork' },
+  { name: 'routes the same shared parts to the same target', before: () => {}, atHome: true, reason: 'affinity' },
+  { name: 'stays with the home target while its queue costs less than prefilling the parts again', before: sentHome(3_900), atHome: true, reason: 'affinity' },
+  { name: 'leaves the home target once its queue costs more than prefilling the parts again', before: sentHome(4_100), atHome: false, reason: 'lessWork' },
+  { name: 'leaves the home target sooner with few shared tokens', before: sentHome(210), demand: demand({ sharedTokens: 50 }), atHome: false, reason: 'lessWork' },
   {
-    name: 'work that was read counts no more',
+    name: 'does not count work that was prefilled',
     before: balancer => {
       const { ticket } = balancer.sent({ target: home, work: 9_000, candidates: 5, reason: 'affinity' }, ['x'], 0)
       balancer.begun(home.id, ticket, true, 100)
@@ -66,14 +66,14 @@
     atHome: true,
     reason: 'affinity'
   },
-  { name: 'work that another VM told of counts', before: toldHome(9_000), atHome: false, reason: 'lessWork' },
-  { name: 'work that another VM told of is read with time', before: toldHome(9_000), mono: 200, atHome: true, reason: 'affinity' },
-  { name: 'a target that reads slowly is left for a faster one', before: slowHome, demand: demand({ ownTokens: 5_000, sharedTokens: 100 }), mono: 2_000, atHome: false, reason: 'lessWork' },
-  { name: 'a target tried already is left out', before: () => {}, demand: demand({ exclude: new Set([home.id]) }), atHome: false, reason: 'affinity' },
-  { name: 'two failures are borne', before: failHome(2), atHome: true, reason: 'affinity' },
-  { name: 'three failures in a row eject', before: failHome(3), atHome: false, reason: 'affinity' },
+  { name: 'counts work reported by a peer', before: toldHome(9_000), atHome: false, reason: 'lessWork' },
+  { name: 'lets work reported by a peer decay over time', before: toldHome(9_000), mono: 200, atHome: true, reason: 'affinity' },
+  { name: 'leaves a target with slow prefill for a faster one', before: slowHome, demand: demand({ ownTokens: 5_000, sharedTokens: 100 }), mono: 2_000, atHome: false, reason: 'lessWork' },
+  { name: 'leaves out a target tried already', before: () => {}, demand: demand({ exclude: new Set([home.id]) }), atHome: false, reason: 'affinity' },
+  { name: 'tolerates two failures', before: failHome(2), atHome: true, reason: 'affinity' },
+  { name: 'ejects after three failures in a row', before: failHome(3), atHome: false, reason: 'affinity' },
   {
-    name: 'one failure to connect ejects',
+    name: 'ejects after one failure to connect',
     before: balancer => { balancer.ended(home.id, 'unreachable', 0) },
     atHome: false,
     reason: 'affinity'
@@ -81,7 +81,7 @@
 ]
 
 describe('TargetBalancer', () => {
-  it('forgets what it learned of a target that started again under its id, but for what is open there', () => {
+  it('resets the state of a target that restarted under its id, but keeps its open requests', () => {
     const balancer = new TargetBalancer()
     const [a, b] = [{ id: 'a', service: 's', address: 'a:1', domain: 'd', slots: 1, isLeaving: false }, { id: 'b', service: 's', address: 'b:1', domain: 'd', slots: 1, isLeaving: false }]
     const demand = { sharedParts: [], sharedTokens: 0, ownTokens: 1, exclude: new Set<string>() }
@@ -105,7 +105,7 @@
     })
   }
 
-  it('counts shared parts as unread only where they are not believed to be', () => {
+  it('counts shared parts as work only where they are assumed not to be cached', () => {
     const balancer = new TargetBalancer()
     sentHome(4_100)(balancer)
     const away = chosen(balancer, demand())
@@ -116,18 +116,18 @@
 
   const notices: ReadonlyArray<{ readonly name: string, readonly demand: TargetDemand, readonly told: boolean }> = [
     { name: 'of large requests', demand: demand({ ownTokens: 5_000 }), told: true },
-    { name: 'not of small requests where all expect them', demand: demand(), told: false },
+    { name: 'not of small requests at the home target', demand: demand(), told: false },
     { name: 'not of requests without shared parts', demand: demand({ sharedParts: [], ownTokens: 5_000 }), told: false }
   ]
   for (const { name, demand: what, told } of notices) {
-    it(`has other VMs told ${name}`, () => {
+    it(`notifies peers ${name}`, () => {
       const balancer = new TargetBalancer()
       const { notice } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
       expect(notice !== undefined).to.equal(told)
     })
   }
 
-  it('knows the shared parts that another VM had read elsewhere', () => {
+  it('uses shared parts that a peer sent to another target', () => {
     const [here, there] = [new TargetBalancer(), new TargetBalancer()]
     for (const balancer of [here, there]) sentHome(4_100)(balancer)
     const away = chosen(here, demand())
@@ -136,7 +136,7 @@
     expect([away.work, chosen(there, demand(), 100).work]).to.deep.equal([1_100, 100])
   })
 
-  it('sends requests without shared parts where the fewest are open', () => {
+  it('sends requests without shared parts to the target with the fewest open', () => {
     const balancer = new TargetBalancer()
     const seen = new Set<string>()
     for (let i = 0; i < targets.length; i += 1) {
@@ -153,7 +153,7 @@
     expect(balancer.choose(targets, demand(), 1, 0).isRight()).to.equal(true)
   })
 
-  it('refuses with a time to come back when there is no target', () => {
+  it('refuses with a retry delay when there is no target', () => {
     const failure = new TargetBalancer().choose([], demand(), 0, 0).extract()
     expect(failure).to.include({ code: 'noRunner', ran: 'no', retryAfterMs: 300 })
   })
--- a/packages/decisions/src/gateway/targetBalancer.ts
+++ b/packages/decisions/src/gateway/targetBalancer.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses the target of a request. Requests with the same shared prompt parts meet at the target that
- * rendezvous hashing names for these parts at every VM, so that it finds them in its cache; another
- * target in that order takes them where it gives the first token so much sooner that reading the shared
- * parts there is worth it. Requests without such parts go where this VM has the fewest requests open.
+ * Chooses the target of a request. Requests with the same shared prompt parts go to the same target, ranked by rendezvous hashing
+ * of the parts at every VM, so that its cache is used. A lower-ranked target is chosen if its first token comes so much sooner
+ * that it makes up for prefilling the shared parts again. Requests without shared parts go where this VM has the fewest open
+ * requests.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import * as z from 'zod'
@@ -14,71 +14,69 @@
 import { WarmUpPart, type WarmUpRate } from './warmUpPart.js'
 
 /**
- * Targets, in the order of rendezvous hashing, that are weighed for a request with shared parts. With all eight
- * of a pool 341,000 shared tokens were read again on a quiet day, with three 290,000.
+ * Highest-ranked targets compared for a request with shared parts. Comparing a whole pool spreads the shared parts over more
+ * targets, so more of them are prefilled again.
  */
 const WEIGHED = 3
 /**
- * Times the reading of shared parts counts: what it delays the request itself, and what it delays others
- * and takes from the target's memory. Against 2, a third fewer tokens were read again on a quiet day (194,000
- * of 290,000) and 116 streams were late of 133.
+ * Weight of prefilling shared parts again: it delays the request itself, delays others, and uses cache memory of the target. With
+ * 2, more shared tokens are prefilled again and more streams are late.
  */
 const REREAD_FACTOR = 4
-/** Prompt tokens from which other VMs are told of a request: what delays others by some ten milliseconds. */
+/** Peers are notified of requests from this size on, which delay others by some ten milliseconds. */
 const TOLD_TOKENS = 2_000
-/** Milliseconds to come back after when no target is listed or every one is ejected. */
+/** Retry delay when no target is listed, or every one was tried. */
 const NONE_RETRY_MS = 300
 
-/** What a choice depends on. */
+/** Properties of a request that its target depends on. */
 export interface TargetDemand {
-  /** Ids of the prompt parts that other requests have as well; empty without affinity. */
+  /** Ids of the prompt parts shared with other requests; empty without affinity. */
   readonly sharedParts: readonly string[]
   readonly sharedTokens: number
-  /** Prompt tokens of this request alone. */
+  /** Prompt tokens outside the shared parts. */
   readonly ownTokens: number
-  /** Targets tried already. */
+  /** Ids of the targets tried already. */
   readonly exclude: ReadonlySet<string>
-  /** Set for a request under which targets ended. */
+  /** Set for a request during which targets terminated. */
   readonly suspicion?: Suspicion
-  /** What targets bear while they warm up; absent where nothing bounds it. */
+  /** Rate limit of targets that warm up; absent if unbounded. */
   readonly warmUp?: WarmUpRate
 }
 
-/** Why a request has to go where all VMs send it. */
+/** Marks a request that may have terminated targets; all VMs send it to the same target. */
 export interface Suspicion {
-  /** Name by which they choose. */
+  /** Digest of the request, hashed to rank the targets. */
   readonly digest: string
-  /** Failure domains in which targets ended under it; if one of them is going down, the request fares better elsewhere. */
+  /** Failure domains in which targets terminated during the request; others are preferred in case a whole domain is failing. */
   readonly domains: readonly string[]
 }
 
-/** A target chosen, and the reason for the log. */
+/** The chosen target, and the reason for the log. */
 export interface TargetChoice {
   readonly target: Pick<TargetView, 'id' | 'address' | 'domain' | 'startedAt'>
-  /** Number of the candidates, or their names. */
+  /** Number of candidates, or their names. */
   readonly candidates: number | readonly string[]
   readonly reason: string
-  /** Prompt tokens that the target is believed to read for it. */
+  /** Prompt tokens that the target is estimated to prefill for the request. */
   readonly work: number
-  /** Targets that were left out, as they asked this VM to wait; absent where none can. */
+  /** Number of targets left out because of a pause; absent if targets cannot pause. */
   readonly paused?: number
 }
 
-/** What other VMs are told of a request that went to a target. */
+/** Notifies peers of a request sent to a target. */
 export const workNoticeSchema = z.object({
   target: z.string(),
-  /** Prompt tokens that the target has to read. */
+  /** Prompt tokens that the target has to prefill. */
   work: z.number().nonnegative(),
-  /** Name of the shared parts that it has read then. */
+  /** Key of the shared parts that the target caches then. */
   parts: z.string()
 })
 export type WorkNotice = z.infer<typeof workNoticeSchema>
 
-/** A request that was sent. */
 export interface SentWork {
-  /** Names the request on {@link TargetBalancer.begun}. */
+  /** Identifies the request in `endPrefill`. */
   readonly ticket: number
-  /** What other VMs should know; absent for small requests at the target where all VMs expect them. */
+  /** Notification for the peers; absent without shared parts, and for small requests at the target that all VMs rank highest. */
   readonly notice?: WorkNotice
 }
 
@@ -86,7 +84,7 @@
   readonly nameHash: number
   readonly health: TargetHealth
   readonly load: TargetLoad
-  /** Absent for a target that did not say that it warms up. */
+  /** Absent for a target that reported no warm-up. */
   warmUp?: WarmUpPart
   open: number
 }
@@ -97,15 +95,13 @@
 
   /**
    * Chooses a target.
-   * @param targets - targets of the service that take new work
-   * @param demand - the request
-   * @param mono - present time
-   * @param random - a number in [0, 1), decides among equals
+   * @param targets - targets of the service that accept new requests
+   * @param random - a number in [0, 1), breaks ties
    */
   choose (targets: readonly TargetView[], demand: TargetDemand, mono: number, random: number): Either<Failure, TargetChoice> {
     const untried = targets.filter(({ id }) => !demand.exclude.has(id))
     if (untried.length === 0) {
-      return Left(new Failure('noRunner', 'no target of the service takes new work', { retryAfterMs: NONE_RETRY_MS }))
+      return Left(new Failure('noRunner', 'no target of the service is left that accepts new requests', { retryAfterMs: NONE_RETRY_MS }))
     }
     const bearing = untried.filter(({ id }) => this.warmUpWait(id, demand, mono) === 0)
     if (bearing.length === 0) return Left(this.allWarmUp(untried, demand, mono))
@@ -117,10 +113,8 @@
   }
 
   /**
-   * Counts a request sent to a target.
-   * @param choice - the choice that was followed
+   * Records a request sent to the chosen target.
    * @param sharedParts - ids of its shared parts
-   * @param mono - present time
    */
   sent ({ target, work, reason }: TargetChoice, sharedParts: readonly string[], mono: number): SentWork {
     const state = this.stateOf(target.id)
@@ -134,11 +128,7 @@
     return isTold ? { ticket, notice: { target: target.id, work, parts } } : { ticket }
   }
 
-  /**
-   * Takes what another VM told of a request that it sent.
-   * @param notice - the request
-   * @param mono - present time
-   */
+  /** Records a request that a peer sent. */
   told ({ target, work, parts }: WorkNotice, mono: number): void {
     const { load } = this.stateOf(target)
     load.told(work, mono)
@@ -146,10 +136,8 @@
   }
 
   /**
-   * Takes what a target says of its warm-up.
-   * @param id - id of the target
-   * @param leftMs - milliseconds until it is warm; 0 or less when it is
-   * @param mono - present time
+   * Updates the warm-up state of a target.
+   * @param leftMs - milliseconds until it is warm; 0 or less if it is
    */
   warmsUp (id: string, leftMs: number, mono: number): void {
     const known = this.states.get(id)?.warmUp
@@ -158,22 +146,18 @@
   }
 
   /**
-   * The target began to answer, or the request ended without it.
-   * @param id - id of the target
-   * @param ticket - what {@link sent} answered
-   * @param isAnswered - whether it began to answer
-   * @param mono - present time
+   * Handles the first event of a request, or its end without one.
+   * @param ticket - from `sent`
+   * @param isAnswered - whether the target began to respond
    */
   begun (id: string, ticket: number, isAnswered: boolean, mono: number): void {
     this.stateOf(id).load.begun(ticket, isAnswered, mono)
   }
 
   /**
-   * Takes the end of a request.
-   * @param id - id of the target
-   * @param end - `good` when the target answered, `failed` when it did not, `unreachable` when no
-   * connection could be made, `none` when the end says nothing of the target
-   * @param mono - present time
+   * Handles the end of a request.
+   * @param end - `good` if the target responded, `failed` if it did not, `unreachable` if no connection could be made, `none` if
+   * the end says nothing about the target
    */
   ended (id: string, end: 'good' | 'failed' | 'unreachable' | 'none', mono: number): void {
     const state = this.stateOf(id)
@@ -183,26 +167,17 @@
     if (end === 'unreachable' && !state.health.isEjected(mono)) state.health.eject('unreachable', mono)
   }
 
-  /**
-   * Requests of this VM open at a target.
-   * @param id - id of the target
-   */
+  /** Number of this VM's open requests at a target. */
   open (id: string): number {
     return this.states.get(id)?.open ?? 0
   }
 
-  /**
-   * Forgets targets that are not listed any more and have nothing open.
-   * @param isListed - whether a target is listed
-   */
+  /** Drops the state of targets that are no longer listed and have no open requests. */
   forget (isListed: (id: string) => boolean): void {
     for (const [id, { open }] of this.states) if (open === 0 && !isListed(id)) this.states.delete(id)
   }
 
-  /**
-   * Forgets what was learned of a target: another process has its id, which keeps nothing of before.
-   * @param id - id of the target
-   */
+  /** Resets the state of a target, except its open requests: another process now has its id, with an empty cache. */
   restarted (id: string): void {
     const known = this.states.get(id)
     if (known === undefined) return
@@ -217,10 +192,10 @@
 
   private allWarmUp (targets: readonly TargetView[], demand: TargetDemand, mono: number): Failure {
     const waitMs = Math.min(...targets.map(({ id }) => this.warmUpWait(id, demand, mono)))
-    return new Failure('targetsWarmUp', 'the targets left warm up and bear no further request now', { retryAfterMs: Math.ceil(waitMs) })
+    return new Failure('targetsWarmUp', 'the remaining targets are warming up and accept no further request of this VM now', { retryAfterMs: Math.ceil(waitMs) })
   }
 
-  /** Ejected targets are left out unless all are: serving badly is better than refusing everything. */
+  /** Leaves out ejected targets unless all are ejected: a degraded service is better than refusing everything. */
   private usable (targets: readonly TargetView[], mono: number): readonly TargetView[] {
     const healthy = targets.filter(({ id }) => {
       const { health, open } = this.stateOf(id)
@@ -229,7 +204,7 @@
     return healthy.length > 0 ? healthy : targets
   }
 
-  /** The first target in order, unless another answers so much sooner that reading the shared parts there is worth it. */
+  /** The highest-ranked target, unless another responds so much sooner that prefilling the shared parts there pays off. */
   private byAffinity (candidates: readonly TargetView[], demand: TargetDemand, mono: number): TargetChoice {
     const key = hashOf(demand.sharedParts)
     const parts = nameOf(key)
@@ -248,8 +223,8 @@
   }
 
   /**
-   * The first target in the order of rendezvous hashing: VMs that know the same targets agree on it whatever their load, so that
-   * copies of a request that ends targets end one and not several.
+   * The highest-ranked target, whatever its load: VMs that list the same targets agree on it, so that copies of a request that
+   * terminates targets terminate one and not several.
    */
   private suspected (candidates: readonly TargetView[], { digest, domains }: Suspicion, { ownTokens, sharedTokens }: TargetDemand): TargetChoice {
     const key = hashName(digest)
@@ -278,7 +253,7 @@
   return hashName(parts.join(','))
 }
 
-/** A short name of hashed shared parts, the same at all VMs. */
+/** Compact key of hashed shared parts, the same at all VMs. */
 function nameOf (hash: number): string {
   return hash.toString(36)
 }
--- a/packages/decisions/src/gateway/targetLoad.ts
+++ b/packages/decisions/src/gateway/targetLoad.ts
@@ -1,27 +1,26 @@
 /**
- * What is known of the work of one target: prompt tokens that it has still to read, how fast it reads,
- * and which shared parts it was sent. A VM counts its own requests exactly and learns of large prompts
- * that other VMs sent; those are taken to be read at the speed that was observed.
+ * Estimates the prompt work of one target: tokens still to prefill, its prefill speed, and the shared prompt parts in its cache. A
+ * VM counts its own requests exactly; peers report their large prompts, which are assumed to be processed at the observed speed.
  */
 
-/** Tokens a millisecond before anything was observed: the slowest pools read about 40. */
+/** Speed assumed until one is observed; the slowest pools prefill about 40 tokens per millisecond. */
 const FIRST_SPEED = 40
-/** Bounds of a speed that is believed; outside of them something else was measured. */
+/** Bounds of an observed speed; values outside them do not come from prefill. */
 const LEAST_SPEED = 2
 const MOST_SPEED = 1_000
-/** Weight of a new observation: one slow answer is no slow target, a handful is. */
+/** Weight of a new sample in the moving average: one slow response does not make a target slow, a handful does. */
 const SPEED_WEIGHT = 0.2
-/** Tokens read for an answer below which its delay tells of the network and of steps, not of reading. */
+/** Samples with fewer tokens are ignored: their delay reflects the network and engine steps, not prefill. */
 const LEAST_OBSERVED = 2_000
-/** Milliseconds for which a target is believed to keep shared parts that it was sent. */
+/** Time for which a target is assumed to cache shared parts sent to it. */
 const CACHED_MS = 8_000
-/** Shared parts remembered for one target. */
+/** Most cache entries remembered per target. */
 const MOST_REMEMBERED = 2_000
 
-/** A request on its way to its first event. */
+/** A request that waits for its first event. */
 interface PendingWork {
   readonly tokens: number
-  /** Tokens to be read before its first event, those of others included. */
+  /** Tokens to prefill before its first event, including those of other requests. */
   readonly ahead: number
   readonly sentAt: number
 }
@@ -30,32 +29,28 @@
 export class TargetLoad {
   private readonly pending = new Map<number, PendingWork>()
   private pendingTokens = 0
-  /** Work that other VMs told of, as it was at `othersAt`. */
+  /** Unprocessed tokens reported by peers, as of `peerTokensAt`. */
   private others = 0
   private othersAt = 0
   private speed: number | undefined
   private nextTicket = 0
-  /** Shared parts sent there, and when. */
+  /** When shared parts were last sent to the target, by their key; oldest first. */
   private readonly cached = new Map<string, number>()
 
-  /** Tokens a millisecond that the target reads. */
+  /** Prefill speed. */
   get tokensPerMs (): number {
     return this.speed ?? FIRST_SPEED
   }
 
-  /**
-   * Tokens that are read there before those of a new request.
-   * @param mono - present time
-   */
+  /** Tokens to prefill before those of a new request. */
   ahead (mono: number): number {
     return this.pendingTokens + this.othersLeft(mono)
   }
 
   /**
    * Counts a request sent by this VM.
-   * @param tokens - prompt tokens that the target has to read for it
-   * @param mono - present time
-   * @returns what names the request on {@link begun}
+   * @param tokens - prompt tokens to prefill for it
+   * @returns ticket for `endPrefill`
    */
   sent (tokens: number, mono: number): number {
     this.nextTicket += 1
@@ -65,10 +60,8 @@
   }
 
   /**
-   * The first event of a request came, or the request ended without one.
-   * @param ticket - what {@link sent} answered
-   * @param isAnswered - whether the delay tells how fast the target reads
-   * @param mono - present time
+   * Handles the first event of a request, or its end without one.
+   * @param isAnswered - whether the delay is a sample of the prefill speed
    */
   begun (ticket: number, isAnswered: boolean, mono: number): void {
     const work = this.pending.get(ticket)
@@ -78,21 +71,13 @@
     if (isAnswered && work.ahead >= LEAST_OBSERVED) this.observe(work.ahead / Math.max(1, mono - work.sentAt))
   }
 
-  /**
-   * Counts work that another VM sent there.
-   * @param tokens - prompt tokens
-   * @param mono - present time
-   */
+  /** Counts prompt tokens that a peer sent to the target. */
   told (tokens: number, mono: number): void {
     this.others = this.othersLeft(mono) + tokens
     this.othersAt = mono
   }
 
-  /**
-   * Notes that shared parts were sent there.
-   * @param parts - names the parts
-   * @param mono - present time
-   */
+  /** Records that shared parts were sent to the target. */
   remember (parts: string, mono: number): void {
     this.cached.delete(parts)
     this.cached.set(parts, mono)
@@ -100,11 +85,7 @@
     if (this.cached.size > MOST_REMEMBERED && oldest.done !== true) this.cached.delete(oldest.value)
   }
 
-  /**
-   * Whether shared parts are believed to be in the target's memory.
-   * @param parts - names the parts
-   * @param mono - present time
-   */
+  /** Whether the target is assumed to have shared parts in its cache. */
   keeps (parts: string, mono: number): boolean {
     return mono - (this.cached.get(parts) ?? -Infinity) < CACHED_MS
   }
--- a/packages/decisions/src/gateway/targetReports.spec.ts
+++ b/packages/decisions/src/gateway/targetReports.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What answers of targets say of them, beside the register, in both orders.
+ * Reports in responses of targets, combined with register entries in both orders.
  */
 import { expect } from 'chai'
 import seedrandom from 'seedrandom'
@@ -17,7 +17,7 @@
 const TARGETS = 4
 const PROCESSES = 5
 
-/** A moment before any of the processes began, by the time of day. */
+/** An instant whose wall clock is before the start of any process. */
 function at (mono: number): Instant {
   return { mono, wall: -1 }
 }
@@ -28,17 +28,17 @@
 
 interface ReportCase {
   readonly name: string
-  /** At monotonic millisecond 0, with the first process listed. */
+  /** Runs at monotonic millisecond 0, with the first process listed. */
   readonly act: (set: TargetSet) => void
   readonly isServing: boolean
 }
 
 const cases: readonly ReportCase[] = [
-  { name: 'serves without a word', act: () => {}, isServing: true },
-  { name: 'serves after an answer that says nothing of it', act: set => { set.reported(FIRST, { isLeaving: false }, at(0)) }, isServing: true },
-  { name: 'is leaving by its answer', act: set => { set.reported(FIRST, LEAVING, at(0)) }, isServing: false },
+  { name: 'serves without any report', act: () => {}, isServing: true },
+  { name: 'serves after a response without a report', act: set => { set.reported(FIRST, { isLeaving: false }, at(0)) }, isServing: true },
+  { name: 'is leaving by its response', act: set => { set.reported(FIRST, LEAVING, at(0)) }, isServing: false },
   {
-    name: 'is leaving whatever a later answer leaves out',
+    name: 'stays leaving when a later response omits it',
     act: set => {
       set.reported(FIRST, LEAVING, at(0))
       set.reported(FIRST, { isLeaving: false }, at(1))
@@ -46,7 +46,7 @@
     isServing: false
   },
   {
-    name: 'is leaving whatever its heartbeats say',
+    name: 'stays leaving when its heartbeats still list it as serving',
     act: set => {
       set.reported(FIRST, LEAVING, at(0))
       set.put(viewOf(FIRST))
@@ -55,7 +55,7 @@
     isServing: false
   },
   {
-    name: 'is leaving when it is listed again after its entry lapsed',
+    name: 'stays leaving when it is listed again after its entry expired',
     act: set => {
       set.reported(FIRST, LEAVING, at(0))
       set.remove('a', 1)
@@ -73,7 +73,7 @@
     isServing: true
   },
   {
-    name: 'is leaving when it said so after its later process began, though the entry of the one before was listed',
+    name: 'stays leaving when the report came after the start of a later process that was listed only then',
     act: set => {
       set.reported(FIRST, LEAVING, { mono: 0, wall: 250 })
       set.put(viewOf(SECOND))
@@ -82,7 +82,7 @@
     isServing: false
   },
   {
-    name: 'serves again when that is in doubt for long',
+    name: 'serves again when that report has been in doubt for long',
     act: set => {
       set.reported(FIRST, LEAVING, { mono: 0, wall: 250 })
       set.put(viewOf(SECOND))
@@ -91,7 +91,7 @@
     isServing: true
   },
   {
-    name: 'is leaving when an older entry comes behind the word of a later process',
+    name: 'stays leaving when an older entry follows the report of a later process',
     act: set => {
       set.reported(SECOND, LEAVING, at(0))
       set.put(viewOf(FIRST))
@@ -99,7 +99,7 @@
     isServing: false
   },
   {
-    name: 'serves when the process before it answers late',
+    name: 'serves when the previous process responds late',
     act: set => {
       set.put(viewOf(SECOND))
       set.reported(FIRST, LEAVING, at(1))
@@ -107,7 +107,7 @@
     isServing: true
   },
   {
-    name: 'serves when the process before it answers late, before its own entry is there',
+    name: 'serves when the previous process responds late, before the entry of the current one is listed',
     act: set => {
       set.reported(SECOND, { isLeaving: false, pauseMs: 1 }, at(0))
       set.reported(FIRST, LEAVING, at(1))
@@ -115,7 +115,7 @@
     isServing: true
   },
   {
-    name: 'serves once a later process answers without a word of leaving',
+    name: 'serves once a later process responds without a leaving report',
     act: set => {
       set.reported(FIRST, LEAVING, at(0))
       set.reported(SECOND, { isLeaving: false }, at(1))
@@ -123,7 +123,7 @@
     isServing: true
   },
   {
-    name: 'is leaving by an answer that came before its entry',
+    name: 'is leaving by a response that came before its entry',
     act: set => {
       set.remove('a', 0)
       set.reported(FIRST, LEAVING, at(1))
@@ -132,7 +132,7 @@
     isServing: false
   },
   {
-    name: 'is leaving where starts are not told',
+    name: 'is leaving where start times are not reported',
     act: set => {
       set.replace([viewOf(UNTOLD)], 0)
       set.reported(UNTOLD, LEAVING, at(1))
@@ -163,7 +163,7 @@
     })
   }
 
-  it('tells news once', () => {
+  it('returns each change once', () => {
     const set = new TargetSet()
     set.replace([viewOf(FIRST)], 0)
     expect([1, 2, 3].map(mono => set.reported(FIRST, LEAVING, at(mono)))).to.deep.equal([['leaving'], [], []])
@@ -171,14 +171,14 @@
   const pauses: ReadonlyArray<{ readonly name: string, readonly act: (set: TargetSet) => void, readonly pausesMs: readonly number[] }> = [
     { name: 'none', act: () => {}, pausesMs: [] },
     { name: 'the time that is left', act: set => { set.reported(FIRST, { isLeaving: false, pauseMs: 3_000 }, at(0)) }, pausesMs: [2_000] },
-    { name: 'none once the time is over', act: set => { set.reported(FIRST, { isLeaving: false, pauseMs: 1_000 }, at(0)) }, pausesMs: [] },
+    { name: 'none once it has ended', act: set => { set.reported(FIRST, { isLeaving: false, pauseMs: 1_000 }, at(0)) }, pausesMs: [] },
     {
       name: 'the longest of several',
       act: set => { for (const pauseMs of [500, 4_000, 1_500]) set.reported(FIRST, { isLeaving: false, pauseMs }, at(0)) },
       pausesMs: [3_000]
     },
     {
-      name: 'the time that is left behind an answer that names none',
+      name: 'the time that is left after a response without a pause',
       act: set => {
         set.reported(FIRST, { isLeaving: false, pauseMs: 1_200 }, at(0))
         set.reported(FIRST, { isLeaving: false }, at(900))
@@ -186,7 +186,7 @@
       pausesMs: [200]
     },
     {
-      name: 'the time that is left after heartbeats and a register read anew',
+      name: 'the time that is left after heartbeats and a new read of the register',
       act: set => {
         set.reported(FIRST, { isLeaving: false, pauseMs: 3_000 }, at(0))
         set.put(viewOf(FIRST))
@@ -202,7 +202,7 @@
       },
       pausesMs: []
     },
-    { name: 'an hour at the most', act: set => { set.reported(FIRST, { isLeaving: false, pauseMs: 1e12 }, at(1_000)) }, pausesMs: [3_600_000] }
+    { name: 'one hour at most', act: set => { set.reported(FIRST, { isLeaving: false, pauseMs: 1e12 }, at(1_000)) }, pausesMs: [3_600_000] }
   ]
   for (const { name, act, pausesMs } of pauses) {
     it(`a pause: ${name}`, () => {
@@ -214,18 +214,18 @@
     })
   }
   for (let seed = 0; seed < SEEDS; seed += 1) {
-    it(`sends nothing to who asked for it, in any order of answers and entries (seed ${seed})`, () => { play(seed) })
+    it(`sends nothing to paused or leaving targets, in any order of responses and entries (seed ${seed})`, () => { play(seed) })
   }
 })
 
-/** What a target asked for, kept apart from the code that is played. */
+/** Reference model of what a target requested, independent of the tested code. */
 interface Asked {
   readonly startedAt: number
   readonly isLeaving: boolean
   readonly until: number
 }
 
-/** Plays answers and entries of present and earlier processes, and checks after each what may be sent to. */
+/** Plays responses and entries of current and earlier processes, and checks after each which targets may be used. */
 function play (seed: number): void {
   const random = seedrandom(`reports ${seed}`)
   const below = (most: number): number => Math.floor(random() * most)
--- a/packages/decisions/src/gateway/targetReports.ts
+++ b/packages/decisions/src/gateway/targetReports.ts
@@ -1,73 +1,66 @@
 /**
- * What targets said of themselves in their answers, kept by process. The register may say so later, or
- * never while its store is out of reach, and a heartbeat written before goes on to say that the target
- * serves. So only a later process of the target, or its absence for long, takes back that it is leaving.
+ * Leaving and pause reports that targets send with their responses, stored per process. The register may show them later, or never
+ * while its store is unreachable, and heartbeats written earlier still list the target as serving. So only a later process of the
+ * target, or a long absence from the register, clears a leaving report.
  *
- * An answer does not say which process gave it. Where one began again under its id and the register does not
- * say so yet, the answer is taken for one of the process before, until the later one is listed.
+ * A response does not name the process that sent it. If a target restarted under its id and the register does not list the new
+ * process yet, a response is attributed to the previous process until the later one is listed.
  */
 import type { Instant } from '../clock/clockTypes.js'
 
 /**
- * Milliseconds for which a report is remembered whose target is not listed any more, or whose process is in doubt. Targets
- * that live are listed again within seconds, and those that leave are gone.
+ * Retention of reports whose target is no longer listed, or whose process is in doubt. Live targets are listed again within
+ * seconds.
  */
 const REMEMBERED_MS = 60_000
 
-/** Longest time without requests that is kept to, in milliseconds. */
+/** Longest pause that a target may request. */
 export const MOST_PAUSE_MS = 3_600_000
 
-/** What one answer says of its target, besides answering. */
+/** What a response reports about its target. */
 export interface TargetReport {
   readonly isLeaving: boolean
-  /** Milliseconds for which the target wants no further request of this VM; absent where it names no time. */
+  /** Milliseconds for which this VM should send no further request; absent if no pause was requested. */
   readonly pauseMs?: number
-  /** The time as sent, where it cannot be read. */
+  /** The pause as sent, if it could not be parsed. */
   readonly flaw?: string
 }
 
-/** A process of a target. */
+/** One process of a target; a restart may reuse the id. */
 export interface TargetProcess {
   readonly id: string
-  /** Unix milliseconds of its start; absent where it is not told. */
+  /** Start time in Unix milliseconds; absent if not reported. */
   readonly startedAt?: number
 }
 
-/** What is known of one process. */
+/** Reports of one process. */
 interface Known {
   startedAt: number | undefined
-  /** When it last said something: monotonic and Unix milliseconds. */
+  /** Time of the last report. */
   said: Instant
-  /** Set when a later process was listed that may have said it. */
+  /** Set when a later process was listed that may have sent the last report. */
   isInDoubt: boolean
   isLeaving: boolean
-  /** Until when it wants no request. */
+  /** Monotonic time at which its pause ends. */
   pausedUntil: number
   listedAt: number
 }
 
-/** News in an answer. */
+/** A state that a report changed. */
 export type ReportNews = 'leaving' | 'paused'
 
-/**
- * Whether a process of a target is a later one than another.
- * @param process - the process
- * @param than - the other one
- */
+/** Whether a process of a target started later than another; false if a start time is missing. */
 export function isLaterProcess ({ startedAt }: Pick<TargetProcess, 'startedAt'>, than: Pick<TargetProcess, 'startedAt'>): boolean {
   return startedAt !== undefined && than.startedAt !== undefined && startedAt > than.startedAt
 }
 
-/** Reports of all targets to one VM. Times are monotonic milliseconds. */
+/** Reports of all targets to this VM. Times are monotonic milliseconds. */
 export class TargetReports {
   private readonly known = new Map<string, Known>()
 
   /**
-   * Takes what a process said with an answer.
-   * @param process - the process that answered
-   * @param report - what it said
-   * @param now - present time
-   * @returns what was not known before
+   * Records the report of a process.
+   * @returns the states that it changed
    */
   take (process: TargetProcess, { isLeaving, pauseMs = 0 }: TargetReport, now: Instant): readonly ReportNews[] {
     const known = this.knownOf(process, now)
@@ -83,26 +76,19 @@
     return news
   }
 
-  /**
-   * Milliseconds for which a target wants no request; 0 when it takes one.
-   * @param id - id of the target
-   * @param mono - present time
-   */
+  /** Milliseconds left of a target's pause; 0 if it accepts requests. */
   pauseMs (id: string, mono: number): number {
     return Math.max(0, (this.known.get(id)?.pausedUntil ?? mono) - mono)
   }
 
-  /**
-   * Whether a target said that it is leaving.
-   * @param id - id of the target
-   */
+  /** Whether a target reported that it is leaving. */
   isLeaving (id: string): boolean {
     return this.known.get(id)?.isLeaving === true
   }
 
   /**
-   * Takes the entry of a process in the register: one of a later process ends what an earlier one said before it began.
-   * @param process - the process
+   * Handles a register entry: one of a later process clears what an earlier process reported before that start. A report from
+   * after that start may be the later process's own and stays, in doubt.
    */
   listed (process: TargetProcess): void {
     const known = this.known.get(process.id)
@@ -116,10 +102,8 @@
   }
 
   /**
-   * Forgets targets that are not listed any more, and reports in doubt; to be called several times a second.
-   * @param isListed - whether a target is listed
-   * @param mono - present time
-   * @returns whether a target that is listed was forgotten
+   * Drops reports of unlisted targets and reports in doubt after their retention; to be called several times a second.
+   * @returns whether a report of a listed target was dropped
    */
   tick (isListed: (id: string) => boolean, mono: number): boolean {
     let isFreed = false
@@ -134,7 +118,7 @@
     return isFreed
   }
 
-  /** Undefined for a process whose successor has answered. */
+  /** The reports of a process, created if missing; undefined if a later process of the target has already responded. */
   private knownOf (process: TargetProcess, now: Instant): Known | undefined {
     const known = this.known.get(process.id)
     if (known !== undefined && isLaterProcess(known, process)) return undefined
--- a/packages/decisions/src/gateway/targetSet.spec.ts
+++ b/packages/decisions/src/gateway/targetSet.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Targets of the register: leaving ones get no work, and entries that lapse with the register come back.
+ * Targets of the register: leaving ones get no new requests, and entries that disappear during a register failure come back.
  */
 import { expect } from 'chai'
 import { RELIST_MS, TargetSet, type TargetView } from './targetSet.js'
@@ -15,13 +15,13 @@
 }
 
 const cases: readonly SetCase[] = [
-  { name: 'lists what the register has', act: () => {}, serving: ['a', 'b'] },
-  { name: 'takes a new entry', act: set => { set.put(view('c')) }, serving: ['a', 'b', 'c'] },
-  { name: 'gives no work to a leaving target', act: set => { set.put(view('a', { isLeaving: true })) }, serving: ['b'] },
-  { name: 'drops a removed entry at once while the register is well', act: set => { set.remove('a', 10_000) }, serving: ['b'] },
-  { name: 'drops an entry that a whole read lacks', act: set => { set.replace([view('b')], 10_000) }, serving: ['b'] },
+  { name: 'serves all entries of the register', act: () => {}, serving: ['a', 'b'] },
+  { name: 'adds a new entry', act: set => { set.put(view('c')) }, serving: ['a', 'b', 'c'] },
+  { name: 'sends no requests to a leaving target', act: set => { set.put(view('a', { isLeaving: true })) }, serving: ['b'] },
+  { name: 'drops a removed entry at once while the register is reachable', act: set => { set.remove('a', 10_000) }, serving: ['b'] },
+  { name: 'drops an entry that is missing from a complete read', act: set => { set.replace([view('b')], 10_000) }, serving: ['b'] },
   {
-    name: 'keeps an entry that went while the register was out of reach',
+    name: 'retains an entry that disappeared while the register was unreachable',
     act: set => {
       set.registerFailed(9_000)
       set.replace([], 10_000)
@@ -29,7 +29,7 @@
     serving: ['a', 'b']
   },
   {
-    name: 'drops it when it is not back in time',
+    name: 'drops a retained entry that is not listed again in time',
     act: set => {
       set.registerFailed(9_000)
       set.replace([], 10_000)
@@ -38,7 +38,7 @@
     serving: []
   },
   {
-    name: 'keeps it when it is back in time',
+    name: 'retains an entry that is listed again in time',
     act: set => {
       set.registerFailed(9_000)
       set.replace([], 10_000)
@@ -48,7 +48,7 @@
     serving: ['a']
   },
   {
-    name: 'drops a leaving target that goes while the register is out of reach',
+    name: 'drops a leaving target that is removed while the register is unreachable',
     act: set => {
       set.put(view('a', { isLeaving: true }))
       set.registerFailed(9_000)
@@ -69,7 +69,7 @@
     })
   }
 
-  it('tells a process that started again under its id from the one before, and discards an entry at once', () => {
+  it('distinguishes a process that restarted under its id from the previous one, and discards an entry at once', () => {
     const set = new TargetSet()
     set.put(view('a', { startedAt: 1 }))
     expect([view('a', { startedAt: 1 }), view('a', { startedAt: 2 }), view('b', { startedAt: 2 })].map(item => set.isRestarted(item))).to.deep.equal([false, true, false])
@@ -78,7 +78,7 @@
     expect([set.has('a'), set.serving('s')]).to.deep.equal([false, []])
   })
 
-  it('tells a heartbeat from news', () => {
+  it('distinguishes a heartbeat from a change', () => {
     const set = new TargetSet()
     set.put(view('a'))
     expect([set.isNew(view('a')), set.isNew(view('a', { isLeaving: true })), set.isNew(view('b'))]).to.deep.equal([false, true, true])
--- a/packages/decisions/src/gateway/targetSet.ts
+++ b/packages/decisions/src/gateway/targetSet.ts
@@ -1,7 +1,7 @@
 /**
- * The targets that the platform's register lists. An entry can disappear because its target left,
- * or because the register was out of reach of the target for too long. After trouble with the
- * register, removed entries are therefore kept for the time in which live targets are listed again.
+ * Targets listed in the platform's register. An entry disappears when its target leaves, but also when the target could not reach
+ * the register for too long. After a failure of the register, removed entries are therefore retained for the time in which live
+ * targets are listed again.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { DomainEvacuations, type EvacuationChange } from './domainEvacuations.js'
@@ -9,33 +9,33 @@
 
 /** One registered target. */
 export interface TargetView {
-  /** Unlike that of any other process at the same address. */
+  /** Differs from the id of any other process at the same address. */
   readonly id: string
   readonly service: string
   readonly address: string
   readonly domain: string
-  /** Requests that it works on at once. */
+  /** Requests that it handles concurrently. */
   readonly slots: number
   readonly isLeaving: boolean
-  /** Unix milliseconds of the start of its process, which may start again under the same id; absent where it is not told. */
+  /** Start of its process in Unix milliseconds; absent if not reported. A process may restart under the same id. */
   readonly startedAt?: number
-  /** Milliseconds for which it still warmed up when it said so; absent or 0 for a warm target. */
+  /** Milliseconds of warm-up left when it was reported; absent or 0 for a warm target. */
   readonly warmUpMs?: number
 }
 
-/** Milliseconds after trouble with the register for which a removed entry counts as lapsed; live targets are back within two seconds. */
+/** Time after a register failure for which removed entries are retained; live targets are listed again within two seconds. */
 export const RELIST_MS = 2_200
 
-/** Targets of a service by whether they take a request now. */
+/** Targets of a service that accept requests now, and the pauses of the others. */
 export interface AvailableTargets {
   readonly targets: readonly TargetView[]
-  /** Milliseconds until each of the others takes one. */
+  /** Milliseconds left of the pause of each of the others. */
   readonly pausesMs: readonly number[]
 }
 
 interface Listed {
   readonly view: TargetView
-  /** Set when the entry was removed and may come back. */
+  /** Set when the entry was removed but may be listed again. */
   readonly removedAt?: number
 }
 
@@ -47,11 +47,7 @@
   private readonly reports = new TargetReports()
   private troubleAt = -Infinity
 
-  /**
-   * Takes the whole register.
-   * @param views - all entries
-   * @param mono - present time
-   */
+  /** Replaces all entries by a complete read of the register. */
   replace (views: readonly TargetView[], mono: number): void {
     const present = new Set(views.map(view => view.id))
     for (const id of this.listed.keys()) if (!present.has(id)) this.drop(id, mono)
@@ -59,54 +55,38 @@
     this.rebuild()
   }
 
-  /**
-   * Takes one entry that was written.
-   * @param view - the entry
-   */
+  /** Adds or updates one entry. */
   put (view: TargetView): void {
     this.list(view)
     this.rebuild()
   }
 
   /**
-   * Takes what a target said of itself with an answer.
-   * @param process - the process that answered
-   * @param report - what it said
-   * @param now - present time
-   * @returns what was not known before
+   * Records what a target reported about itself.
+   * @returns the states that the report changed
    */
   reported (process: TargetProcess, report: TargetReport, now: Instant): readonly ReportNews[] {
     const listed = this.listed.get(process.id)?.view
     if (listed !== undefined && isLaterProcess(listed, process)) return []
     const wasLeaving = this.reports.isLeaving(process.id)
     const news = this.reports.take(process, report, now)
-    // A later process also ends what the one before it said.
+    // A report of a later process also clears the leaving state of the one before it.
     if (this.reports.isLeaving(process.id) !== wasLeaving) this.rebuild()
     return news
   }
 
-  /**
-   * Takes the removal of an entry.
-   * @param id - id of the target
-   * @param mono - present time
-   */
+  /** Handles the removal of an entry. */
   remove (id: string, mono: number): void {
     this.drop(id, mono)
     this.rebuild()
   }
 
-  /**
-   * Notes that the register could not be read.
-   * @param mono - present time
-   */
+  /** Records a failed read of the register. */
   registerFailed (mono: number): void {
     this.troubleAt = mono
   }
 
-  /**
-   * Forgets removed entries that were not listed again in time; to be called several times a second.
-   * @param mono - present time
-   */
+  /** Drops removed entries that were not listed again in time; to be called several times a second. */
   tick (mono: number): void {
     if (this.reports.tick(id => this.listed.has(id), mono)) this.rebuild()
     if (mono - this.troubleAt <= RELIST_MS) return
@@ -116,65 +96,49 @@
     this.rebuild()
   }
 
-  /** Failure domains whose targets get no new work. */
+  /** Failure domains whose targets get no new requests. */
   get evacuated (): ReadonlySet<string> {
     return this.evacuations.all
   }
 
   /**
-   * Takes all orders of evacuation.
-   * @param domains - the domains to be evacuated
-   * @returns what changed
+   * Replaces all evacuations by those of `domains`.
+   * @returns the changes
    */
   replaceEvacuations (domains: ReadonlySet<string>): readonly EvacuationChange[] {
     return this.rebuiltAfter(this.evacuations.replace(domains))
   }
 
   /**
-   * Takes one order of evacuation, or that it was taken back.
-   * @param domain - the failure domain
-   * @param isEvacuated - whether the order is in force
-   * @returns what changed
+   * Sets or lifts the evacuation of one failure domain.
+   * @returns the changes
    */
   setEvacuation (domain: string, isEvacuated: boolean): readonly EvacuationChange[] {
     return this.rebuiltAfter(this.evacuations.set(domain, isEvacuated))
   }
 
-  /** All listed targets, also those that get no new work. */
+  /** All listed targets, including those that get no new requests. */
   all (): readonly TargetView[] {
     return [...this.listed.values()].map(({ view }) => view)
   }
 
-  /**
-   * Whether a service has targets that would take new work, all of them in evacuated domains.
-   * @param service - name of the service
-   */
+  /** Whether all targets of a service that are not leaving are in evacuated domains, with at least one such target. */
   isEvacuated (service: string): boolean {
     if (this.serving(service).length > 0) return false
     return this.all().some(view => view.service === service && !this.isLeaving(view))
   }
 
-  /**
-   * Whether a target is leaving, by its entry or by its own answers.
-   * @param view - its entry
-   */
+  /** Whether a target is leaving, by its register entry or its own reports. */
   isLeaving ({ id, isLeaving }: TargetView): boolean {
     return isLeaving || this.reports.isLeaving(id)
   }
 
-  /**
-   * Targets of a service that take new work.
-   * @param service - name of the service
-   */
+  /** Targets of a service that accept new requests. */
   serving (service: string): readonly TargetView[] {
     return this.byService.get(service) ?? []
   }
 
-  /**
-   * Targets of a service that take new work now, and those that asked this VM to wait.
-   * @param service - name of the service
-   * @param mono - present time
-   */
+  /** Targets of a service that accept new requests now, and the pauses of those that requested one. */
   available (service: string, mono: number): AvailableTargets {
     const pausesMs: number[] = []
     const targets = this.serving(service).filter(({ id }) => {
@@ -185,44 +149,27 @@
     return { targets, pausesMs }
   }
 
-  /**
-   * Whether a target asked this VM to wait.
-   * @param id - id of the target
-   * @param mono - present time
-   */
+  /** Whether a target requested a pause that has not ended. */
   isPaused (id: string, mono: number): boolean {
     return this.reports.pauseMs(id, mono) > 0
   }
 
-  /**
-   * Whether a target is listed.
-   * @param id - id of the target
-   */
   has (id: string): boolean {
     return this.listed.has(id)
   }
 
-  /**
-   * Whether an entry tells more than a heartbeat.
-   * @param view - the entry
-   */
+  /** Whether an entry is new or changes the leaving state; otherwise it is only a heartbeat. */
   isNew (view: TargetView): boolean {
     return this.listed.get(view.id)?.view.isLeaving !== view.isLeaving
   }
 
-  /**
-   * Whether an entry is of a later process than the one listed under its id.
-   * @param view - the entry
-   */
+  /** Whether an entry belongs to another process than the one listed under its id. */
   isRestarted (view: TargetView): boolean {
     const known = this.listed.get(view.id)?.view
     return known !== undefined && known.startedAt !== view.startedAt
   }
 
-  /**
-   * Takes an entry out of use at once: what its row says names no target.
-   * @param id - id of the target
-   */
+  /** Removes an entry at once, without retention: its row does not describe a valid target. */
   discard (id: string): void {
     if (this.listed.delete(id)) this.rebuild()
   }
--- a/packages/decisions/src/gateway/targetView.ts
+++ b/packages/decisions/src/gateway/targetView.ts
@@ -1,5 +1,5 @@
 /**
- * How a target stands in the digest of the register.
+ * Decodes targets as stored in the digest of the register.
  */
 import * as z from 'zod'
 import type { TargetView } from './targetSet.js'
@@ -12,14 +12,11 @@
   slots: z.number(),
   isLeaving: z.boolean(),
   startedAt: z.number().optional(),
-  /** JSON has null for what was no number. */
+  /** null replaces a number that JSON cannot represent, such as NaN. */
   warmUpMs: z.number().nullish()
 })
 
-/**
- * Decodes a target; throws on what is none.
- * @param value - JSON value
- */
+/** @throws if `value` is not a target */
 export function decodeTargetView (value: unknown): TargetView {
   const { startedAt, warmUpMs, ...rest } = viewSchema.parse(value)
   return {
--- a/packages/decisions/src/gateway/warmUpPart.spec.ts
+++ b/packages/decisions/src/gateway/warmUpPart.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What one VM may send to a target that warms up: nothing where it is not named, else one request after another.
+ * Pacing during a warm-up: a VM that is not designated sends nothing, a designated one sends evenly.
  */
 import { expect } from 'chai'
 import { isWarmUpTime, WarmUpPart, type WarmUpRate } from './warmUpPart.js'
@@ -20,30 +20,30 @@
 }
 
 const cases: readonly WaitCase[] = [
-  { name: 'nothing where it is named and sent nothing yet', vm: named[0] ?? '', vms: names(79), at: 100, waitMs: 0 },
+  { name: 'nothing where it is designated and sent nothing yet', vm: named[0] ?? '', vms: names(79), at: 100, waitMs: 0 },
   { name: 'a second after its request, with four others', vm: named[0] ?? '', vms: names(79), sentAt: 100, at: 400, waitMs: 700 },
-  { name: 'until the target is warm where it is not named', vm: other, vms: names(79), at: 100, waitMs: 2_900 },
+  { name: 'until the target is warm where it is not designated', vm: other, vms: names(79), at: 100, waitMs: 2_900 },
   { name: 'until the target is warm where that comes sooner', vm: named[0] ?? '', vms: names(79), sentAt: 2_600, at: 2_700, waitMs: 300 },
   { name: 'nothing once the target is warm', vm: other, vms: names(79), at: WARM_AT, waitMs: 0 },
   { name: 'a fifth of a second where it is alone', vm: 'vm0', vms: ['vm0'], sentAt: 100, at: 100, waitMs: 200 },
-  { name: 'until the target is warm where it does not know the others yet', vm: 'vm0', vms: [], at: 100, waitMs: 2_900 }
+  { name: 'until the target is warm where the other VMs are still unknown', vm: 'vm0', vms: [], at: 100, waitMs: 2_900 }
 ]
 
 describe('WarmUpPart', () => {
   for (const { name, vm, vms, sentAt, at, waitMs } of cases) {
-    it(`has a VM wait ${name}`, () => {
+    it(`makes a VM wait ${name}`, () => {
       const part = new WarmUpPart('t', WARM_AT)
       if (sentAt !== undefined) part.sent(sentAt)
       expect(part.waitMs(rateOf(vm, vms), at)).to.equal(waitMs)
     })
   }
 
-  it('names half as many VMs as the target bears requests a second', () => {
+  it('designates half as many VMs as the target handles requests per second', () => {
     expect(named).to.have.length(5)
   })
 
   for (const [leftMs, isBelieved] of [[0, true], [3_000, true], [-1, false], [NaN, false], [1e12, false]] as const) {
-    it(`${isBelieved ? 'believes' : 'does not believe'} ${leftMs} ms`, () => {
+    it(`${isBelieved ? 'accepts' : 'rejects'} a warm-up of ${leftMs} ms`, () => {
       expect(isWarmUpTime(leftMs)).to.equal(isBelieved)
     })
   }
--- a/packages/decisions/src/gateway/warmUpPart.ts
+++ b/packages/decisions/src/gateway/warmUpPart.ts
@@ -1,68 +1,54 @@
 /**
- * Bounds what one VM sends to a target that warms up after its start: all VMs together may send only so many requests a second
- * there, and more end its process. A few VMs are named for each such target by rendezvous hashing on the VMs that each knows, and
- * each of them sends evenly; the others send nothing. So VMs that do not speak with each other, or are cut off, keep the bound together.
+ * Limits what one VM sends to a target that warms up after its start: all VMs together may send only so many requests per second,
+ * and more would terminate its process. Rendezvous hashing over the known VMs designates a few senders per target. Each of them
+ * paces its requests evenly and all others send none, so that the limit holds without communication and for partitioned VMs.
  *
- * Of 200 played returns of 20 targets that bear 11 a second, the worst second of one target had 488 requests without a bound where 79
- * VMs all took the first, 20 with an equal part of the rate for each VM, and 8 with named VMs; with 360 VMs 2,064, 21 and 8. Of a
- * hundred requests 12, and 6, found their prompt at a target that warmed up: a loss of three seconds against a target's life.
+ * Giving each VM an equal share of the rate instead lets short bursts exceed it. Requests that cannot use the target's cache
+ * meanwhile lose up to three seconds, which costs less than the loss of a target.
  */
 import { roleCandidates } from '../membership/memberRing.js'
 
 /**
- * Part of the rate that is used: VMs that each know only half of the others name more of them, and sent 27 requests in the worst
- * second with the whole rate and 17 with this part, where 21 are allowed.
+ * Share of the rate that is used: VMs that each know only half of the others designate more senders, which together would exceed
+ * the full rate.
  */
 const USED_PART = 0.5
-/** Milliseconds for which a naming is kept: VMs come and go in seconds. */
+/** Time for which a designation is cached; VMs come and go within seconds. */
 const NAMED_MS = 500
-/** Longest warm-up that is believed, in milliseconds: a hundred times the three seconds that pools of language models take. */
+/** Longest accepted warm-up: a hundred times the three seconds that pools of language models take. */
 const MOST_WARM_UP_MS = 300_000
 const MS_PER_S = 1_000
 
-/**
- * Whether a time until a target is warm can be true.
- * @param leftMs - the time, in milliseconds
- */
+/** Whether a reported time until a target is warm is plausible. */
 export function isWarmUpTime (leftMs: number): boolean {
   return leftMs >= 0 && leftMs <= MOST_WARM_UP_MS
 }
 
-/** What targets bear while they warm up, and who shares it. */
+/** Rate limit of targets that warm up, and the VMs that share it. */
 export interface WarmUpRate {
-  /** Requests a second that a target bears from all VMs together. */
+  /** Requests per second that a target handles from all VMs together. */
   readonly perS: number
   /** Name of this VM. */
   readonly vm: string
-  /** Names of all VMs, this one included; empty while they are not known, and then nothing is sent. */
+  /** Names of all VMs, including this one; empty while they are unknown, and then nothing is sent. */
   vms (): readonly string[]
 }
 
-/** What one VM may send to one target until it is warm. Times are monotonic milliseconds. */
+/** Paces the requests of one VM to one target until it is warm. Times are monotonic milliseconds. */
 export class WarmUpPart {
   private sentAt = -Infinity
   private intervalMs: number | undefined
   private namedAt = -Infinity
 
-  /**
-   * @param target - id of the target
-   * @param warmAt - when it is warm
-   */
+  /** @param warmAt - when the target is warm */
   constructor (private readonly target: string, private warmAt: number) {}
 
-  /**
-   * Takes what the target says now; what was sent still counts.
-   * @param warmAt - when it is warm
-   */
+  /** Updates when the target is warm; requests sent before still count. */
   told (warmAt: number): void {
     this.warmAt = warmAt
   }
 
-  /**
-   * Milliseconds until a request may be sent there; 0 when it may be now.
-   * @param rate - the rate of all VMs
-   * @param mono - present time
-   */
+  /** Milliseconds until this VM may send a request; 0 if it may now. */
   waitMs (rate: WarmUpRate, mono: number): number {
     if (mono >= this.warmAt) return 0
     const intervalMs = this.interval(rate, mono)
@@ -70,15 +56,12 @@
     return Math.max(0, Math.min(this.warmAt, this.sentAt + intervalMs) - mono)
   }
 
-  /**
-   * Counts a request that was sent there.
-   * @param mono - present time
-   */
+  /** Records that a request was sent at `mono`. */
   sent (mono: number): void {
     this.sentAt = mono
   }
 
-  /** Milliseconds between two requests of this VM; undefined where it is not named. */
+  /** Milliseconds between two requests of this VM; undefined if it is not designated. */
   private interval (rate: WarmUpRate, mono: number): number | undefined {
     if (mono - this.namedAt < NAMED_MS) return this.intervalMs
     this.namedAt = mono
--- a/packages/decisions/src/membership/callerAddresses.spec.ts
+++ b/packages/decisions/src/membership/callerAddresses.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The order of addresses for a team: stable, spread over the VMs, and past a VM that is far busier.
+ * Order of addresses for a team: stable, spread over the VMs, and past a VM that is far busier than the others.
  */
 import { expect } from 'chai'
 import { addressesFor } from './callerAddresses.js'
@@ -13,14 +13,14 @@
 }
 
 function firstOf (members: readonly MemberView[], team: string): string {
-  return addressesFor(place, members, 1, () => { throw new Error('random was drawn') }, team).addresses[0] ?? ''
+  return addressesFor(place, members, 1, () => { throw new Error('random() must not be called for a known team') }, team).addresses[0] ?? ''
 }
 
 const teams = Array.from({ length: 1_200 }, (_, index) => `team${index}`)
 const twelve = Array.from({ length: 12 }, (_, index) => member(index))
 
 describe('addresses in the order of a team', () => {
-  it('are the same at each ask and spread the teams', () => {
+  it('are the same for each request and spread the teams', () => {
     const firsts = teams.map(team => firstOf(twelve, team))
     expect(teams.map(team => firstOf([...twelve].reverse(), team))).to.deep.equal(firsts)
     const counts = twelve.map(({ vm }) => firsts.filter(first => first === vm).length)
@@ -33,7 +33,7 @@
     { name: 'a VM that is far busier than the rest', members: twelve.map((item, index) => index === 3 ? { ...item, openRequests: 100 } : item) }
   ]
   for (const { name, members } of changes) {
-    it(`change for the teams of ${name} and no others`, () => {
+    it(`change only for the teams of ${name}`, () => {
       for (const team of teams) {
         const before = firstOf(twelve, team)
         const after = firstOf(members, team)
@@ -49,7 +49,7 @@
     expect(share).to.be.within(0.11, 0.2)
   })
 
-  it('begin with the own failure domain', () => {
+  it('begin with the local failure domain', () => {
     const members = [member(0, { domain: 'far' }), member(1, { domain: 'far' }), member(2)]
     expect(teams.map(team => firstOf(members, team))).to.include.members(['vm2']).and.not.include('vm0')
   })
--- a/packages/decisions/src/membership/callerAddresses.ts
+++ b/packages/decisions/src/membership/callerAddresses.ts
@@ -1,38 +1,35 @@
 /**
- * Which VMs a caller should use: those of the own failure domain first, then the own region,
- * then the rest; inside each, at random but weighted by capacity and present load, so that
- * callers who ask at the same moment do not all go to one VM. A caller who says its team gets the
- * VMs of a domain in the team's own order, so that few VMs draw on each budget.
+ * Addresses of VMs for a caller: VMs of the local failure domain first, then those of the region, then the rest. Within each group
+ * the order is random, weighted by capacity and load, so that simultaneous callers spread over the VMs. For a known team the order
+ * within a group is the team's own, so that few VMs draw on each budget.
  */
 import { HASH_RANGE, hashName, pairWeight } from '../routing/rendezvous.js'
 import type { MemberView } from './memberTypes.js'
 
-/** Most addresses in one answer. */
+/** Most addresses in one response. */
 const MAX_ADDRESSES = 16
-/** Open requests beyond twice the mean and these many put a VM behind in a team's order. */
+/** A VM with more open requests than twice the mean plus this margin is busy and ranks lower in a team's order. */
 const BUSY_MARGIN = 8
-/** Weight left to a VM that is behind. */
+/** Weight factor of a busy VM. */
 const BUSY_WEIGHT = 0.01
 
-/** The answering VM's place. */
+/** Location of the responding VM. */
 export interface Place {
   readonly domain: string
   readonly region: string
 }
 
-/** Addresses (IPv4:port) in the order to try, and the milliseconds to keep them. */
+/** Addresses (IPv4:port) in the order to try, and the milliseconds for which to cache them. */
 export interface CallerAddresses {
   readonly addresses: readonly string[]
   readonly keepMs: number
 }
 
 /**
- * Addresses for a caller; never of a VM that is leaving, suspected or gone.
- * @param place - failure domain and region of the answering VM
- * @param members - all VMs as known now
- * @param keepMs - how long the answer may be kept, from the configuration
- * @param random - uniform in [0, 1), one draw for each VM
- * @param team - the caller's team, when it is known
+ * Addresses for a caller, of live VMs only.
+ * @param keepMs - milliseconds for which the response may be cached, from the configuration
+ * @param random - uniform in [0, 1), drawn once for each VM
+ * @param team - the caller's team, if known
  */
 export function addressesFor (place: Place, members: readonly MemberView[], keepMs: number, random: () => number, team?: string): CallerAddresses {
   const usable = members.filter(member => member.state === 'live')
@@ -48,7 +45,7 @@
   return member.region === place.region ? 1 : 2
 }
 
-/** Key of weighted sampling without replacement (Efraimidis and Spirakis 2006). */
+/** Sort key of weighted sampling without replacement (Efraimidis and Spirakis 2006). */
 function sortKey (weight: number, draw: number): number {
   return Math.log(Math.max(draw, Number.MIN_VALUE)) / weight
 }
@@ -57,7 +54,7 @@
   return member.capacity / (1 + member.openRequests)
 }
 
-/** Weighted rendezvous order: the same for a team at every VM, but for VMs that are far busier than the rest. */
+/** Weighted rendezvous order of a team: the same at every VM, except for busy VMs. */
 function teamKeys (team: string, members: readonly MemberView[]): (member: MemberView) => number {
   const key = hashName(team)
   const mean = members.reduce((sum, member) => sum + member.openRequests, 0) / Math.max(1, members.length)
--- a/packages/decisions/src/membership/heartbeatPlan.ts
+++ b/packages/decisions/src/membership/heartbeatPlan.ts
@@ -1,6 +1,5 @@
 /**
- * Who is told what in one period. The number of messages and the size of each are bounded
- * whatever the size of the fleet.
+ * Plans the heartbeats of one period. The number of messages and the size of each are bounded whatever the size of the fleet.
  */
 import { heartbeatTargets, roleCandidates } from './memberRing.js'
 import type { MemberRecord } from './memberRecord.js'
@@ -11,42 +10,34 @@
 /** One message to several VMs. */
 export interface PlannedBeat {
   readonly to: readonly MemberRecord[]
-  /** VMs of which the message tells. */
+  /** VMs whose updates the message contains. */
   readonly about: readonly string[]
-  /** Whether it asks for a heartbeat in return. */
+  /** Whether it requests a heartbeat in return. */
   readonly ask: boolean
 }
 
-/** The fleet at one moment. */
+/** State of the fleet at one moment. */
 export interface FleetMoment {
   readonly self: { readonly vm: string, readonly domain: string }
   /** Every other VM with its state. */
   readonly states: ReadonlyMap<MemberRecord, MemberState>
-  /** Those that take part in heartbeats. */
+  /** VMs that take part in heartbeats. */
   readonly participants: readonly MemberRecord[]
-  /** Number of this VM's heartbeat. */
+  /** Sequence number of this VM's heartbeat. */
   readonly beat: number
-  /** Milliseconds of silence that count against a VM. */
+  /** Milliseconds without a heartbeat that count against a VM. */
   readonly silenceMs: (record: MemberRecord) => number
 }
 
 /** Plans the heartbeats of one VM. */
 export class HeartbeatPlan {
-  /** The VM outside the targets that is told too, for a few periods at a time. */
+  /** Random VM beyond the regular recipients that gets heartbeats for a few periods. */
   private stranger: string | undefined
   private strangerUntil = 0
 
-  /**
-   * @param rumors - what there is to pass on
-   * @param random - uniform in [0, 1)
-   * @param limits - fan-out and thresholds
-   */
+  /** @param random - uniform in [0, 1) */
   constructor (private readonly rumors: RumorQueue, private readonly random: () => number, private readonly limits: MemberLimits) {}
 
-  /**
-   * The messages of one period.
-   * @param moment - the fleet now
-   */
   next (moment: FleetMoment): readonly PlannedBeat[] {
     const targets = this.targets(moment)
     const silent = this.silent(moment)
@@ -67,7 +58,7 @@
     return targets
   }
 
-  /** Kept for several periods, because each new one costs a connection and a handshake. */
+  /** Retained for several periods, because each new peer costs a connection and a handshake. */
   private nextStranger (moment: FleetMoment, targets: ReadonlySet<MemberRecord>): MemberRecord | undefined {
     const others = moment.participants.filter(record => !targets.has(record))
     const kept = others.find(record => record.vm === this.stranger)
@@ -82,7 +73,7 @@
     return this.rumors.takeDigest([...moment.states.keys()].map(record => record.vm), this.limits.digest)
   }
 
-  /** Watched VMs that should be asked for a heartbeat. */
+  /** Watched VMs to request a heartbeat from. */
   private silent (moment: FleetMoment): readonly MemberRecord[] {
     return moment.participants.filter(record => moment.silenceMs(record) > this.limits.askAfterMs)
   }
--- a/packages/decisions/src/membership/memberFleet.fixture.ts
+++ b/packages/decisions/src/membership/memberFleet.fixture.ts
@@ -1,6 +1,6 @@
 /**
- * Several membership deciders in one process, with a table, a lagging list and links that can
- * be cut. Time goes on only when a test says so.
+ * Harness that runs several membership deciders in one process, with a table, a lagging list and links that can be cut. Time
+ * advances only when a test says so.
  */
 import { MemberTable } from './memberTable.js'
 import type { Heartbeat, ListedVm, MemberAction, MemberEvent, MemberRow, MemberState } from './memberTypes.js'
@@ -17,7 +17,7 @@
   readonly actions: MemberAction[] = []
   frozen = false
   dead = false
-  /** Keeps the monotonic clock from moving, as some hypervisors do in a pause. */
+  /** Stops the monotonic clock, as some hypervisors do during a pause. */
   monoStopped = false
   mono = 0
 
@@ -54,14 +54,14 @@
   readonly vms: FleetVm[] = []
   readonly rows = new Map<string, StoredRow>()
   tableDown = false
-  /** Answers of writes to lose, after they took effect. */
+  /** Responses to writes to drop, after the writes took effect. */
   loseAnswers = 0
   /** Pairs of domains that cannot reach each other, as `a|b`. */
   readonly cuts = new Set<string>()
-  /** The platform's list as it was at a time. */
+  /** The platform's list as of a time. */
   list: { readonly asOf: number, readonly vms: readonly ListedVm[] } = { asOf: 0, vms: [] }
   messages = 0
-  /** Told of each message that is sent. */
+  /** Called for each message that is sent. */
   onMessage: (from: FleetVm, to: string, heartbeat: Heartbeat) => void = () => {}
   private nextVersion = 1
   private seed = 7
@@ -81,7 +81,7 @@
     return added
   }
 
-  /** Lets time pass in steps of a period; every active VM ticks once in each. */
+  /** Advances time in steps of a period; every active VM ticks once in each. */
   run (periods: number, periodMs = 1_000): void {
     for (let i = 0; i < periods; i += 1) {
       this.time += periodMs
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Writes a row from outside, on condition of its version. */
+  /** Writes a row on behalf of a test if its version matches; returns the new version. */
   store (row: MemberRow, version: number | null): number | undefined {
     const stored = this.rows.get(row.vm)
     if ((stored?.version ?? null) !== version) return undefined
--- a/packages/decisions/src/membership/memberRecord.ts
+++ b/packages/decisions/src/membership/memberRecord.ts
@@ -1,15 +1,10 @@
 /**
- * What is known of one VM and how sure it is. Every piece of evidence has an age; the state
- * follows from the evidence and the present time.
+ * Evidence about one VM. Every piece of evidence has an age; the VM's state follows from the evidence and the current time.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { MemberLimits, MemberNews, MemberRow, MemberState, MemberView, ReadMember } from './memberTypes.js'
 
-/**
- * The reading of both clocks some time before another.
- * @param at - the later reading
- * @param ms - milliseconds between them
- */
+/** Both clocks as they were some milliseconds before a reading. */
 export function earlier (at: Instant, ms: number): Instant {
   return { mono: at.mono - ms, wall: at.wall - ms }
 }
@@ -27,18 +22,15 @@
   private openRequests = 0
   private leaving: boolean
   private heardAt: Instant
-  /** First sign of this incarnation; older entries of the list speak of an earlier one. */
+  /** First sign of life of this incarnation; older entries of the list refer to an earlier one. */
   private firstHeardAt: Instant
   private goneAt: Instant | undefined
-  /** Heartbeat after which others heard nothing. */
+  /** Last heartbeat that peers received before they suspected the VM. */
   private suspectedBeat = -1
-  /** Since when heartbeats from this VM are due here; undefined when none are. */
+  /** Since when heartbeats of this VM are expected here; undefined if none are. */
   private watchedSince: Instant | undefined
 
-  /**
-   * @param read - the row of the VM
-   * @param askedAt - when the row was asked for
-   */
+  /** @param askedAt - when the row was requested */
   constructor (read: ReadMember, askedAt: Instant) {
     this.row = read.row
     this.rowVersion = read.version
@@ -55,7 +47,6 @@
     return this.row.holder
   }
 
-  /** Version of the row. */
   get version (): number {
     return this.rowVersion
   }
@@ -73,9 +64,8 @@
   }
 
   /**
-   * Takes a row that is newer than the one known.
-   * @param read - the row
-   * @param askedAt - when the row was asked for
+   * Applies a row if it is newer than the current one.
+   * @param askedAt - when the row was requested
    */
   readRow (read: ReadMember, askedAt: Instant): void {
     if (read.version <= this.rowVersion) return
@@ -91,11 +81,7 @@
     this.heard(at)
   }
 
-  /**
-   * Takes news of the present incarnation.
-   * @param news - what was told
-   * @param now - when it arrived
-   */
+  /** Applies an update about the current incarnation. */
   hear (news: MemberNews, now: Instant): void {
     this.leaving ||= news.state === 'leaving'
     if (news.state === 'suspected') {
@@ -110,31 +96,26 @@
   }
 
   /**
-   * Takes an entry of the platform's list; one older than what is known is ignored.
-   * @param state - what the list says
-   * @param at - latest time at which it surely held
+   * Applies an entry of the platform's list, unless other evidence is newer.
+   * @param at - latest time at which the entry was certainly valid
    */
   readList (state: 'live' | 'leaving' | 'gone', at: Instant): void {
     if (state === 'leaving' && isLater(at, this.firstHeardAt)) this.leaving = true
     if (state === 'gone' && isLater(at, this.heardAt)) this.goneAt = at
   }
 
-  /**
-   * Tells whether heartbeats of this VM are due here.
-   * @param due - whether they are
-   * @param now - the present time
-   */
+  /** Sets whether heartbeats of this VM are expected here. */
   watch (due: boolean, now: Instant): void {
     if (!due) this.watchedSince = undefined
     else this.watchedSince ??= now
   }
 
-  /** Starts the count of silence afresh, after a pause of this process. */
+  /** Restarts the measurement of silence after a pause of this process. */
   resetWatch (now: Instant): void {
     if (this.watched) this.watchedSince = now
   }
 
-  /** Milliseconds of silence that count against a watched VM; 0 for others. */
+  /** Milliseconds without a heartbeat that count against a watched VM; 0 for others. */
   silenceMs (now: Instant): number {
     if (this.watchedSince === undefined) return 0
     return elapsedMs(isLater(this.heardAt, this.watchedSince) ? this.heardAt : this.watchedSince, now)
@@ -147,9 +128,7 @@
 
   /**
    * The state that follows from all evidence.
-   * @param now - the present time
-   * @param limits - thresholds
-   * @param staleMs - age from which unheard VMs are suspected
+   * @param staleMs - age of the last sign of life from which a VM is suspected
    */
   state (now: Instant, limits: MemberLimits, staleMs: number): MemberState {
     if (this.goneAt !== undefined) return 'gone'
@@ -159,7 +138,7 @@
     return this.ageMs(now) > staleMs ? 'suspected' : 'live'
   }
 
-  /** What to pass on of this VM; nothing of a VM that is gone. */
+  /** Update about this VM for peers; undefined if the VM terminated. */
   news (state: MemberState, now: Instant): MemberNews | undefined {
     if (state === 'gone') return undefined
     const age = Math.round(this.ageMs(now))
--- a/packages/decisions/src/membership/memberRecords.ts
+++ b/packages/decisions/src/membership/memberRecords.ts
@@ -1,25 +1,20 @@
 /**
- * Every other VM that is known, and what follows for each at a moment.
+ * Records of all other VMs, and their states at a given time.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { heartbeatSources, type RingMember } from './memberRing.js'
 import { MemberRecord } from './memberRecord.js'
 import type { MemberLimits, MemberState, MemberView, ReadMember } from './memberTypes.js'
 
-/** Rows of VMs that the platform ended are kept so long, for those who settle what they held. */
+/** Retention of the rows of terminated VMs, for those that settle their allotments. */
 const KEEP_GONE_MS = 3_600_000
-/** Rows of VMs that nobody heard of for so long are dropped too; one that wakes registers again. */
+/** Retention of the rows of unresponsive VMs; one that recovers registers again. */
 const KEEP_SILENT_MS = 86_400_000
 
-/** The other VMs. */
 export class MemberRecords {
   private readonly records = new Map<string, MemberRecord>()
   private readonly lastStates = new Map<string, MemberState>()
 
-  /**
-   * @param self - this VM
-   * @param limits - thresholds
-   */
   constructor (private readonly self: RingMember, private readonly limits: MemberLimits) {}
 
   get size (): number {
@@ -35,9 +30,8 @@
   }
 
   /**
-   * Takes the row of another VM.
-   * @param read - the row
-   * @param askedAt - when it was asked for
+   * Adds or updates the record of another VM.
+   * @param askedAt - when the row was requested
    */
   readRow (read: ReadMember, askedAt: Instant): void {
     const record = this.records.get(read.row.vm)
@@ -46,8 +40,8 @@
   }
 
   /**
-   * Forgets the VMs that have no row any more.
-   * @param present - those that have one
+   * Drops the records of VMs that have no row any more.
+   * @param present - names of the VMs with a row
    */
   dropMissing (present: ReadonlySet<string>): void {
     for (const vm of this.records.keys()) {
@@ -66,17 +60,17 @@
     return new Map(this.all().map(record => [record, this.stateOf(record, now)]))
   }
 
-  /** VMs that take part in heartbeats: all but those gone or long unheard. */
+  /** VMs that take part in heartbeats: all but those terminated or unresponsive for long. */
   participants (now: Instant): readonly MemberRecord[] {
     return this.all().filter(record => record.ageMs(now) < this.limits.forgetAfterMs && this.stateOf(record, now) !== 'gone')
   }
 
-  /** Names of the VMs that are live. */
+  /** Names of the live VMs. */
   live (now: Instant): readonly string[] {
     return this.all().filter(record => this.stateOf(record, now) === 'live').map(record => record.vm)
   }
 
-  /** VMs whose rows need not be kept. */
+  /** VMs whose rows are past their retention. */
   outdated (now: Instant): readonly MemberRecord[] {
     return this.all().filter(record => {
       const keepMs = this.stateOf(record, now) === 'gone' ? KEEP_GONE_MS : KEEP_SILENT_MS
@@ -88,21 +82,20 @@
     return this.all().map(record => record.view(this.stateOf(record, now), now))
   }
 
-  /** Decides whose heartbeats are due here. */
+  /** Updates whose heartbeats are expected here. */
   updateWatch (now: Instant): void {
     const sources = new Set<RingMember>(heartbeatSources(this.self, this.participants(now), this.limits))
     for (const record of this.records.values()) record.watch(sources.has(record), now)
   }
 
-  /** Starts the count of silence afresh, after a pause of this process. */
+  /** Restarts the measurement of silence after a pause of this process. */
   resetWatch (now: Instant): void {
     for (const record of this.records.values()) record.resetWatch(now)
   }
 
   /**
-   * VMs whose state is another than at the last call, with the new one.
-   * @param now - the present time
-   * @param vms - which to look at; all when absent
+   * VMs whose state changed since the last call, with the new state.
+   * @param vms - which to check; all if absent
    */
   changes (now: Instant, vms: Iterable<string> = this.records.keys()): readonly { readonly vm: string, readonly state: MemberState }[] {
     const changed: { vm: string, state: MemberState }[] = []
--- a/packages/decisions/src/membership/memberRing.ts
+++ b/packages/decisions/src/membership/memberRing.ts
@@ -1,49 +1,41 @@
 /**
- * Who sends heartbeats to whom. Each VM computes the same ring of its domain from the same
- * names, so nothing has to be agreed; while views differ, a VM that wrongly expects heartbeats
- * asks for them.
+ * Determines who sends heartbeats to whom. Each VM computes the same ring of its domain from the same names, so no agreement is
+ * needed; while views differ, a VM that wrongly expects heartbeats requests them.
  */
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
-/** A name with its domain. */
 export interface RingMember {
   readonly vm: string
   readonly domain: string
 }
 
-/** How far heartbeats go. */
+/** Limits of the heartbeat fan-out. */
 export interface RingLimits {
   readonly meshMembers: number
   readonly ringFanout: number
 }
 
 /**
- * The VMs that get every heartbeat of one VM: all in a small fleet, else its successors on the
- * ring of its domain.
- * @param self - the sender
- * @param members - all members that take part, the sender included
- * @param limits - size of a small fleet, and number of successors
+ * Regular recipients of the heartbeats of one VM: all VMs in a small fleet, otherwise its successors on the ring of its domain.
+ * @param members - all members that take part, including the sender
  */
 export function heartbeatTargets<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
   return neighbours(self, members, limits, ring => ring.slice(0, limits.ringFanout))
 }
 
 /**
- * The VMs whose every heartbeat one VM gets; the inverse of {@link heartbeatTargets}.
- * @param self - the receiver
- * @param members - all members that take part, the receiver included
- * @param limits - size of a small fleet, and number of successors
+ * Regular senders of heartbeats to one VM; the inverse of `heartbeatRecipients`.
+ * @param members - all members that take part, including the receiver
  */
 export function heartbeatSources<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
   return neighbours(self, members, limits, ring => ring.slice(-limits.ringFanout))
 }
 
 /**
- * The VMs that may try to take a role, best first. Only the first few poll the lease of one, which
- * bounds the reads whatever the size of the fleet.
- * @param role - role of a lease, or what else few VMs do
- * @param vms - names of the live VMs that may hold it
- * @param atMost - how many are wanted
+ * Candidates for a role, best first. Only the first few poll the lease of a role, which bounds the reads whatever the size of the
+ * fleet.
+ * @param role - role of a lease, or another task that few VMs perform
+ * @param vms - names of the eligible live VMs
  */
 export function roleCandidates (role: string, vms: readonly string[], atMost: number): readonly string[] {
   const key = hashName(role)
@@ -52,7 +44,7 @@
   return weighed.slice(0, atMost).map(({ vm }) => vm)
 }
 
-/** Everyone in a small fleet, else a part of the domain's ring that begins behind `self`. */
+/** All other members in a small fleet, otherwise a slice of the domain's ring that starts behind `self`. */
 function neighbours<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits, part: (ring: readonly T[]) => readonly T[]): readonly T[] {
   const others = members.filter(member => member.vm !== self.vm)
   if (others.length < limits.meshMembers) return others
--- a/packages/decisions/src/membership/memberTable.spec.ts
+++ b/packages/decisions/src/membership/memberTable.spec.ts
@@ -16,7 +16,7 @@
   return fleet
 }
 
-/** States of one VM in the eyes of all active others, each once. */
+/** Distinct states of one VM as seen by all other active VMs. */
 function statesOf (fleet: Fleet, vm: FleetVm): readonly string[] {
   const others = fleet.vms.filter(other => other !== vm && other.active)
   return [...new Set(others.map(other => other.stateOf(vm.row.vm) ?? 'unknown'))].sort()
@@ -24,7 +24,7 @@
 
 describe('membership', () => {
   for (const perDomain of [1, 2, 6]) {
-    it(`${perDomain * 3} VMs: all see all as live, and a silent one as suspected until it is heard again`, () => {
+    it(`${perDomain * 3} VMs: all see all as live, and an unresponsive one as suspected until its next heartbeat`, () => {
       const fleet = fleetOf(perDomain)
       const victim = fleet.vms[0]!
       for (const vm of fleet.vms) expect(statesOf(fleet, vm)).deep.equal(['live'])
@@ -39,7 +39,7 @@
     })
   }
 
-  it('a leaving VM tells the VMs of its domain at once, and the table', () => {
+  it('a leaving VM notifies the VMs of its domain and the table at once', () => {
     for (const perDomain of [2, 6]) {
       const fleet = fleetOf(perDomain)
       const vm = fleet.vms[0]!
@@ -53,8 +53,8 @@
   })
 
   const listCases = [
-    { title: 'gone later than the last heartbeat', state: 'gone', asOf: 0, expected: 'gone' },
-    { title: 'gone, but a minute old and heard since', state: 'gone', asOf: -60_000, expected: 'live' },
+    { title: 'gone, later than the last heartbeat', state: 'gone', asOf: 0, expected: 'gone' },
+    { title: 'gone, but a minute old with a heartbeat since', state: 'gone', asOf: -60_000, expected: 'live' },
     { title: 'leaving', state: 'leaving', asOf: 0, expected: 'leaving' },
     { title: 'leaving, from before this incarnation', state: 'leaving', asOf: -60_000, expected: 'live' },
     { title: 'live', state: 'live', asOf: 0, expected: 'live' }
@@ -70,7 +70,7 @@
     })
   }
 
-  it('a list that lags by a minute does not hide a dead VM, and its late word makes it gone', () => {
+  it('a list that lags by a minute does not hide a terminated VM, and marks it as gone once it catches up', () => {
     const fleet = fleetOf(2)
     const victim = fleet.vms[0]!
     victim.dead = true
@@ -88,7 +88,7 @@
   })
 
   for (const monoStopped of [false, true]) {
-    it(`a VM replaced while frozen (monotonic clock ${monoStopped ? 'stopped' : 'running'}) stops on waking`, () => {
+    it(`a VM replaced while frozen (monotonic clock ${monoStopped ? 'stopped' : 'running'}) stops when it resumes`, () => {
       const fleet = fleetOf(1)
       const frozen = fleet.vms[0]!
       Object.assign(frozen, { frozen: true, monoStopped })
@@ -101,11 +101,11 @@
       expect(frozen.actions.filter(action => action.kind === 'replaced')).deep.equal([{ kind: 'replaced', by: 'quito-1~2' }])
       expect(fleet.rows.get('quito-1')?.row.holder).equal('quito-1~2')
       fleet.run(30)
-      expect(fleet.rows.get('quito-1')?.row.holder, 'never written again by the old one').equal('quito-1~2')
+      expect(fleet.rows.get('quito-1')?.row.holder, 'never written again by the old process').equal('quito-1~2')
     })
   }
 
-  it('a renewal that does not check the version would take the name back (counter-example)', () => {
+  it('a renewal without the version check would overwrite the new holder (counter-example)', () => {
     const fleet = fleetOf(1)
     const frozen = fleet.vms[0]!
     frozen.frozen = true
@@ -115,7 +115,7 @@
     expect(fleet.rows.get('quito-1')?.row.holder).equal('quito-1~1')
   })
 
-  it('while the table is down a woken VM knows that it may have been replaced, until it has read its row', () => {
+  it('while the table is down a resumed VM reports that it may have been replaced, until it has read its row', () => {
     const fleet = fleetOf(1)
     const vm = fleet.vms[0]!
     vm.frozen = true
@@ -130,7 +130,7 @@
     expect(vm.count('replaced')).equal(0)
   })
 
-  it('lost answers of registration and renewal are read back, not taken for another holder', () => {
+  it('lost responses to registration and renewal are resolved by a read, not mistaken for another holder', () => {
     const fleet = new Fleet()
     const vm = fleet.add('quito', 1)
     fleet.loseAnswers = 1
@@ -142,7 +142,7 @@
     expect(fleet.rows.get('quito-1')?.updatedAt).greaterThan(fleet.time - 21_000)
   })
 
-  it('a replica that still shows the earlier incarnation does not stop this one', () => {
+  it('an outdated replica that still shows the earlier incarnation does not stop this one', () => {
     const row = new OwnRow('a~2', 20_000)
     const at = (ms: number): { mono: number, wall: number } => ({ mono: ms, wall: ms })
     const wanted = new Fleet().add('quito', 1).row
@@ -158,7 +158,7 @@
     expect(row.read({ holder: 'a~3', version: 12 })).deep.equal([{ kind: 'replaced', by: 'a~3' }])
   })
 
-  it('the row is renewed by time and at once with another configuration version', () => {
+  it('the row is renewed periodically, and at once when the configuration version changes', () => {
     const fleet = fleetOf(1)
     const vm = fleet.vms[0]!
     const before = vm.count('writeOwn')
@@ -168,7 +168,7 @@
     expect(fleet.rows.get(vm.row.vm)?.row.configVersion).equal(2)
   })
 
-  it('domains that are cut apart suspect each other, while a third that reaches both sees all as live', () => {
+  it('partitioned domains suspect each other, while a third that reaches both sees all as live', () => {
     const fleet = fleetOf(2)
     const statesIn = (domain: string, of: string): readonly string[] => {
       const seen = fleet.vms.filter(vm => vm.row.domain === domain).flatMap(vm => [1, 2].map(i => vm.row.vm === `${of}-${i}` ? 'live' : vm.stateOf(`${of}-${i}`) ?? 'unknown'))
@@ -184,7 +184,7 @@
     for (const vm of fleet.vms) expect(statesOf(fleet, vm), vm.row.vm).deep.equal(['live'])
   })
 
-  it('messages and their sizes do not grow with the fleet', () => {
+  it('the number and size of messages do not grow with the fleet', () => {
     const fleet = fleetOf(30)
     const before = fleet.messages
     fleet.run(8)
@@ -193,7 +193,7 @@
     expect(Math.max(...beats)).most(defaultMemberLimits.rumors + defaultMemberLimits.digest)
   })
 
-  it('the row of a VM that ended is kept for an hour, then dropped, and others stay', () => {
+  it('the row of a terminated VM is retained for an hour, then deleted, and others stay', () => {
     const fleet = fleetOf(1)
     const victim = fleet.vms[0]!
     victim.dead = true
@@ -207,7 +207,7 @@
     expect(fleet.vms[1]!.stateOf(victim.row.vm)).equal(undefined)
   })
 
-  it('a heartbeat under another name than the proven one is ignored', () => {
+  it('a heartbeat whose holder differs from the authenticated sender is ignored', () => {
     const fleet = fleetOf(1)
     const [vm, other] = fleet.vms as [FleetVm, FleetVm]
     const forged = { holder: other.row.holder, beat: 9_999, state: 'leaving', config: 1, open: 0, age: 0 } as const
@@ -216,10 +216,10 @@
   })
 })
 
-describe('ring of heartbeats', () => {
+describe('heartbeat ring', () => {
   const members = DOMAINS.flatMap(domain => Array.from({ length: 20 }, (_, i) => ({ vm: `${domain}-${i}`, domain })))
 
-  it('sources are the inverse of targets, inside the domain, bounded', () => {
+  it('senders are the inverse of recipients, within the domain, bounded', () => {
     for (const self of members) {
       const targets = heartbeatTargets(self, members, defaultMemberLimits)
       expect(targets.length).equal(defaultMemberLimits.ringFanout)
@@ -230,7 +230,7 @@
     }
   })
 
-  it('candidates for a role do not depend on the order of names, and mostly stay when others go', () => {
+  it('candidates for a role do not depend on the order of names, and the rest stay when one leaves', () => {
     const vms = members.map(member => member.vm)
     const first = roleCandidates('placement', vms, 3)
     expect(roleCandidates('placement', [...vms].reverse(), 3)).deep.equal(first)
@@ -245,10 +245,10 @@
     vm, holder: `${vm}~1`, domain: 'quito', region: 'sierra', callers: vm, operators: vm, peers: vm, state: 'live', configVersion: 1, capacity: 1, openRequests: 0, ageMs: 0, ...over
   })
   const cases = [
-    { title: 'own domain, then own region, then the rest', members: [member('far', { domain: 'hcm', region: 'south' }), member('near', { domain: 'cumbaya' }), member('own')], expected: ['own', 'near', 'far'] },
-    { title: 'never leaving, suspected or gone', members: [member('a', { state: 'leaving' }), member('b', { state: 'suspected' }), member('c', { state: 'gone' }), member('d', { domain: 'cumbaya' })], expected: ['d'] },
-    { title: 'less loaded first at equal draws', members: [member('busy', { openRequests: 9 }), member('idle')], expected: ['idle', 'busy'] },
-    { title: 'larger first at equal draws', members: [member('small'), member('large', { capacity: 4 })], expected: ['large', 'small'] }
+    { title: 'local domain, then local region, then the rest', members: [member('far', { domain: 'hcm', region: 'south' }), member('near', { domain: 'cumbaya' }), member('own')], expected: ['own', 'near', 'far'] },
+    { title: 'no leaving, suspected or terminated VMs', members: [member('a', { state: 'leaving' }), member('b', { state: 'suspected' }), member('c', { state: 'gone' }), member('d', { domain: 'cumbaya' })], expected: ['d'] },
+    { title: 'the less loaded VM first at equal draws', members: [member('busy', { openRequests: 9 }), member('idle')], expected: ['idle', 'busy'] },
+    { title: 'the larger VM first at equal draws', members: [member('small'), member('large', { capacity: 4 })], expected: ['large', 'small'] }
   ]
   for (const { title, members, expected } of cases) {
     it(title, () => {
--- a/packages/decisions/src/membership/memberTable.ts
+++ b/packages/decisions/src/membership/memberTable.ts
@@ -1,7 +1,7 @@
 /**
- * Decides what this VM knows of the fleet and whom it tells. Heartbeats go to a bounded number
- * of VMs whatever the size of the fleet; the VMs that get them judge silence, and what they find
- * spreads with later heartbeats. A VM that is wrongly suspected hears of it and answers at once.
+ * Maintains this VM's view of the fleet and decides whom to notify. Heartbeats go to a bounded number of VMs whatever the size of
+ * the fleet; their recipients detect silence, and later heartbeats spread what they find. A VM that learns that it is wrongly
+ * suspected sends a heartbeat at once.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import { vmOf, type HolderId } from '../names/nameTypes.js'
@@ -32,8 +32,7 @@
 
   /**
    * @param self - the row of this process; `state` and `configVersion` change later
-   * @param random - uniform in [0, 1), for the choice of VMs to tell
-   * @param limits - periods and bounds
+   * @param random - uniform in [0, 1), selects random peers
    */
   constructor (self: MemberRow, random: () => number, private readonly limits: MemberLimits = defaultMemberLimits) {
     this.self = self
@@ -132,7 +131,7 @@
     this.records.readRow(read, askedAt)
   }
 
-  /** One VM of the fleet drops rows that need not be kept. */
+  /** Deletes rows that are past their retention; only one VM of the fleet does so. */
   private dropOutdated (now: Instant): readonly MemberAction[] {
     const [chosen] = roleCandidates(MEMBER_ROLES.placement, [this.self.vm, ...this.records.live(now)], 1)
     if (chosen !== this.self.vm) return []
@@ -207,7 +206,7 @@
     return [...actions, ...this.askRows(now)]
   }
 
-  /** Scans follow each other closely after the start, when many VMs may start together. */
+  /** Scans are frequent after the start, when many VMs may start together. */
   private scanPeriodMs (size: number, now: Instant): number {
     const steadyMs = Math.max(this.limits.scanMs, size * this.limits.scanMsPerMember)
     const sinceStartMs = this.startedAt === undefined ? 0 : elapsedMs(this.startedAt, now)
--- a/packages/decisions/src/membership/memberTypes.ts
+++ b/packages/decisions/src/membership/memberTypes.ts
@@ -1,6 +1,6 @@
 /**
- * Membership as the decider sees it: what the VMs tell each other, what the table and the
- * platform's list say, and what follows from it.
+ * Types of membership: the messages between VMs, the rows of the table, the entries of the platform's list, and the events and
+ * actions of the decider.
  */
 import * as z from 'zod'
 import type { Instant } from '../clock/clockTypes.js'
@@ -12,7 +12,7 @@
 const count = z.number().int().nonnegative()
 const version = count.nullable()
 
-/** Row `vms/<vm>`: the present incarnation of a VM. Addresses are IPv4:port. */
+/** Row `vms/<vm>`: the current incarnation of a VM. Addresses are IPv4:port. */
 export const memberRowSchema = z.object({
   vm: z.string(),
   holder: z.string(),
@@ -24,35 +24,35 @@
   state: z.enum(['live', 'leaving']),
   /** Configuration version in force; null before the first. */
   configVersion: version,
-  /** Share of the callers' load relative to other VMs. */
+  /** Share of the callers' load, relative to other VMs. */
   capacity: z.number().positive().default(1)
 })
 export type MemberRow = z.infer<typeof memberRowSchema>
 
-/** What is told of one VM; short names of members, for it is the bulk of the traffic. */
+/** Update about one VM. Property names are short because updates are the bulk of the traffic. */
 export const memberNewsSchema = z.object({
   holder: z.string().max(256),
-  /** Number of the heartbeat from which this is known; rises with each one of a holder. */
+  /** Sequence number of the heartbeat that carried this state; grows with each heartbeat of a holder. */
   beat: count,
   state: z.enum(['live', 'leaving', 'suspected']),
   config: version,
   /** Requests open at the VM. */
   open: count,
-  /** Milliseconds since the heartbeat was sent, by the clocks on its way. */
+  /** Milliseconds since the heartbeat was sent, by the clocks on its path. */
   age: count
 })
 export type MemberNews = z.infer<typeof memberNewsSchema>
 
-/** A heartbeat: the sender's own state, and what it passes on of others. */
+/** A heartbeat: the sender's state, and updates about other VMs. */
 export const heartbeatSchema = z.object({
   self: memberNewsSchema,
   news: z.array(memberNewsSchema).max(64),
-  /** Asks the receiver for a heartbeat in return. */
+  /** Requests a heartbeat in return. */
   ask: z.boolean()
 })
 export type Heartbeat = z.infer<typeof heartbeatSchema>
 
-/** `suspected`: no sign of life for a while; `gone`: the platform ended the VM. */
+/** `suspected`: no sign of life for a while; `gone`: terminated by the platform. */
 export type MemberState = 'live' | 'leaving' | 'suspected' | 'gone'
 
 /** One VM as this VM sees it. */
@@ -63,7 +63,7 @@
   readonly ageMs: number
 }
 
-/** A row of the table with its version and the milliseconds since it was written. */
+/** A stored row with its version and the milliseconds since it was written. */
 export interface ReadMember {
   readonly row: MemberRow
   readonly version: number
@@ -76,29 +76,29 @@
   readonly state: 'live' | 'leaving' | 'gone'
 }
 
-/** How the write of the own row ended. */
+/** Outcome of a write of the local row. */
 export type OwnWriteOutcome =
   | { readonly kind: 'written', readonly version: number }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'unavailable' }
   | { readonly kind: 'unknown' }
 
-/** What the decider is told. */
+/** Input of the decider. */
 export type MemberEvent =
   | { readonly kind: 'tick' }
-  /** The VM's own figures changed. */
+  /** The configuration version or the load of this VM changed. */
   | { readonly kind: 'self', readonly configVersion: number | null, readonly openRequests: number }
   | { readonly kind: 'heard', readonly from: HolderId, readonly heartbeat: Heartbeat }
-  /** Rows read; `whole` when no other rows exist. */
+  /** Rows were read; `whole` if no other rows exist. */
   | { readonly kind: 'rowsRead', readonly rows: readonly ReadMember[], readonly whole: boolean, readonly askedAt: Instant }
-  /** The platform's list; `lagMs` is its age when it was answered. */
+  /** The platform's list was read; `lagMs` is its age at the time of the response. */
   | { readonly kind: 'listRead', readonly vms: readonly ListedVm[], readonly lagMs: number, readonly askedAt: Instant }
   | { readonly kind: 'ownRead', readonly found: { readonly holder: HolderId, readonly version: number } | null }
   | { readonly kind: 'ownUnreadable' }
   | { readonly kind: 'ownWritten', readonly outcome: OwnWriteOutcome }
   | { readonly kind: 'leave' }
 
-/** What the shell has to do. */
+/** Output of the decider, carried out by its driver. */
 export type MemberAction =
   | { readonly kind: 'beat', readonly to: readonly string[], readonly heartbeat: Heartbeat }
   /** Read every row. */
@@ -107,51 +107,53 @@
   | { readonly kind: 'readRows', readonly vms: readonly string[] }
   | { readonly kind: 'readList' }
   | { readonly kind: 'readOwn' }
-  /** Write the own row if its version is still the given one (null: if there is none). */
+  /** Write the local row if its version is still the given one (null: if there is none). */
   | { readonly kind: 'writeOwn', readonly row: MemberRow, readonly version: number | null }
-  /** Delete the row of a VM that ended long ago, if its version is still the given one. */
+  /** Delete the row of a VM that terminated long ago, if its version is still the given one. */
   | { readonly kind: 'dropRow', readonly vm: string, readonly version: number }
   | { readonly kind: 'changed', readonly vm: string, readonly state: MemberState, readonly evidence: string }
-  /** A clock moved on by more than the time between two ticks: the process may have been paused. */
+  /** A clock advanced by more than the time between two ticks: the process may have been paused. */
   | { readonly kind: 'jumped', readonly jumpMs: number }
   /** Another incarnation runs under this VM's name: this process must stop. */
   | { readonly kind: 'replaced', readonly by: HolderId }
 
-/** Periods and thresholds in milliseconds, and bounds of fan-out. */
+/** Periods and thresholds in milliseconds, and limits of the fan-out. */
 export interface MemberLimits {
-  /** Between two heartbeats. */
+  /** Interval between two heartbeats. */
   readonly periodMs: number
-  /** A watched VM that is silent for so long is asked for a sign of life. */
+  /** A watched VM that is silent for this long is probed. */
   readonly askAfterMs: number
-  /** A watched VM that is silent for so long is suspected. */
+  /** A watched VM that is silent for this long is suspected. */
   readonly suspectAfterMs: number
-  /** Any VM of which nothing was heard in any way for so long is suspected; grows with the fleet, more than the scans. */
+  /**
+   * Any VM without a sign of life from any source for this long is suspected; grows with the fleet, faster than the scan period.
+   */
   readonly staleAfterMs: number
-  /** A VM silent for so long gets no heartbeats. */
+  /** A VM that is silent for this long gets no heartbeats. */
   readonly forgetAfterMs: number
-  /** A tick so much later than the one before means a pause. */
+  /** A tick that is late by this much indicates a pause of the process. */
   readonly jumpMs: number
-  /** Between two writes of the own row. */
+  /** Interval between two writes of the local row. */
   readonly renewMs: number
-  /** Shortest time between two scans, and between two reads of the list; grow with the fleet. */
+  /** Shortest intervals between two scans, and between two reads of the list; both grow with the fleet. */
   readonly scanMs: number
   readonly listMs: number
-  /** Added to both for each member. */
+  /** Lower bounds of these intervals and of `staleAfterMs`, for each member. */
   readonly scanMsPerMember: number
   readonly listMsPerMember: number
   readonly staleMsPerMember: number
-  /** Up to so many members everyone sends to everyone. */
+  /** Up to this many members, everyone sends to everyone. */
   readonly meshMembers: number
-  /** Successors on the ring of the domain that get each heartbeat. */
+  /** Successors on the domain's ring that get each heartbeat. */
   readonly ringFanout: number
-  /** Periods between two heartbeats to the domain's first candidate for the writer's role. */
+  /** Periods between two heartbeats to the first candidate for the domain's writer role. */
   readonly writerEvery: number
-  /** Periods for which one random VM outside these gets heartbeats too. */
+  /** Periods for which one random peer beyond these gets heartbeats. */
   readonly strangerPeriods: number
-  /** Entries passed on with a heartbeat to a neighbour, and with the one to a random VM. */
+  /** Updates in one heartbeat: recent changes in each, other members only in the one to a random peer. */
   readonly rumors: number
   readonly digest: number
-  /** Times that a change is passed on. */
+  /** Messages in which a change is passed on. */
   readonly rumorTimes: number
 }
 
@@ -178,16 +180,15 @@
   rumorTimes: 8
 }
 
-/** Decides what is known of the fleet and whom to tell. */
+/** Maintains the view of the fleet and decides whom to notify. */
 export interface MemberDecider {
   /**
-   * Takes one event.
-   * @param event - what happened
+   * Handles one event.
    * @param now - both clocks, read when it happened
    */
   handle (event: MemberEvent, now: Instant): readonly MemberAction[]
-  /** Every known VM, this one included, in the order of names. */
+  /** All VMs including this one, sorted by name. */
   members (now: Instant): readonly MemberView[]
-  /** Whether a pause was noticed since the own row was last seen to name this process. */
+  /** Whether a pause was detected since the local row was last seen to name this process. */
   mayBeReplaced (): boolean
 }
--- a/packages/decisions/src/membership/namedVms.ts
+++ b/packages/decisions/src/membership/namedVms.ts
@@ -1,40 +1,38 @@
 /**
- * Which VMs are named to a caller who asks where to connect. VMs of the caller's own failure domain
- * are enough as long as several of them have room; else those of other domains fill the answer up.
- * Each caller gets the VMs that rank first for it by rendezvous hashing, so that every VM is named about
- * equally often, and a caller who asks again, also of another VM, keeps its open connections.
+ * Selects the VMs to advertise to a caller that requests addresses. VMs of the caller's failure domain suffice if several of them
+ * have capacity; otherwise VMs of other domains are added. The VMs are ranked for each caller by rendezvous hashing, so that each
+ * VM is advertised about equally often and a caller that requests again, also from another VM, keeps its open connections.
  */
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
-/** Most VMs that one answer may name. */
+/** Most VMs in one response. */
 const MOST_NAMED = 64
-/** VMs with room in the caller's domain from which on no others are named. */
+/** VMs with capacity in the caller's domain from which on no others are advertised. */
 const ENOUGH_VMS = 8
-/** Part of the domain's VMs that have to have room for that. */
+/** Share of the domain's VMs that must have capacity for that. */
 const ENOUGH_PART = 0.5
 
-/** A VM that may be named. */
+/** A VM that may be advertised. */
 export interface NamedVm {
   readonly vm: string
   readonly domain: string
   readonly region?: string | undefined
-  /** Whether it has more to do than it can. */
+  /** Whether it is overloaded. */
   readonly isPressed?: boolean | undefined
 }
 
-/** Where a caller is who asks for addresses. */
+/** Location of a caller that requests addresses. */
 export interface CallerPlace {
-  /** What tells callers apart. */
+  /** Identifies the caller. */
   readonly caller: string
-  /** Absent where the caller does not say. */
+  /** Absent if the caller does not send it. */
   readonly domain?: string | undefined
   readonly region?: string | undefined
 }
 
 /**
- * VMs to name to a caller. Where all are pressed they are named all the same: being refused there is better than no address.
- * @param place - the caller
- * @param serving - VMs that serve
+ * VMs to advertise to a caller. If all are overloaded they are advertised all the same: a refusal there is better than no address.
+ * @param serving - VMs that serve requests
  */
 export function namedVms<T extends NamedVm> (place: CallerPlace, serving: readonly T[]): readonly T[] {
   const withRoom = serving.filter(vm => vm.isPressed !== true)
--- a/packages/decisions/src/membership/ownRow.ts
+++ b/packages/decisions/src/membership/ownRow.ts
@@ -1,24 +1,23 @@
 /**
- * The row of this VM in the table: written at the start over any earlier incarnation, renewed
- * from then on only while it still names this process. A row that names another holder means
- * that this VM was replaced.
+ * State of this VM's row in the table: written at the start over any earlier incarnation, then renewed only while it still names
+ * this process. A row that names another holder means that this VM was replaced.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { HolderId } from '../names/nameTypes.js'
 import type { MemberAction, MemberRow, OwnWriteOutcome } from './memberTypes.js'
 
-/** Milliseconds after which a failed call to the table is tried again. */
+/** Delay before a failed call to the table is retried. */
 const RETRY_MS = 1_000
 
 type Phase =
-  /** Never yet seen in the table. */
+  /** The row was not yet seen in the table. */
   | 'starting'
   | 'registered'
-  /** A pause or a lost answer: the row has to be read. */
+  /** After a pause or a lost response: the row has to be read. */
   | 'unsure'
   | 'replaced'
 
-/** Decides when to read and write the own row. */
+/** Decides when to read and write the local row. */
 export class OwnRow {
   private phase: Phase = 'starting'
   private version: number | null = null
@@ -31,10 +30,7 @@
   private written: MemberRow | undefined
   private paused = false
 
-  /**
-   * @param holder - holder id of this process
-   * @param renewMs - milliseconds between two renewals
-   */
+  /** @param renewMs - milliseconds between two renewals */
   constructor (private readonly holder: HolderId, private readonly renewMs: number) {}
 
   get registered (): boolean {
@@ -45,27 +41,26 @@
     return this.paused || this.phase === 'replaced'
   }
 
-  /** The process may have been paused: the row is read before it is written again. */
+  /** Handles a possible pause of the process: the row is read before it is written again. */
   doubt (): void {
     if (this.phase !== 'starting') this.paused = true
     this.unsure()
   }
 
-  /** The row must be read, without any doubt about a pause. */
+  /** Schedules a read of the row, without assuming a pause. */
   unsure (): void {
     this.wantsRead = true
     if (this.phase === 'registered') this.phase = 'unsure'
   }
 
-  /** Writes the row as soon as possible, as when this VM leaves. */
+  /** Schedules a write of the row as soon as possible, as when this VM leaves. */
   makeDue (): void {
     this.wantsWrite = true
   }
 
   /**
    * The next call to the table, if one is due.
-   * @param row - what the row should say
-   * @param now - the present time
+   * @param row - the desired content of the row
    */
   due (row: MemberRow, now: Instant): readonly MemberAction[] {
     if (this.busy || this.phase === 'replaced' || this.isTooEarly(now)) return []
@@ -78,12 +73,12 @@
   }
 
   /**
-   * The row as read.
-   * @param found - its holder and version, null when there is none
+   * Handles a read of the row.
+   * @param found - its holder and version; null if there is no row
    */
   read (found: { readonly holder: HolderId, readonly version: number } | null): readonly MemberAction[] {
     if (found !== null && this.version !== null && found.version < this.version) {
-      // An older replica answered; what it says of the holder is past.
+      // An outdated replica responded; its holder is no longer valid.
       this.unreadable()
       return []
     }
@@ -100,16 +95,13 @@
     return []
   }
 
-  /** The table could not be read. */
+  /** Handles a failed read of the table. */
   unreadable (): void {
     this.busy = false
     this.failed = true
   }
 
-  /**
-   * A write ended.
-   * @param outcome - how
-   */
+  /** Handles the outcome of a write. */
   wrote (outcome: OwnWriteOutcome): void {
     this.busy = false
     this.failed = outcome.kind === 'unavailable'
--- a/packages/decisions/src/membership/rowQuestions.ts
+++ b/packages/decisions/src/membership/rowQuestions.ts
@@ -1,33 +1,30 @@
 /**
- * VMs of whose present holder no row is known. Each is asked for in bounded batches and not
- * again for a while, so that news of a holder that ended long ago costs little.
+ * VMs whose current holder has no row here yet. Their rows are requested in bounded batches and not again for a while, so that
+ * updates about a holder that terminated long ago cost little.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 
-/** Rows asked for at once. */
+/** Most rows in one request. */
 const MAX_ASKED = 50
-/** Milliseconds before the row of a VM is asked for again. */
+/** Delay before the row of a VM is requested again. */
 const ASK_AGAIN_MS = 5_000
 
-/** Which rows to ask for. */
+/** Selects the rows to request. */
 export class RowQuestions {
   private readonly wanted = new Set<string>()
   private readonly askedAt = new Map<string, Instant>()
 
-  /** Notes that the row of a VM is needed. */
+  /** Marks the row of a VM as needed. */
   need (vm: string): void {
     this.wanted.add(vm)
   }
 
-  /** Notes that the row of a VM was read. */
+  /** Marks the row of a VM as read. */
   answered (vm: string): void {
     this.wanted.delete(vm)
   }
 
-  /**
-   * The VMs to ask for now.
-   * @param now - the present time
-   */
+  /** The VMs whose rows to request now. */
   due (now: Instant): readonly string[] {
     const vms = [...this.wanted].filter(vm => this.mayAsk(vm, now)).slice(0, MAX_ASKED)
     for (const vm of vms) {
--- a/packages/decisions/src/membership/rumorQueue.ts
+++ b/packages/decisions/src/membership/rumorQueue.ts
@@ -1,7 +1,6 @@
 /**
- * What to pass on with heartbeats: changes first, each a bounded number of times; beyond that
- * a part of all members in turn, so that every VM hears of every other in bounded time and
- * every message has a bounded size.
+ * Selects the updates to pass on with heartbeats: changes first, each a bounded number of times; beyond that a share of all
+ * members in rotation, so that every VM hears of every other in bounded time and every message has a bounded size.
  */
 
 interface Rumor {
@@ -9,7 +8,7 @@
   left: number
 }
 
-/** Chooses the VMs of which a message tells. */
+/** Selects the VMs whose updates a message contains. */
 export class RumorQueue {
   private rumors: Rumor[] = []
   private cursor = 0
@@ -19,18 +18,12 @@
    */
   constructor (private readonly times: number) {}
 
-  /**
-   * Notes that something changed at a VM.
-   * @param vm - name of the VM
-   */
+  /** Queues a change of a VM. */
   add (vm: string): void {
     this.rumors = [{ vm, left: this.times }, ...this.rumors.filter(rumor => rumor.vm !== vm)]
   }
 
-  /**
-   * The VMs that changed, those told least often first and of these the latest.
-   * @param atMost - how many are wanted
-   */
+  /** Changed VMs, those passed on least often first and of these the latest. */
   takeRumors (atMost: number): readonly string[] {
     const taken = [...this.rumors].sort((a, b) => b.left - a.left).slice(0, atMost)
     for (const rumor of taken) rumor.left -= 1
@@ -39,9 +32,8 @@
   }
 
   /**
-   * The next VMs in turn.
-   * @param vms - all of them, in a stable order
-   * @param atMost - how many are wanted
+   * The next VMs in rotation.
+   * @param vms - all VMs, in a stable order
    */
   takeDigest (vms: readonly string[], atMost: number): readonly string[] {
     if (vms.length <= atMost) return vms
