--- a/packages/decisions/src/gateway/warmUpPart.spec.ts
+++ b/packages/decisions/src/gateway/warmUpPart.spec.ts
@@ -29,7 +29,7 @@
   { name: 'until the target is warm where the other VMs are still unknown', vm: 'vm0', vms: [], at: 100, waitMs: 2_900 }
 ]
 
-describe('WarmUpPart', () => {
+describe('WarmUpShare', () => {
   for (const { name, vm, vms, sentAt, at, waitMs } of cases) {
     it(`makes a VM wait ${name}`, () => {
       const part = new WarmUpPart('t', WARM_AT)
