--- a/packages/decisions/src/codes/failure.ts
+++ b/packages/decisions/src/codes/failure.ts
@@ -3,12 +3,12 @@
  * purify-ts `Either`; it is thrown only where a library requires it.
  */
 import type { Either } from 'purify-ts'
-import { resultCodes, type Ran, type ResultCode, type ResultName } from './resultCodes.js'
+import { resultCodes, type ExecutionStatus, type ResultCode, type ResultName } from './resultCodes.js'
 
 /** Optional properties of a {@link Failure}. */
-export interface FailureExtras {
+export interface FailureOptions {
   /** Whether the request was executed; `no` by default. */
-  readonly ran?: Ran
+  readonly ran?: ExecutionStatus
   /** Milliseconds after which to retry. */
   readonly retryAfterMs?: number
   /** Individual errors, if there are several. */
@@ -18,18 +18,18 @@
 /** A failure with a numbered result code. */
 export class Failure extends Error {
   readonly code: ResultName
-  readonly ran: Ran
+  readonly ran: ExecutionStatus
   readonly retryAfterMs: number | undefined
   readonly errors: readonly string[]
 
   /** @param detail - what happened, for people */
-  constructor (code: ResultName, detail: string, extras: FailureExtras = {}) {
+  constructor (code: ResultName, detail: string, options: FailureOptions = {}) {
     super(detail)
     this.name = 'Failure'
     this.code = code
-    this.ran = extras.ran ?? 'no'
-    this.retryAfterMs = extras.retryAfterMs === undefined ? undefined : Math.ceil(extras.retryAfterMs)
-    this.errors = extras.errors ?? []
+    this.ran = options.ran ?? 'no'
+    this.retryAfterMs = options.retryAfterMs === undefined ? undefined : Math.ceil(options.retryAfterMs)
+    this.errors = options.errors ?? []
   }
 
   get entry (): ResultCode {
@@ -45,7 +45,7 @@
   readonly detail: string
   readonly code: string
   readonly name: ResultName
-  readonly ran: Ran
+  readonly ran: ExecutionStatus
   readonly retryAfterMs?: number
   readonly errors?: readonly string[]
 }
--- a/packages/decisions/src/codes/resultCodes.ts
+++ b/packages/decisions/src/codes/resultCodes.ts
@@ -5,8 +5,8 @@
 import * as z from 'zod'
 
 /** Whether a refused or failed request was executed. */
-export const ranSchema = z.enum(['no', 'yes', 'unknown'])
-export type Ran = z.infer<typeof ranSchema>
+export const executionStatusSchema = z.enum(['no', 'yes', 'unknown'])
+export type ExecutionStatus = z.infer<typeof executionStatusSchema>
 
 export const resultCodeSchema = z.object({
   /** Stable number, printed as `RS-<number>`. */
--- a/packages/decisions/src/digest/digestEntry.ts
+++ b/packages/decisions/src/digest/digestEntry.ts
@@ -24,20 +24,20 @@
 /**
  * Whether an entry is newer than another of the same row: publishers see a table at different times, and the slower one must not
  * revert what the other published.
- * @param known - absent if there is no entry
+ * @param current - absent if there is no entry
  */
-export function isLater (next: RowState, known: RowState | undefined): boolean {
-  if (known === undefined) return true
-  if (next.version !== known.version) return next.version > known.version
-  return stages.indexOf(next.stage) > stages.indexOf(known.stage)
+export function isLater (next: RowState, current: RowState | undefined): boolean {
+  if (current === undefined) return true
+  if (next.version !== current.version) return next.version > current.version
+  return stages.indexOf(next.stage) > stages.indexOf(current.stage)
 }
 
 /**
  * Whether an entry has to be published: it is newer than the published one and differs from it in stage or value.
  * @param next - the row as this VM sees it
- * @param told - the published entry; absent if there is none
+ * @param published - the published entry; absent if there is none
  */
-export function isNews (next: DigestEntry, told: DigestEntry | undefined): boolean {
-  if (told === undefined) return next.stage !== 'gone'
-  return isLater(next, told) && (next.stage !== told.stage || JSON.stringify(next.value) !== JSON.stringify(told.value))
+export function needsPublishing (next: DigestEntry, published: DigestEntry | undefined): boolean {
+  if (published === undefined) return next.stage !== 'gone'
+  return isLater(next, published) && (next.stage !== published.stage || JSON.stringify(next.value) !== JSON.stringify(published.value))
 }
--- a/packages/decisions/src/digest/digestTrust.ts
+++ b/packages/decisions/src/digest/digestTrust.ts
@@ -5,45 +5,45 @@
 import * as z from 'zod'
 
 /** Interval between two heartbeats of the publisher. */
-export const DIGEST_BEAT_MS = 1_000
+export const DIGEST_HEARTBEAT_MS = 1_000
 /** Time without a heartbeat after which the digest is no longer trusted. */
-const SILENT_MS = 2_500
+const HEARTBEAT_TIMEOUT_MS = 2_500
 /** Time for which heartbeats must arrive before the digest is trusted again. */
-const STEADY_MS = 2_000
+const MIN_STABLE_MS = 2_000
 
 /** Heartbeat of a publisher. */
-export const digestBeatSchema = z.object({
+export const digestHeartbeatSchema = z.object({
   beat: z.number().int(),
   /** Whether the digest contains everything that the publisher knows. */
   isComplete: z.boolean()
 })
-export type DigestBeat = z.infer<typeof digestBeatSchema>
+export type DigestHeartbeat = z.infer<typeof digestHeartbeatSchema>
 
 /** Trust of one VM in the digest. Times are monotonic milliseconds. */
 export class DigestTrust {
-  private steadySince: number | undefined
-  private heardAt = -Infinity
+  private stableSince: number | undefined
+  private lastHeartbeatAt = -Infinity
 
   /**
    * Records a heartbeat that was just written. Heartbeats from before this VM began to read prove nothing and must not be passed.
    */
-  heard ({ isComplete }: DigestBeat, mono: number): void {
+  recordHeartbeat ({ isComplete }: DigestHeartbeat, mono: number): void {
     if (!isComplete) return
-    if (mono - this.heardAt > SILENT_MS) this.steadySince = mono
-    this.heardAt = mono
+    if (mono - this.lastHeartbeatAt > HEARTBEAT_TIMEOUT_MS) this.stableSince = mono
+    this.lastHeartbeatAt = mono
   }
 
   /** Ends the trust: the digest could not be read, or contains an entry that cannot be decoded. */
   lost (): void {
-    this.heardAt = -Infinity
+    this.lastHeartbeatAt = -Infinity
   }
 
   /** Milliseconds since the last heartbeat that confirmed a complete digest. */
-  silentMs (mono: number): number {
-    return mono - this.heardAt
+  silenceMs (mono: number): number {
+    return mono - this.lastHeartbeatAt
   }
 
   isTrusted (mono: number): boolean {
-    return this.silentMs(mono) <= SILENT_MS && this.steadySince !== undefined && mono - this.steadySince >= STEADY_MS
+    return this.silenceMs(mono) <= HEARTBEAT_TIMEOUT_MS && this.stableSince !== undefined && mono - this.stableSince >= MIN_STABLE_MS
   }
 }
--- a/packages/decisions/src/gateway/refusal.spec.ts
+++ b/packages/decisions/src/gateway/refusal.spec.ts
@@ -3,11 +3,11 @@
  */
 import { expect } from 'chai'
 import { Failure } from '../codes/failure.js'
-import type { Ran, ResultName } from '../codes/resultCodes.js'
+import type { ExecutionStatus, ResultName } from '../codes/resultCodes.js'
 import { refusalOf } from './refusal.js'
 
 describe('refusalOf', () => {
-  const cases: ReadonlyArray<{ readonly code: ResultName, readonly ran: Ran, readonly retryAfterMs?: number, readonly status: number, readonly retryAfterS: number | undefined }> = [
+  const cases: ReadonlyArray<{ readonly code: ResultName, readonly ran: ExecutionStatus, readonly retryAfterMs?: number, readonly status: number, readonly retryAfterS: number | undefined }> = [
     { code: 'notFound', ran: 'no', status: 404, retryAfterS: undefined },
     { code: 'unauthorized', ran: 'no', status: 401, retryAfterS: undefined },
     { code: 'budgetSpent', ran: 'no', retryAfterMs: 30_000, status: 402, retryAfterS: 30 },
--- a/packages/decisions/src/gateway/refusal.ts
+++ b/packages/decisions/src/gateway/refusal.ts
@@ -5,10 +5,10 @@
 import { toProblem, type Failure, type ProblemBody } from '../codes/failure.js'
 
 /** Statuses that promise that the request was not executed. */
-const PROMISES = new Set([408, 421, 429, 503])
+const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503])
 const UNAVAILABLE = 503
 const BAD_GATEWAY = 502
-const FIRST_SERVER_ERROR = 500
+const MIN_SERVER_ERROR = 500
 const MS_PER_SECOND = 1_000
 
 /** Retry delay for failures that name none. */
@@ -24,11 +24,11 @@
 
 export function refusalOf (failure: Failure): Refusal {
   const status = statusOf(failure)
-  const retryMs = failure.retryAfterMs ?? (PROMISES.has(status) ? DEFAULT_RETRY_MS : undefined)
+  const retryMs = failure.retryAfterMs ?? (NOT_EXECUTED_STATUSES.has(status) ? DEFAULT_RETRY_MS : undefined)
   return { status, retryAfterS: retryMs === undefined ? undefined : retryMs / MS_PER_SECOND, body: { ...toProblem(failure), status } }
 }
 
 function statusOf ({ entry: { status }, ran }: Failure): number {
-  if (ran === 'no') return status >= FIRST_SERVER_ERROR ? UNAVAILABLE : status
-  return PROMISES.has(status) ? BAD_GATEWAY : status
+  if (ran === 'no') return status >= MIN_SERVER_ERROR ? UNAVAILABLE : status
+  return NOT_EXECUTED_STATUSES.has(status) ? BAD_GATEWAY : status
 }
--- a/packages/decisions/src/gateway/routeTable.ts
+++ b/packages/decisions/src/gateway/routeTable.ts
@@ -19,10 +19,10 @@
   /**
    * The route of a request; undefined if none matches.
    * @param host - Host header, with or without a port
-   * @param target - path with its query
+   * @param requestTarget - path with its query
    */
-  find (host: string, target: string): GatewayRoute | undefined {
-    const path = target.split('?', 1)[0] ?? target
+  find (host: string, requestTarget: string): GatewayRoute | undefined {
+    const path = requestTarget.split('?', 1)[0] ?? requestTarget
     return this.byHost.get(hostName(host))?.find(route => path.startsWith(route.prefix))
   }
 }
@@ -37,11 +37,11 @@
  */
 export function chooseService (services: readonly RouteService[], random: number): string | undefined {
   const total = services.reduce((sum, { weight }) => sum + weight, 0)
-  let left = random * total
+  let remaining = random * total
   for (const { service, weight } of services) {
     if (weight <= 0) continue
-    if (left < weight) return service
-    left -= weight
+    if (remaining < weight) return service
+    remaining -= weight
   }
   return undefined
 }
--- a/packages/decisions/src/gateway/targetBalancer.spec.ts
+++ b/packages/decisions/src/gateway/targetBalancer.spec.ts
@@ -9,11 +9,11 @@
   ({ id, service: 's', address: id, domain: 'd', slots: 4, isLeaving: false }))
 
 function demand (over: Partial<TargetDemand> = {}): TargetDemand {
-  return { sharedParts: ['p', 'q'], sharedTokens: 1_000, ownTokens: 100, exclude: new Set(), ...over }
+  return { sharedParts: ['p', 'q'], sharedTokens: 1_000, unsharedTokens: 100, exclude: new Set(), ...over }
 }
 
-function chosen (balancer: TargetBalancer, what: TargetDemand, mono = 0): TargetChoice {
-  return balancer.choose(targets, what, mono, 0.5).unsafeCoerce()
+function chosen (balancer: TargetBalancer, targetDemand: TargetDemand, mono = 0): TargetChoice {
+  return balancer.choose(targets, targetDemand, mono, 0.5).unsafeCoerce()
 }
 
 const home = chosen(new TargetBalancer(), demand()).target
@@ -28,18 +28,18 @@
 }
 
 /** Sends tokens to the home target with an earlier request that has no response yet. */
-function sentHome (tokens: number): (balancer: TargetBalancer) => void {
+function sendHome (tokens: number): (balancer: TargetBalancer) => void {
   return balancer => { balancer.sent({ target: home, work: tokens, candidates: 5, reason: 'affinity' }, ['x'], 0) }
 }
 
-function toldHome (work: number): (balancer: TargetBalancer) => void {
-  return balancer => { balancer.told({ target: home.id, work, parts: 'x' }, 0) }
+function reportPeerWorkHome (work: number): (balancer: TargetBalancer) => void {
+  return balancer => { balancer.recordPeerWork({ target: home.id, work, parts: 'x' }, 0) }
 }
 
 /** The home target took two seconds to prefill 4,000 tokens. */
-function slowHome (balancer: TargetBalancer): void {
+function slowDownHome (balancer: TargetBalancer): void {
   const { ticket } = balancer.sent({ target: home, work: 4_000, candidates: 5, reason: 'affinity' }, ['x'], 0)
-  balancer.begun(home.id, ticket, true, 2_000)
+  balancer.endPrefill(home.id, ticket, true, 2_000)
 }
 
 function failHome (times: number): (balancer: TargetBalancer) => void {
@@ -53,22 +53,22 @@
 
 const cases: readonly BalancerCase[] = [
   { name: 'routes the same shared parts to the same target', before: () => {}, atHome: true, reason: 'affinity' },
-  { name: 'stays with the home target while its queue costs less than prefilling the parts again', before: sentHome(3_900), atHome: true, reason: 'affinity' },
-  { name: 'leaves the home target once its queue costs more than prefilling the parts again', before: sentHome(4_100), atHome: false, reason: 'lessWork' },
-  { name: 'leaves the home target sooner with few shared tokens', before: sentHome(210), demand: demand({ sharedTokens: 50 }), atHome: false, reason: 'lessWork' },
+  { name: 'stays with the home target while its queue costs less than prefilling the parts again', before: sendHome(3_900), atHome: true, reason: 'affinity' },
+  { name: 'leaves the home target once its queue costs more than prefilling the parts again', before: sendHome(4_100), atHome: false, reason: 'lessWork' },
+  { name: 'leaves the home target sooner with few shared tokens', before: sendHome(210), demand: demand({ sharedTokens: 50 }), atHome: false, reason: 'lessWork' },
   {
     name: 'does not count work that was prefilled',
     before: balancer => {
       const { ticket } = balancer.sent({ target: home, work: 9_000, candidates: 5, reason: 'affinity' }, ['x'], 0)
-      balancer.begun(home.id, ticket, true, 100)
+      balancer.endPrefill(home.id, ticket, true, 100)
     },
     mono: 100,
     atHome: true,
     reason: 'affinity'
   },
-  { name: 'counts work reported by a peer', before: toldHome(9_000), atHome: false, reason: 'lessWork' },
-  { name: 'lets work reported by a peer decay over time', before: toldHome(9_000), mono: 200, atHome: true, reason: 'affinity' },
-  { name: 'leaves a target with slow prefill for a faster one', before: slowHome, demand: demand({ ownTokens: 5_000, sharedTokens: 100 }), mono: 2_000, atHome: false, reason: 'lessWork' },
+  { name: 'counts work reported by a peer', before: reportPeerWorkHome(9_000), atHome: false, reason: 'lessWork' },
+  { name: 'lets work reported by a peer decay over time', before: reportPeerWorkHome(9_000), mono: 200, atHome: true, reason: 'affinity' },
+  { name: 'leaves a target with slow prefill for a faster one', before: slowDownHome, demand: demand({ unsharedTokens: 5_000, sharedTokens: 100 }), mono: 2_000, atHome: false, reason: 'lessWork' },
   { name: 'leaves out a target tried already', before: () => {}, demand: demand({ exclude: new Set([home.id]) }), atHome: false, reason: 'affinity' },
   { name: 'tolerates two failures', before: failHome(2), atHome: true, reason: 'affinity' },
   { name: 'ejects after three failures in a row', before: failHome(3), atHome: false, reason: 'affinity' },
@@ -84,7 +84,7 @@
   it('resets the state of a target that restarted under its id, but keeps its open requests', () => {
     const balancer = new TargetBalancer()
     const [a, b] = [{ id: 'a', service: 's', address: 'a:1', domain: 'd', slots: 1, isLeaving: false }, { id: 'b', service: 's', address: 'b:1', domain: 'd', slots: 1, isLeaving: false }]
-    const demand = { sharedParts: [], sharedTokens: 0, ownTokens: 1, exclude: new Set<string>() }
+    const demand = { sharedParts: [], sharedTokens: 0, unsharedTokens: 1, exclude: new Set<string>() }
     balancer.sent({ target: a, candidates: 2, reason: 'fewestOpen', work: 1 }, [], 0)
     balancer.sent({ target: a, candidates: 2, reason: 'fewestOpen', work: 1 }, [], 0)
     balancer.ended('a', 'unreachable', 0)
@@ -92,7 +92,7 @@
     balancer.sent({ target: b, candidates: 2, reason: 'fewestOpen', work: 1 }, [], 0)
     balancer.sent({ target: b, candidates: 2, reason: 'fewestOpen', work: 1 }, [], 0)
     expect(balancer.choose([a, b], demand, 1, 0).map(({ target }) => target.id).extract()).to.equal('b')
-    balancer.restarted('a')
+    balancer.resetTarget('a')
     expect([balancer.open('a'), chosen(), balancer.choose([a, b], demand, 1, 0).map(({ target }) => target.id).extract()]).to.deep.equal([1, 'a', 'a'])
   })
 
@@ -107,32 +107,32 @@
 
   it('counts shared parts as work only where they are assumed not to be cached', () => {
     const balancer = new TargetBalancer()
-    sentHome(4_100)(balancer)
+    sendHome(4_100)(balancer)
     const away = chosen(balancer, demand())
     const { ticket } = balancer.sent(away, ['p', 'q'], 0)
-    balancer.begun(away.target.id, ticket, true, 0)
+    balancer.endPrefill(away.target.id, ticket, true, 0)
     expect([away.work, chosen(balancer, demand(), 5_000).work]).to.deep.equal([1_100, 100])
   })
 
-  const notices: ReadonlyArray<{ readonly name: string, readonly demand: TargetDemand, readonly told: boolean }> = [
-    { name: 'of large requests', demand: demand({ ownTokens: 5_000 }), told: true },
+  const notificationCases: ReadonlyArray<{ readonly name: string, readonly demand: TargetDemand, readonly told: boolean }> = [
+    { name: 'of large requests', demand: demand({ unsharedTokens: 5_000 }), told: true },
     { name: 'not of small requests at the home target', demand: demand(), told: false },
-    { name: 'not of requests without shared parts', demand: demand({ sharedParts: [], ownTokens: 5_000 }), told: false }
+    { name: 'not of requests without shared parts', demand: demand({ sharedParts: [], unsharedTokens: 5_000 }), told: false }
   ]
-  for (const { name, demand: what, told } of notices) {
+  for (const { name, demand: what, told } of notificationCases) {
     it(`notifies peers ${name}`, () => {
       const balancer = new TargetBalancer()
-      const { notice } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
+      const { notification: notice } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
       expect(notice !== undefined).to.equal(told)
     })
   }
 
   it('uses shared parts that a peer sent to another target', () => {
     const [here, there] = [new TargetBalancer(), new TargetBalancer()]
-    for (const balancer of [here, there]) sentHome(4_100)(balancer)
+    for (const balancer of [here, there]) sendHome(4_100)(balancer)
     const away = chosen(here, demand())
-    const { notice } = here.sent(away, ['p', 'q'], 0)
-    if (notice !== undefined) there.told(notice, 0)
+    const { notification: notice } = here.sent(away, ['p', 'q'], 0)
+    if (notice !== undefined) there.recordPeerWork(notice, 0)
     expect([away.work, chosen(there, demand(), 100).work]).to.deep.equal([1_100, 100])
   })
 
--- a/packages/decisions/src/gateway/targetBalancer.ts
+++ b/packages/decisions/src/gateway/targetBalancer.ts
@@ -11,22 +11,22 @@
 import { TargetHealth } from '../routing/targetHealth.js'
 import { TargetLoad } from './targetLoad.js'
 import type { TargetView } from './targetSet.js'
-import { WarmUpPart, type WarmUpRate } from './warmUpPart.js'
+import { WarmUpShare, type WarmUpRate } from './warmUpPart.js'
 
 /**
  * Highest-ranked targets compared for a request with shared parts. Comparing a whole pool spreads the shared parts over more
  * targets, so more of them are prefilled again.
  */
-const WEIGHED = 3
+const AFFINITY_CANDIDATES = 3
 /**
  * Weight of prefilling shared parts again: it delays the request itself, delays others, and uses cache memory of the target. With
  * 2, more shared tokens are prefilled again and more streams are late.
  */
-const REREAD_FACTOR = 4
+const PREFILL_AGAIN_FACTOR = 4
 /** Peers are notified of requests from this size on, which delay others by some ten milliseconds. */
-const TOLD_TOKENS = 2_000
+const MIN_NOTIFIED_TOKENS = 2_000
 /** Retry delay when no target is listed, or every one was tried. */
-const NONE_RETRY_MS = 300
+const NO_TARGET_RETRY_MS = 300
 
 /** Properties of a request that its target depends on. */
 export interface TargetDemand {
@@ -34,7 +34,7 @@
   readonly sharedParts: readonly string[]
   readonly sharedTokens: number
   /** Prompt tokens outside the shared parts. */
-  readonly ownTokens: number
+  readonly unsharedTokens: number
   /** Ids of the targets tried already. */
   readonly exclude: ReadonlySet<string>
   /** Set for a request during which targets terminated. */
@@ -64,20 +64,20 @@
 }
 
 /** Notifies peers of a request sent to a target. */
-export const workNoticeSchema = z.object({
+export const workNotificationSchema = z.object({
   target: z.string(),
   /** Prompt tokens that the target has to prefill. */
   work: z.number().nonnegative(),
   /** Key of the shared parts that the target caches then. */
   parts: z.string()
 })
-export type WorkNotice = z.infer<typeof workNoticeSchema>
+export type WorkNotification = z.infer<typeof workNotificationSchema>
 
-export interface SentWork {
+export interface SentRequest {
   /** Identifies the request in `endPrefill`. */
   readonly ticket: number
   /** Notification for the peers; absent without shared parts, and for small requests at the target that all VMs rank highest. */
-  readonly notice?: WorkNotice
+  readonly notification?: WorkNotification
 }
 
 interface TargetState {
@@ -85,7 +85,7 @@
   readonly health: TargetHealth
   readonly load: TargetLoad
   /** Absent for a target that reported no warm-up. */
-  warmUp?: WarmUpPart
+  warmUpShare?: WarmUpShare
   open: number
 }
 
@@ -101,48 +101,48 @@
   choose (targets: readonly TargetView[], demand: TargetDemand, mono: number, random: number): Either<Failure, TargetChoice> {
     const untried = targets.filter(({ id }) => !demand.exclude.has(id))
     if (untried.length === 0) {
-      return Left(new Failure('noRunner', 'no target of the service is left that accepts new requests', { retryAfterMs: NONE_RETRY_MS }))
+      return Left(new Failure('noRunner', 'no target of the service is left that accepts new requests', { retryAfterMs: NO_TARGET_RETRY_MS }))
     }
-    const bearing = untried.filter(({ id }) => this.warmUpWait(id, demand, mono) === 0)
-    if (bearing.length === 0) return Left(this.allWarmUp(untried, demand, mono))
-    const candidates = this.usable(bearing, mono)
+    const accepting = untried.filter(({ id }) => this.warmUpWaitMs(id, demand, mono) === 0)
+    if (accepting.length === 0) return Left(this.warmUpFailure(untried, demand, mono))
+    const candidates = this.withoutEjected(accepting, mono)
     if (demand.suspicion !== undefined) return Right(this.suspected(candidates, demand.suspicion, demand))
-    if (demand.sharedParts.length > 0) return Right(this.byAffinity(candidates, demand, mono))
-    const target = this.fewestOpen(candidates, random)
-    return Right({ target, candidates: candidates.length, reason: 'fewestOpen', work: demand.ownTokens })
+    if (demand.sharedParts.length > 0) return Right(this.chooseByAffinity(candidates, demand, mono))
+    const target = this.chooseFewestOpen(candidates, random)
+    return Right({ target, candidates: candidates.length, reason: 'fewestOpen', work: demand.unsharedTokens })
   }
 
   /**
    * Records a request sent to the chosen target.
    * @param sharedParts - ids of its shared parts
    */
-  sent ({ target, work, reason }: TargetChoice, sharedParts: readonly string[], mono: number): SentWork {
+  sent ({ target, work, reason }: TargetChoice, sharedParts: readonly string[], mono: number): SentRequest {
     const state = this.stateOf(target.id)
     state.open += 1
-    state.warmUp?.sent(mono)
+    state.warmUpShare?.sent(mono)
     const ticket = state.load.sent(work, mono)
     if (sharedParts.length === 0) return { ticket }
-    const parts = nameOf(hashOf(sharedParts))
-    state.load.remember(parts, mono)
-    const isTold = work >= TOLD_TOKENS || reason === 'lessWork'
-    return isTold ? { ticket, notice: { target: target.id, work, parts } } : { ticket }
+    const parts = partsKey(hashParts(sharedParts))
+    state.load.recordCached(parts, mono)
+    const needsNotification = work >= MIN_NOTIFIED_TOKENS || reason === 'lessWork'
+    return needsNotification ? { ticket, notification: { target: target.id, work, parts } } : { ticket }
   }
 
   /** Records a request that a peer sent. */
-  told ({ target, work, parts }: WorkNotice, mono: number): void {
+  recordPeerWork ({ target, work, parts }: WorkNotification, mono: number): void {
     const { load } = this.stateOf(target)
-    load.told(work, mono)
-    load.remember(parts, mono)
+    load.recordPeerWork(work, mono)
+    load.recordCached(parts, mono)
   }
 
   /**
    * Updates the warm-up state of a target.
    * @param leftMs - milliseconds until it is warm; 0 or less if it is
    */
-  warmsUp (id: string, leftMs: number, mono: number): void {
-    const known = this.states.get(id)?.warmUp
-    if (known !== undefined) known.told(mono + leftMs)
-    else if (leftMs > 0) this.stateOf(id).warmUp = new WarmUpPart(id, mono + leftMs)
+  updateWarmUp (id: string, leftMs: number, mono: number): void {
+    const current = this.states.get(id)?.warmUpShare
+    if (current !== undefined) current.updateWarmAt(mono + leftMs)
+    else if (leftMs > 0) this.stateOf(id).warmUpShare = new WarmUpShare(id, mono + leftMs)
   }
 
   /**
@@ -150,8 +150,8 @@
    * @param ticket - from `sent`
    * @param isAnswered - whether the target began to respond
    */
-  begun (id: string, ticket: number, isAnswered: boolean, mono: number): void {
-    this.stateOf(id).load.begun(ticket, isAnswered, mono)
+  endPrefill (id: string, ticket: number, isAnswered: boolean, mono: number): void {
+    this.stateOf(id).load.endPrefill(ticket, isAnswered, mono)
   }
 
   /**
@@ -173,30 +173,30 @@
   }
 
   /** Drops the state of targets that are no longer listed and have no open requests. */
-  forget (isListed: (id: string) => boolean): void {
+  forgetUnlisted (isListed: (id: string) => boolean): void {
     for (const [id, { open }] of this.states) if (open === 0 && !isListed(id)) this.states.delete(id)
   }
 
   /** Resets the state of a target, except its open requests: another process now has its id, with an empty cache. */
-  restarted (id: string): void {
-    const known = this.states.get(id)
-    if (known === undefined) return
+  resetTarget (id: string): void {
+    const previous = this.states.get(id)
+    if (previous === undefined) return
     this.states.delete(id)
-    this.stateOf(id).open = known.open
+    this.stateOf(id).open = previous.open
   }
 
-  private warmUpWait (id: string, { warmUp }: TargetDemand, mono: number): number {
-    const part = this.states.get(id)?.warmUp
-    return part === undefined || warmUp === undefined ? 0 : part.waitMs(warmUp, mono)
+  private warmUpWaitMs (id: string, { warmUp }: TargetDemand, mono: number): number {
+    const share = this.states.get(id)?.warmUpShare
+    return share === undefined || warmUp === undefined ? 0 : share.waitMs(warmUp, mono)
   }
 
-  private allWarmUp (targets: readonly TargetView[], demand: TargetDemand, mono: number): Failure {
-    const waitMs = Math.min(...targets.map(({ id }) => this.warmUpWait(id, demand, mono)))
+  private warmUpFailure (targets: readonly TargetView[], demand: TargetDemand, mono: number): Failure {
+    const waitMs = Math.min(...targets.map(({ id }) => this.warmUpWaitMs(id, demand, mono)))
     return new Failure('targetsWarmUp', 'the remaining targets are warming up and accept no further request of this VM now', { retryAfterMs: Math.ceil(waitMs) })
   }
 
   /** Leaves out ejected targets unless all are ejected: a degraded service is better than refusing everything. */
-  private usable (targets: readonly TargetView[], mono: number): readonly TargetView[] {
+  private withoutEjected (targets: readonly TargetView[], mono: number): readonly TargetView[] {
     const healthy = targets.filter(({ id }) => {
       const { health, open } = this.stateOf(id)
       return health.share(mono, open) > 0
@@ -205,20 +205,20 @@
   }
 
   /** The highest-ranked target, unless another responds so much sooner that prefilling the shared parts there pays off. */
-  private byAffinity (candidates: readonly TargetView[], demand: TargetDemand, mono: number): TargetChoice {
-    const key = hashOf(demand.sharedParts)
-    const parts = nameOf(key)
+  private chooseByAffinity (candidates: readonly TargetView[], demand: TargetDemand, mono: number): TargetChoice {
+    const key = hashParts(demand.sharedParts)
+    const parts = partsKey(key)
     const ordered = candidates
       .map(target => ({ target, weight: pairWeight(key, this.stateOf(target.id).nameHash) }))
       .sort((a, b) => b.weight - a.weight)
-      .slice(0, WEIGHED)
-    const weighed = ordered.map(({ target }, rank) => {
+      .slice(0, AFFINITY_CANDIDATES)
+    const costs = ordered.map(({ target }, rank) => {
       const { load } = this.stateOf(target.id)
-      const unread = rank === 0 || load.keeps(parts, mono) ? 0 : demand.sharedTokens
-      const cost = (load.ahead(mono) + demand.ownTokens + REREAD_FACTOR * unread) / load.tokensPerMs
-      return { target, rank, cost, work: demand.ownTokens + unread }
+      const uncachedTokens = rank === 0 || load.hasCached(parts, mono) ? 0 : demand.sharedTokens
+      const cost = (load.queuedTokens(mono) + demand.unsharedTokens + PREFILL_AGAIN_FACTOR * uncachedTokens) / load.tokensPerMs
+      return { target, rank, cost, work: demand.unsharedTokens + uncachedTokens }
     })
-    const { target, rank, work } = weighed.reduce((best, next) => next.cost < best.cost ? next : best)
+    const { target, rank, work } = costs.reduce((best, next) => next.cost < best.cost ? next : best)
     return { target, work, candidates: candidates.length, reason: rank === 0 ? 'affinity' : 'lessWork' }
   }
 
@@ -226,7 +226,7 @@
    * The highest-ranked target, whatever its load: VMs that list the same targets agree on it, so that copies of a request that
    * terminates targets terminate one and not several.
    */
-  private suspected (candidates: readonly TargetView[], { digest, domains }: Suspicion, { ownTokens, sharedTokens }: TargetDemand): TargetChoice {
+  private suspected (candidates: readonly TargetView[], { digest, domains }: Suspicion, { unsharedTokens: ownTokens, sharedTokens }: TargetDemand): TargetChoice {
     const key = hashName(digest)
     const weightOf = ({ id }: TargetView): number => pairWeight(key, this.stateOf(id).nameHash)
     const elsewhere = candidates.filter(({ domain }) => !domains.includes(domain))
@@ -234,26 +234,26 @@
     return { target, work: ownTokens + sharedTokens, candidates: candidates.length, reason: 'suspected' }
   }
 
-  private fewestOpen (candidates: readonly TargetView[], random: number): TargetView {
+  private chooseFewestOpen (candidates: readonly TargetView[], random: number): TargetView {
     const least = Math.min(...candidates.map(({ id }) => this.open(id)))
     const equals = candidates.filter(({ id }) => this.open(id) === least)
     return equals[Math.floor(random * equals.length)] as TargetView
   }
 
   private stateOf (id: string): TargetState {
-    const known = this.states.get(id)
-    if (known !== undefined) return known
+    const current = this.states.get(id)
+    if (current !== undefined) return current
     const fresh = { nameHash: hashName(id), health: new TargetHealth(), load: new TargetLoad(), open: 0 }
     this.states.set(id, fresh)
     return fresh
   }
 }
 
-function hashOf (parts: readonly string[]): number {
+function hashParts (parts: readonly string[]): number {
   return hashName(parts.join(','))
 }
 
 /** Compact key of hashed shared parts, the same at all VMs. */
-function nameOf (hash: number): string {
+function partsKey (hash: number): string {
   return hash.toString(36)
 }
--- a/packages/decisions/src/gateway/targetLoad.ts
+++ b/packages/decisions/src/gateway/targetLoad.ts
@@ -4,47 +4,47 @@
  */
 
 /** Speed assumed until one is observed; the slowest pools prefill about 40 tokens per millisecond. */
-const FIRST_SPEED = 40
+const DEFAULT_TOKENS_PER_MS = 40
 /** Bounds of an observed speed; values outside them do not come from prefill. */
-const LEAST_SPEED = 2
-const MOST_SPEED = 1_000
+const MIN_TOKENS_PER_MS = 2
+const MAX_TOKENS_PER_MS = 1_000
 /** Weight of a new sample in the moving average: one slow response does not make a target slow, a handful does. */
-const SPEED_WEIGHT = 0.2
+const SPEED_SAMPLE_WEIGHT = 0.2
 /** Samples with fewer tokens are ignored: their delay reflects the network and engine steps, not prefill. */
-const LEAST_OBSERVED = 2_000
+const MIN_SAMPLE_TOKENS = 2_000
 /** Time for which a target is assumed to cache shared parts sent to it. */
-const CACHED_MS = 8_000
+const CACHE_TTL_MS = 8_000
 /** Most cache entries remembered per target. */
-const MOST_REMEMBERED = 2_000
+const MAX_CACHE_ENTRIES = 2_000
 
 /** A request that waits for its first event. */
-interface PendingWork {
+interface PendingRequest {
   readonly tokens: number
   /** Tokens to prefill before its first event, including those of other requests. */
-  readonly ahead: number
+  readonly queuedTokens: number
   readonly sentAt: number
 }
 
 /** Load of one target. Times are monotonic milliseconds, work is in prompt tokens. */
 export class TargetLoad {
-  private readonly pending = new Map<number, PendingWork>()
+  private readonly pending = new Map<number, PendingRequest>()
   private pendingTokens = 0
   /** Unprocessed tokens reported by peers, as of `peerTokensAt`. */
-  private others = 0
-  private othersAt = 0
-  private speed: number | undefined
+  private peerTokens = 0
+  private peerTokensAt = 0
+  private observedTokensPerMs: number | undefined
   private nextTicket = 0
   /** When shared parts were last sent to the target, by their key; oldest first. */
   private readonly cached = new Map<string, number>()
 
   /** Prefill speed. */
   get tokensPerMs (): number {
-    return this.speed ?? FIRST_SPEED
+    return this.observedTokensPerMs ?? DEFAULT_TOKENS_PER_MS
   }
 
   /** Tokens to prefill before those of a new request. */
-  ahead (mono: number): number {
-    return this.pendingTokens + this.othersLeft(mono)
+  queuedTokens (mono: number): number {
+    return this.pendingTokens + this.remainingPeerTokens(mono)
   }
 
   /**
@@ -54,7 +54,7 @@
    */
   sent (tokens: number, mono: number): number {
     this.nextTicket += 1
-    this.pending.set(this.nextTicket, { tokens, ahead: this.ahead(mono) + tokens, sentAt: mono })
+    this.pending.set(this.nextTicket, { tokens, queuedTokens: this.queuedTokens(mono) + tokens, sentAt: mono })
     this.pendingTokens += tokens
     return this.nextTicket
   }
@@ -63,39 +63,39 @@
    * Handles the first event of a request, or its end without one.
    * @param isAnswered - whether the delay is a sample of the prefill speed
    */
-  begun (ticket: number, isAnswered: boolean, mono: number): void {
-    const work = this.pending.get(ticket)
-    if (work === undefined) return
+  endPrefill (ticket: number, isAnswered: boolean, mono: number): void {
+    const request = this.pending.get(ticket)
+    if (request === undefined) return
     this.pending.delete(ticket)
-    this.pendingTokens -= work.tokens
-    if (isAnswered && work.ahead >= LEAST_OBSERVED) this.observe(work.ahead / Math.max(1, mono - work.sentAt))
+    this.pendingTokens -= request.tokens
+    if (isAnswered && request.queuedTokens >= MIN_SAMPLE_TOKENS) this.recordSpeed(request.queuedTokens / Math.max(1, mono - request.sentAt))
   }
 
   /** Counts prompt tokens that a peer sent to the target. */
-  told (tokens: number, mono: number): void {
-    this.others = this.othersLeft(mono) + tokens
-    this.othersAt = mono
+  recordPeerWork (tokens: number, mono: number): void {
+    this.peerTokens = this.remainingPeerTokens(mono) + tokens
+    this.peerTokensAt = mono
   }
 
   /** Records that shared parts were sent to the target. */
-  remember (parts: string, mono: number): void {
+  recordCached (parts: string, mono: number): void {
     this.cached.delete(parts)
     this.cached.set(parts, mono)
     const oldest = this.cached.keys().next()
-    if (this.cached.size > MOST_REMEMBERED && oldest.done !== true) this.cached.delete(oldest.value)
+    if (this.cached.size > MAX_CACHE_ENTRIES && oldest.done !== true) this.cached.delete(oldest.value)
   }
 
   /** Whether the target is assumed to have shared parts in its cache. */
-  keeps (parts: string, mono: number): boolean {
-    return mono - (this.cached.get(parts) ?? -Infinity) < CACHED_MS
+  hasCached (parts: string, mono: number): boolean {
+    return mono - (this.cached.get(parts) ?? -Infinity) < CACHE_TTL_MS
   }
 
-  private othersLeft (mono: number): number {
-    return Math.max(0, this.others - (mono - this.othersAt) * this.tokensPerMs)
+  private remainingPeerTokens (mono: number): number {
+    return Math.max(0, this.peerTokens - (mono - this.peerTokensAt) * this.tokensPerMs)
   }
 
-  private observe (sample: number): void {
-    const bounded = Math.min(MOST_SPEED, Math.max(LEAST_SPEED, sample))
-    this.speed = this.speed === undefined ? bounded : this.speed + SPEED_WEIGHT * (bounded - this.speed)
+  private recordSpeed (sample: number): void {
+    const bounded = Math.min(MAX_TOKENS_PER_MS, Math.max(MIN_TOKENS_PER_MS, sample))
+    this.observedTokensPerMs = this.observedTokensPerMs === undefined ? bounded : this.observedTokensPerMs + SPEED_SAMPLE_WEIGHT * (bounded - this.observedTokensPerMs)
   }
 }
--- a/packages/decisions/src/gateway/targetReports.ts
+++ b/packages/decisions/src/gateway/targetReports.ts
@@ -12,10 +12,10 @@
  * Retention of reports whose target is no longer listed, or whose process is in doubt. Live targets are listed again within
  * seconds.
  */
-const REMEMBERED_MS = 60_000
+const REPORT_RETENTION_MS = 60_000
 
 /** Longest pause that a target may request. */
-export const MOST_PAUSE_MS = 3_600_000
+export const MAX_PAUSE_MS = 3_600_000
 
 /** What a response reports about its target. */
 export interface TargetReport {
@@ -34,67 +34,67 @@
 }
 
 /** Reports of one process. */
-interface Known {
+interface ProcessReport {
   startedAt: number | undefined
   /** Time of the last report. */
-  said: Instant
+  reportedAt: Instant
   /** Set when a later process was listed that may have sent the last report. */
   isInDoubt: boolean
   isLeaving: boolean
   /** Monotonic time at which its pause ends. */
   pausedUntil: number
-  listedAt: number
+  lastListedAt: number
 }
 
 /** A state that a report changed. */
-export type ReportNews = 'leaving' | 'paused'
+export type ReportChange = 'leaving' | 'paused'
 
 /** Whether a process of a target started later than another; false if a start time is missing. */
-export function isLaterProcess ({ startedAt }: Pick<TargetProcess, 'startedAt'>, than: Pick<TargetProcess, 'startedAt'>): boolean {
-  return startedAt !== undefined && than.startedAt !== undefined && startedAt > than.startedAt
+export function isLaterProcess ({ startedAt }: Pick<TargetProcess, 'startedAt'>, other: Pick<TargetProcess, 'startedAt'>): boolean {
+  return startedAt !== undefined && other.startedAt !== undefined && startedAt > other.startedAt
 }
 
 /** Reports of all targets to this VM. Times are monotonic milliseconds. */
 export class TargetReports {
-  private readonly known = new Map<string, Known>()
+  private readonly reports = new Map<string, ProcessReport>()
 
   /**
    * Records the report of a process.
    * @returns the states that it changed
    */
-  take (process: TargetProcess, { isLeaving, pauseMs = 0 }: TargetReport, now: Instant): readonly ReportNews[] {
-    const known = this.knownOf(process, now)
+  record (process: TargetProcess, { isLeaving, pauseMs = 0 }: TargetReport, now: Instant): readonly ReportChange[] {
+    const known = this.reportOf(process, now)
     if (known === undefined) return []
     const { mono } = now
-    known.said = now
+    known.reportedAt = now
     known.isInDoubt = false
-    const news: ReportNews[] = []
-    if (isLeaving && !known.isLeaving) news.push('leaving')
-    if (pauseMs > 0 && known.pausedUntil <= mono) news.push('paused')
+    const changes: ReportChange[] = []
+    if (isLeaving && !known.isLeaving) changes.push('leaving')
+    if (pauseMs > 0 && known.pausedUntil <= mono) changes.push('paused')
     known.isLeaving ||= isLeaving
-    known.pausedUntil = Math.max(known.pausedUntil, mono + Math.min(pauseMs, MOST_PAUSE_MS))
-    return news
+    known.pausedUntil = Math.max(known.pausedUntil, mono + Math.min(pauseMs, MAX_PAUSE_MS))
+    return changes
   }
 
   /** Milliseconds left of a target's pause; 0 if it accepts requests. */
   pauseMs (id: string, mono: number): number {
-    return Math.max(0, (this.known.get(id)?.pausedUntil ?? mono) - mono)
+    return Math.max(0, (this.reports.get(id)?.pausedUntil ?? mono) - mono)
   }
 
   /** Whether a target reported that it is leaving. */
   isLeaving (id: string): boolean {
-    return this.known.get(id)?.isLeaving === true
+    return this.reports.get(id)?.isLeaving === true
   }
 
   /**
    * Handles a register entry: one of a later process clears what an earlier process reported before that start. A report from
    * after that start may be the later process's own and stays, in doubt.
    */
-  listed (process: TargetProcess): void {
-    const known = this.known.get(process.id)
+  handleListing (process: TargetProcess): void {
+    const known = this.reports.get(process.id)
     if (known === undefined || !isLaterProcess(process, known)) return
-    if (isLaterProcess(process, { startedAt: known.said.wall })) {
-      this.known.delete(process.id)
+    if (isLaterProcess(process, { startedAt: known.reportedAt.wall })) {
+      this.reports.delete(process.id)
       return
     }
     known.startedAt = process.startedAt
@@ -106,25 +106,25 @@
    * @returns whether a report of a listed target was dropped
    */
   tick (isListed: (id: string) => boolean, mono: number): boolean {
-    let isFreed = false
-    for (const [id, known] of this.known) {
-      const isKept = isListed(id)
-      if (isKept) known.listedAt = mono
-      const since = known.isInDoubt ? known.said.mono : known.listedAt
-      if (mono - since <= REMEMBERED_MS) continue
-      this.known.delete(id)
-      isFreed ||= isKept
+    let hasDroppedListed = false
+    for (const [id, known] of this.reports) {
+      const isStillListed = isListed(id)
+      if (isStillListed) known.lastListedAt = mono
+      const since = known.isInDoubt ? known.reportedAt.mono : known.lastListedAt
+      if (mono - since <= REPORT_RETENTION_MS) continue
+      this.reports.delete(id)
+      hasDroppedListed ||= isStillListed
     }
-    return isFreed
+    return hasDroppedListed
   }
 
   /** The reports of a process, created if missing; undefined if a later process of the target has already responded. */
-  private knownOf (process: TargetProcess, now: Instant): Known | undefined {
-    const known = this.known.get(process.id)
+  private reportOf (process: TargetProcess, now: Instant): ProcessReport | undefined {
+    const known = this.reports.get(process.id)
     if (known !== undefined && isLaterProcess(known, process)) return undefined
     if (known !== undefined && !isLaterProcess(process, known)) return known
-    const fresh = { startedAt: process.startedAt, said: now, isInDoubt: false, isLeaving: false, pausedUntil: -Infinity, listedAt: now.mono }
-    this.known.set(process.id, fresh)
+    const fresh = { startedAt: process.startedAt, reportedAt: now, isInDoubt: false, isLeaving: false, pausedUntil: -Infinity, lastListedAt: now.mono }
+    this.reports.set(process.id, fresh)
     return fresh
   }
 }
--- a/packages/decisions/src/gateway/targetSet.spec.ts
+++ b/packages/decisions/src/gateway/targetSet.spec.ts
@@ -2,7 +2,7 @@
  * Targets of the register: leaving ones get no new requests, and entries that disappear during a register failure come back.
  */
 import { expect } from 'chai'
-import { RELIST_MS, TargetSet, type TargetView } from './targetSet.js'
+import { RELIST_TIMEOUT_MS, TargetSet, type TargetView } from './targetSet.js'
 
 function view (id: string, over: Partial<TargetView> = {}): TargetView {
   return { id, service: 's', address: `10.0.0.1:${id.length}`, domain: 'd', slots: 4, isLeaving: false, ...over }
@@ -33,7 +33,7 @@
     act: set => {
       set.registerFailed(9_000)
       set.replace([], 10_000)
-      set.tick(9_000 + RELIST_MS + 1)
+      set.tick(9_000 + RELIST_TIMEOUT_MS + 1)
     },
     serving: []
   },
@@ -43,7 +43,7 @@
       set.registerFailed(9_000)
       set.replace([], 10_000)
       set.put(view('a'))
-      set.tick(9_000 + RELIST_MS + 1)
+      set.tick(9_000 + RELIST_TIMEOUT_MS + 1)
     },
     serving: ['a']
   },
@@ -81,6 +81,6 @@
   it('distinguishes a heartbeat from a change', () => {
     const set = new TargetSet()
     set.put(view('a'))
-    expect([set.isNew(view('a')), set.isNew(view('a', { isLeaving: true })), set.isNew(view('b'))]).to.deep.equal([false, true, true])
+    expect([set.isChange(view('a')), set.isChange(view('a', { isLeaving: true })), set.isChange(view('b'))]).to.deep.equal([false, true, true])
   })
 })
--- a/packages/decisions/src/gateway/targetSet.ts
+++ b/packages/decisions/src/gateway/targetSet.ts
@@ -5,7 +5,7 @@
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { DomainEvacuations, type EvacuationChange } from './domainEvacuations.js'
-import { isLaterProcess, TargetReports, type ReportNews, type TargetProcess, type TargetReport } from './targetReports.js'
+import { isLaterProcess, TargetReports, type ReportChange, type TargetProcess, type TargetReport } from './targetReports.js'
 
 /** One registered target. */
 export interface TargetView {
@@ -24,7 +24,7 @@
 }
 
 /** Time after a register failure for which removed entries are retained; live targets are listed again within two seconds. */
-export const RELIST_MS = 2_200
+export const RELIST_TIMEOUT_MS = 2_200
 
 /** Targets of a service that accept requests now, and the pauses of the others. */
 export interface AvailableTargets {
@@ -33,7 +33,7 @@
   readonly pausesMs: readonly number[]
 }
 
-interface Listed {
+interface ListedTarget {
   readonly view: TargetView
   /** Set when the entry was removed but may be listed again. */
   readonly removedAt?: number
@@ -41,16 +41,16 @@
 
 /** Registered targets of all services. Times are monotonic milliseconds. */
 export class TargetSet {
-  private readonly listed = new Map<string, Listed>()
+  private readonly listed = new Map<string, ListedTarget>()
   private byService = new Map<string, readonly TargetView[]>()
   private readonly evacuations = new DomainEvacuations()
   private readonly reports = new TargetReports()
-  private troubleAt = -Infinity
+  private registerFailedAt = -Infinity
 
   /** Replaces all entries by a complete read of the register. */
   replace (views: readonly TargetView[], mono: number): void {
     const present = new Set(views.map(view => view.id))
-    for (const id of this.listed.keys()) if (!present.has(id)) this.drop(id, mono)
+    for (const id of this.listed.keys()) if (!present.has(id)) this.removeEntry(id, mono)
     for (const view of views) this.list(view)
     this.rebuild()
   }
@@ -65,34 +65,34 @@
    * Records what a target reported about itself.
    * @returns the states that the report changed
    */
-  reported (process: TargetProcess, report: TargetReport, now: Instant): readonly ReportNews[] {
+  recordReport (process: TargetProcess, report: TargetReport, now: Instant): readonly ReportChange[] {
     const listed = this.listed.get(process.id)?.view
     if (listed !== undefined && isLaterProcess(listed, process)) return []
     const wasLeaving = this.reports.isLeaving(process.id)
-    const news = this.reports.take(process, report, now)
+    const changes = this.reports.record(process, report, now)
     // A report of a later process also clears the leaving state of the one before it.
     if (this.reports.isLeaving(process.id) !== wasLeaving) this.rebuild()
-    return news
+    return changes
   }
 
   /** Handles the removal of an entry. */
   remove (id: string, mono: number): void {
-    this.drop(id, mono)
+    this.removeEntry(id, mono)
     this.rebuild()
   }
 
   /** Records a failed read of the register. */
   registerFailed (mono: number): void {
-    this.troubleAt = mono
+    this.registerFailedAt = mono
   }
 
   /** Drops removed entries that were not listed again in time; to be called several times a second. */
   tick (mono: number): void {
     if (this.reports.tick(id => this.listed.has(id), mono)) this.rebuild()
-    if (mono - this.troubleAt <= RELIST_MS) return
-    const gone = [...this.listed].filter(([, { removedAt }]) => removedAt !== undefined)
-    if (gone.length === 0) return
-    for (const [id] of gone) this.listed.delete(id)
+    if (mono - this.registerFailedAt <= RELIST_TIMEOUT_MS) return
+    const expired = [...this.listed].filter(([, { removedAt }]) => removedAt !== undefined)
+    if (expired.length === 0) return
+    for (const [id] of expired) this.listed.delete(id)
     this.rebuild()
   }
 
@@ -106,7 +106,7 @@
    * @returns the changes
    */
   replaceEvacuations (domains: ReadonlySet<string>): readonly EvacuationChange[] {
-    return this.rebuiltAfter(this.evacuations.replace(domains))
+    return this.rebuildAfter(this.evacuations.replace(domains))
   }
 
   /**
@@ -114,7 +114,7 @@
    * @returns the changes
    */
   setEvacuation (domain: string, isEvacuated: boolean): readonly EvacuationChange[] {
-    return this.rebuiltAfter(this.evacuations.set(domain, isEvacuated))
+    return this.rebuildAfter(this.evacuations.set(domain, isEvacuated))
   }
 
   /** All listed targets, including those that get no new requests. */
@@ -159,14 +159,14 @@
   }
 
   /** Whether an entry is new or changes the leaving state; otherwise it is only a heartbeat. */
-  isNew (view: TargetView): boolean {
+  isChange (view: TargetView): boolean {
     return this.listed.get(view.id)?.view.isLeaving !== view.isLeaving
   }
 
   /** Whether an entry belongs to another process than the one listed under its id. */
   isRestarted (view: TargetView): boolean {
-    const known = this.listed.get(view.id)?.view
-    return known !== undefined && known.startedAt !== view.startedAt
+    const current = this.listed.get(view.id)?.view
+    return current !== undefined && current.startedAt !== view.startedAt
   }
 
   /** Removes an entry at once, without retention: its row does not describe a valid target. */
@@ -176,18 +176,18 @@
 
   private list (view: TargetView): void {
     this.listed.set(view.id, { view })
-    this.reports.listed(view)
+    this.reports.handleListing(view)
   }
 
-  private drop (id: string, mono: number): void {
-    const known = this.listed.get(id)
-    if (known === undefined) return
-    const mayLapse = mono - this.troubleAt <= RELIST_MS && !this.isLeaving(known.view)
-    if (mayLapse) this.listed.set(id, { view: known.view, removedAt: known.removedAt ?? mono })
+  private removeEntry (id: string, mono: number): void {
+    const current = this.listed.get(id)
+    if (current === undefined) return
+    const mayBeRelisted = mono - this.registerFailedAt <= RELIST_TIMEOUT_MS && !this.isLeaving(current.view)
+    if (mayBeRelisted) this.listed.set(id, { view: current.view, removedAt: current.removedAt ?? mono })
     else this.listed.delete(id)
   }
 
-  private rebuiltAfter (changes: readonly EvacuationChange[]): readonly EvacuationChange[] {
+  private rebuildAfter (changes: readonly EvacuationChange[]): readonly EvacuationChange[] {
     if (changes.length > 0) this.rebuild()
     return changes
   }
--- a/packages/decisions/src/gateway/warmUpPart.ts
+++ b/packages/decisions/src/gateway/warmUpPart.ts
@@ -12,16 +12,16 @@
  * Share of the rate that is used: VMs that each know only half of the others designate more senders, which together would exceed
  * the full rate.
  */
-const USED_PART = 0.5
+const USED_SHARE = 0.5
 /** Time for which a designation is cached; VMs come and go within seconds. */
-const NAMED_MS = 500
+const DESIGNATION_TTL_MS = 500
 /** Longest accepted warm-up: a hundred times the three seconds that pools of language models take. */
-const MOST_WARM_UP_MS = 300_000
+const MAX_WARM_UP_MS = 300_000
 const MS_PER_S = 1_000
 
 /** Whether a reported time until a target is warm is plausible. */
-export function isWarmUpTime (leftMs: number): boolean {
-  return leftMs >= 0 && leftMs <= MOST_WARM_UP_MS
+export function isPlausibleWarmUp (leftMs: number): boolean {
+  return leftMs >= 0 && leftMs <= MAX_WARM_UP_MS
 }
 
 /** Rate limit of targets that warm up, and the VMs that share it. */
@@ -35,23 +35,23 @@
 }
 
 /** Paces the requests of one VM to one target until it is warm. Times are monotonic milliseconds. */
-export class WarmUpPart {
+export class WarmUpShare {
   private sentAt = -Infinity
   private intervalMs: number | undefined
-  private namedAt = -Infinity
+  private designatedAt = -Infinity
 
   /** @param warmAt - when the target is warm */
   constructor (private readonly target: string, private warmAt: number) {}
 
   /** Updates when the target is warm; requests sent before still count. */
-  told (warmAt: number): void {
+  updateWarmAt (warmAt: number): void {
     this.warmAt = warmAt
   }
 
   /** Milliseconds until this VM may send a request; 0 if it may now. */
   waitMs (rate: WarmUpRate, mono: number): number {
     if (mono >= this.warmAt) return 0
-    const intervalMs = this.interval(rate, mono)
+    const intervalMs = this.cachedInterval(rate, mono)
     if (intervalMs === undefined) return this.warmAt - mono
     return Math.max(0, Math.min(this.warmAt, this.sentAt + intervalMs) - mono)
   }
@@ -62,17 +62,17 @@
   }
 
   /** Milliseconds between two requests of this VM; undefined if it is not designated. */
-  private interval (rate: WarmUpRate, mono: number): number | undefined {
-    if (mono - this.namedAt < NAMED_MS) return this.intervalMs
-    this.namedAt = mono
-    this.intervalMs = this.intervalOf(rate)
+  private cachedInterval (rate: WarmUpRate, mono: number): number | undefined {
+    if (mono - this.designatedAt < DESIGNATION_TTL_MS) return this.intervalMs
+    this.designatedAt = mono
+    this.intervalMs = this.computeInterval(rate)
     return this.intervalMs
   }
 
-  private intervalOf ({ perS, vm, vms }: WarmUpRate): number | undefined {
-    const known = vms()
-    const usedPerS = perS * USED_PART
-    const named = Math.min(known.length, Math.max(1, Math.floor(usedPerS)))
-    return roleCandidates(this.target, known, named).includes(vm) ? named * MS_PER_S / usedPerS : undefined
+  private computeInterval ({ perS, vm, vms }: WarmUpRate): number | undefined {
+    const currentVms = vms()
+    const usedPerS = perS * USED_SHARE
+    const designated = Math.min(currentVms.length, Math.max(1, Math.floor(usedPerS)))
+    return roleCandidates(this.target, currentVms, designated).includes(vm) ? designated * MS_PER_S / usedPerS : undefined
   }
 }
--- a/packages/decisions/src/membership/callerAddresses.ts
+++ b/packages/decisions/src/membership/callerAddresses.ts
@@ -14,7 +14,7 @@
 const BUSY_WEIGHT = 0.01
 
 /** Location of the responding VM. */
-export interface Place {
+export interface VmLocation {
   readonly domain: string
   readonly region: string
 }
@@ -31,18 +31,18 @@
  * @param random - uniform in [0, 1), drawn once for each VM
  * @param team - the caller's team, if known
  */
-export function addressesFor (place: Place, members: readonly MemberView[], keepMs: number, random: () => number, team?: string): CallerAddresses {
+export function addressesFor (location: VmLocation, members: readonly MemberView[], keepMs: number, random: () => number, team?: string): CallerAddresses {
   const usable = members.filter(member => member.state === 'live')
   const keyOf = team === undefined ? (member: MemberView) => sortKey(loadWeight(member), random()) : teamKeys(team, usable)
-  const keyed = usable.map(member => ({ member, distance: distanceOf(place, member), key: keyOf(member) }))
+  const keyed = usable.map(member => ({ member, distance: distanceOf(location, member), key: keyOf(member) }))
   keyed.sort((a, b) => a.distance - b.distance || b.key - a.key)
   const addresses = keyed.slice(0, MAX_ADDRESSES).map(({ member }) => member.callers)
   return { addresses, keepMs }
 }
 
-function distanceOf (place: Place, member: MemberView): number {
-  if (member.domain === place.domain) return 0
-  return member.region === place.region ? 1 : 2
+function distanceOf (location: VmLocation, member: MemberView): number {
+  if (member.domain === location.domain) return 0
+  return member.region === location.region ? 1 : 2
 }
 
 /** Sort key of weighted sampling without replacement (Efraimidis and Spirakis 2006). */
--- a/packages/decisions/src/membership/memberFleet.fixture.ts
+++ b/packages/decisions/src/membership/memberFleet.fixture.ts
@@ -12,7 +12,7 @@
 }
 
 /** One VM of the fleet. */
-export class FleetVm {
+export class HarnessVm {
   readonly table: MemberTable
   readonly actions: MemberAction[] = []
   frozen = false
@@ -21,7 +21,7 @@
   monoStopped = false
   mono = 0
 
-  constructor (readonly row: MemberRow, readonly fleet: Fleet) {
+  constructor (readonly row: MemberRow, readonly fleet: MemberHarness) {
     this.table = new MemberTable(row, fleet.random)
   }
 
@@ -32,7 +32,7 @@
   feed (event: MemberEvent): void {
     const actions = this.table.handle(event, this.now())
     this.actions.push(...actions)
-    for (const action of actions) this.fleet.carryOut(this, action)
+    for (const action of actions) this.fleet.execute(this, action)
   }
 
   now (): { mono: number, wall: number } {
@@ -49,9 +49,9 @@
 }
 
 /** A fleet of VMs; names are `<domain>-<number>`. */
-export class Fleet {
+export class MemberHarness {
   time = 1_000_000
-  readonly vms: FleetVm[] = []
+  readonly vms: HarnessVm[] = []
   readonly rows = new Map<string, StoredRow>()
   tableDown = false
   /** Responses to writes to drop, after the writes took effect. */
@@ -62,7 +62,7 @@
   list: { readonly asOf: number, readonly vms: readonly ListedVm[] } = { asOf: 0, vms: [] }
   messages = 0
   /** Called for each message that is sent. */
-  onMessage: (from: FleetVm, to: string, heartbeat: Heartbeat) => void = () => {}
+  onMessage: (from: HarnessVm, to: string, heartbeat: Heartbeat) => void = () => {}
   private nextVersion = 1
   private seed = 7
 
@@ -71,12 +71,12 @@
     return this.seed / 2 ** 32
   }
 
-  add (domain: string, number: number, incarnation: number | string = 1): FleetVm {
+  add (domain: string, number: number, incarnation: number | string = 1): HarnessVm {
     const vm = `${domain}-${number}`
     const port = 7000 + this.vms.length
     const address = `127.0.0.1:${port}`
     const row: MemberRow = { vm, holder: `${vm}~${incarnation}`, domain, region: 'r', callers: address, operators: address, peers: address, state: 'live', configVersion: 1, capacity: 1 }
-    const added = new FleetVm(row, this)
+    const added = new HarnessVm(row, this)
     this.vms.push(added)
     return added
   }
@@ -94,20 +94,20 @@
     }
   }
 
-  carryOut (vm: FleetVm, action: MemberAction): void {
-    const askedAt = vm.now()
+  execute (vm: HarnessVm, action: MemberAction): void {
+    const requestedAt = vm.now()
     switch (action.kind) {
       case 'beat':
         for (const to of action.to) this.deliver(vm, to, action)
         return
       case 'scan': return this.readRows(vm, [...this.rows.keys()], true)
       case 'readRows': return this.readRows(vm, action.vms, false)
-      case 'readList': return vm.feed({ kind: 'listRead', vms: this.list.vms, lagMs: this.time - this.list.asOf, askedAt })
-      case 'readOwn': return this.readOwn(vm)
-      case 'dropRow':
+      case 'readList': return vm.feed({ kind: 'listRead', vms: this.list.vms, lagMs: this.time - this.list.asOf, requestedAt })
+      case 'readLocalRow': return this.readLocalRow(vm)
+      case 'deleteRow':
         if (this.rows.get(action.vm)?.version === action.version) this.rows.delete(action.vm)
         return
-      case 'writeOwn': return this.write(vm, action.row, action.version)
+      case 'writeLocalRow': return this.write(vm, action.row, action.version)
     }
   }
 
@@ -120,34 +120,34 @@
     return this.nextVersion
   }
 
-  private deliver (from: FleetVm, address: string, action: Extract<MemberAction, { kind: 'beat' }>): void {
+  private deliver (from: HarnessVm, address: string, action: Extract<MemberAction, { kind: 'beat' }>): void {
     this.messages += 1
     this.onMessage(from, address, action.heartbeat)
     const to = this.vms.find(vm => vm.row.peers === address)
     if (to === undefined || !to.active) return
     if (this.cuts.has(`${from.row.domain}|${to.row.domain}`) || this.cuts.has(`${to.row.domain}|${from.row.domain}`)) return
-    to.feed({ kind: 'heard', from: from.row.holder, heartbeat: action.heartbeat })
+    to.feed({ kind: 'heartbeatReceived', from: from.row.holder, heartbeat: action.heartbeat })
   }
 
-  private readRows (vm: FleetVm, keys: readonly string[], whole: boolean): void {
+  private readRows (vm: HarnessVm, keys: readonly string[], whole: boolean): void {
     if (this.tableDown) return
     const rows = keys.flatMap(key => this.rows.get(key) ?? [])
     const read = rows.map(({ row, version, updatedAt }) => ({ row, version, ageMs: this.time - updatedAt }))
-    vm.feed({ kind: 'rowsRead', rows: read, whole, askedAt: vm.now() })
+    vm.feed({ kind: 'rowsRead', rows: read, whole, requestedAt: vm.now() })
   }
 
-  private readOwn (vm: FleetVm): void {
-    if (this.tableDown) return vm.feed({ kind: 'ownUnreadable' })
+  private readLocalRow (vm: HarnessVm): void {
+    if (this.tableDown) return vm.feed({ kind: 'localRowReadFailed' })
     const stored = this.rows.get(vm.row.vm)
-    vm.feed({ kind: 'ownRead', found: stored === undefined ? null : { holder: stored.row.holder, version: stored.version } })
+    vm.feed({ kind: 'localRowRead', found: stored === undefined ? null : { holder: stored.row.holder, version: stored.version } })
   }
 
-  private write (vm: FleetVm, row: MemberRow, version: number | null): void {
-    if (this.tableDown) return vm.feed({ kind: 'ownWritten', outcome: { kind: 'unavailable' } })
+  private write (vm: HarnessVm, row: MemberRow, version: number | null): void {
+    if (this.tableDown) return vm.feed({ kind: 'localRowWritten', outcome: { kind: 'unavailable' } })
     const written = this.store(row, version)
-    if (written === undefined) return vm.feed({ kind: 'ownWritten', outcome: { kind: 'conflict' } })
+    if (written === undefined) return vm.feed({ kind: 'localRowWritten', outcome: { kind: 'conflict' } })
     const isLost = this.loseAnswers > 0
     if (isLost) this.loseAnswers -= 1
-    vm.feed({ kind: 'ownWritten', outcome: isLost ? { kind: 'unknown' } : { kind: 'written', version: written } })
+    vm.feed({ kind: 'localRowWritten', outcome: isLost ? { kind: 'unknown' } : { kind: 'written', version: written } })
   }
 }
--- a/packages/decisions/src/membership/memberRecords.ts
+++ b/packages/decisions/src/membership/memberRecords.ts
@@ -2,14 +2,14 @@
  * Records of all other VMs, and their states at a given time.
  */
 import type { Instant } from '../clock/clockTypes.js'
-import { heartbeatSources, type RingMember } from './memberRing.js'
+import { heartbeatSenders, type RingMember } from './memberRing.js'
 import { MemberRecord } from './memberRecord.js'
-import type { MemberLimits, MemberState, MemberView, ReadMember } from './memberTypes.js'
+import type { MemberLimits, MemberState, MemberView, StoredMember } from './memberTypes.js'
 
 /** Retention of the rows of terminated VMs, for those that settle their allotments. */
-const KEEP_GONE_MS = 3_600_000
+const TERMINATED_RETENTION_MS = 3_600_000
 /** Retention of the rows of unresponsive VMs; one that recovers registers again. */
-const KEEP_SILENT_MS = 86_400_000
+const UNRESPONSIVE_RETENTION_MS = 86_400_000
 
 export class MemberRecords {
   private readonly records = new Map<string, MemberRecord>()
@@ -31,12 +31,12 @@
 
   /**
    * Adds or updates the record of another VM.
-   * @param askedAt - when the row was requested
+   * @param requestedAt - when the row was requested
    */
-  readRow (read: ReadMember, askedAt: Instant): void {
+  applyRow (read: StoredMember, requestedAt: Instant): void {
     const record = this.records.get(read.row.vm)
-    if (record === undefined) this.records.set(read.row.vm, new MemberRecord(read, askedAt))
-    else record.readRow(read, askedAt)
+    if (record === undefined) this.records.set(read.row.vm, new MemberRecord(read, requestedAt))
+    else record.applyRow(read, requestedAt)
   }
 
   /**
@@ -71,10 +71,10 @@
   }
 
   /** VMs whose rows are past their retention. */
-  outdated (now: Instant): readonly MemberRecord[] {
+  expired (now: Instant): readonly MemberRecord[] {
     return this.all().filter(record => {
-      const keepMs = this.stateOf(record, now) === 'gone' ? KEEP_GONE_MS : KEEP_SILENT_MS
-      return record.ageMs(now) > keepMs
+      const retentionMs = this.stateOf(record, now) === 'gone' ? TERMINATED_RETENTION_MS : UNRESPONSIVE_RETENTION_MS
+      return record.ageMs(now) > retentionMs
     })
   }
 
@@ -84,8 +84,8 @@
 
   /** Updates whose heartbeats are expected here. */
   updateWatch (now: Instant): void {
-    const sources = new Set<RingMember>(heartbeatSources(this.self, this.participants(now), this.limits))
-    for (const record of this.records.values()) record.watch(sources.has(record), now)
+    const sources = new Set<RingMember>(heartbeatSenders(this.self, this.participants(now), this.limits))
+    for (const record of this.records.values()) record.setWatched(sources.has(record), now)
   }
 
   /** Restarts the measurement of silence after a pause of this process. */
--- a/packages/decisions/src/membership/memberRing.ts
+++ b/packages/decisions/src/membership/memberRing.ts
@@ -19,7 +19,7 @@
  * Regular recipients of the heartbeats of one VM: all VMs in a small fleet, otherwise its successors on the ring of its domain.
  * @param members - all members that take part, including the sender
  */
-export function heartbeatTargets<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
+export function heartbeatRecipients<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
   return neighbours(self, members, limits, ring => ring.slice(0, limits.ringFanout))
 }
 
@@ -27,7 +27,7 @@
  * Regular senders of heartbeats to one VM; the inverse of `heartbeatRecipients`.
  * @param members - all members that take part, including the receiver
  */
-export function heartbeatSources<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
+export function heartbeatSenders<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits): readonly T[] {
   return neighbours(self, members, limits, ring => ring.slice(-limits.ringFanout))
 }
 
@@ -37,21 +37,21 @@
  * @param role - role of a lease, or another task that few VMs perform
  * @param vms - names of the eligible live VMs
  */
-export function roleCandidates (role: string, vms: readonly string[], atMost: number): readonly string[] {
+export function roleCandidates (role: string, vms: readonly string[], limit: number): readonly string[] {
   const key = hashName(role)
-  const weighed = vms.map(vm => ({ vm, weight: pairWeight(key, hashName(vm)) }))
-  weighed.sort((a, b) => b.weight - a.weight || compareNames(a.vm, b.vm))
-  return weighed.slice(0, atMost).map(({ vm }) => vm)
+  const weighted = vms.map(vm => ({ vm, weight: pairWeight(key, hashName(vm)) }))
+  weighted.sort((a, b) => b.weight - a.weight || compareNames(a.vm, b.vm))
+  return weighted.slice(0, limit).map(({ vm }) => vm)
 }
 
 /** All other members in a small fleet, otherwise a slice of the domain's ring that starts behind `self`. */
-function neighbours<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits, part: (ring: readonly T[]) => readonly T[]): readonly T[] {
+function neighbours<T extends RingMember> (self: RingMember, members: readonly T[], limits: RingLimits, sliceRing: (ring: readonly T[]) => readonly T[]): readonly T[] {
   const others = members.filter(member => member.vm !== self.vm)
   if (others.length < limits.meshMembers) return others
   const ring = ringOf(others.filter(member => member.domain === self.domain))
-  const own = hashName(self.vm)
-  const first = Math.max(ring.findIndex(member => isAfter(member.vm, self.vm, own)), 0)
-  return part([...ring.slice(first), ...ring.slice(0, first)])
+  const selfPosition = hashName(self.vm)
+  const first = Math.max(ring.findIndex(member => isAfter(member.vm, self.vm, selfPosition)), 0)
+  return sliceRing([...ring.slice(first), ...ring.slice(0, first)])
 }
 
 function ringOf<T extends RingMember> (members: readonly T[]): readonly T[] {
@@ -60,9 +60,9 @@
   return placed.map(({ member }) => member)
 }
 
-function isAfter (vm: string, self: string, selfPlace: number): boolean {
-  const place = hashName(vm)
-  return place > selfPlace || (place === selfPlace && vm > self)
+function isAfter (vm: string, self: string, selfPosition: number): boolean {
+  const position = hashName(vm)
+  return position > selfPosition || (position === selfPosition && vm > self)
 }
 
 function compareNames (a: string, b: string): number {
--- a/packages/decisions/src/membership/memberTable.spec.ts
+++ b/packages/decisions/src/membership/memberTable.spec.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
-import { Fleet, type FleetVm } from './memberFleet.fixture.js'
+import { MemberHarness, type HarnessVm } from './memberFleet.fixture.js'
 import { addressesFor } from './callerAddresses.js'
-import { heartbeatSources, heartbeatTargets, roleCandidates } from './memberRing.js'
+import { heartbeatSenders, heartbeatRecipients, roleCandidates } from './memberRing.js'
 import { defaultMemberLimits, type MemberView } from './memberTypes.js'
-import { OwnRow } from './ownRow.js'
+import { LocalRow } from './ownRow.js'
 
 const DOMAINS = ['quito', 'cumbaya', 'tababela']
 
-function fleetOf (perDomain: number): Fleet {
-  const fleet = new Fleet()
+function fleetOf (perDomain: number): MemberHarness {
+  const fleet = new MemberHarness()
   for (const domain of DOMAINS) {
     for (let i = 1; i <= perDomain; i += 1) fleet.add(domain, i)
   }
@@ -17,7 +17,7 @@
 }
 
 /** Distinct states of one VM as seen by all other active VMs. */
-function statesOf (fleet: Fleet, vm: FleetVm): readonly string[] {
+function statesOf (fleet: MemberHarness, vm: HarnessVm): readonly string[] {
   const others = fleet.vms.filter(other => other !== vm && other.active)
   return [...new Set(others.map(other => other.stateOf(vm.row.vm) ?? 'unknown'))].sort()
 }
@@ -62,10 +62,10 @@
   for (const { title, state, asOf, expected } of listCases) {
     it(`the list says ${title}: ${expected}`, () => {
       const fleet = fleetOf(1)
-      const [vm, observer] = fleet.vms as [FleetVm, FleetVm]
+      const [vm, observer] = fleet.vms as [HarnessVm, HarnessVm]
       fleet.time += 500
       observer.mono += 500
-      observer.feed({ kind: 'listRead', vms: [{ vm: vm.row.vm, state }], lagMs: -asOf, askedAt: observer.now() })
+      observer.feed({ kind: 'listRead', vms: [{ vm: vm.row.vm, state }], lagMs: -asOf, requestedAt: observer.now() })
       expect(observer.stateOf(vm.row.vm)).equal(expected)
     })
   }
@@ -131,11 +131,11 @@
   })
 
   it('lost responses to registration and renewal are resolved by a read, not mistaken for another holder', () => {
-    const fleet = new Fleet()
+    const fleet = new MemberHarness()
     const vm = fleet.add('quito', 1)
     fleet.loseAnswers = 1
     fleet.run(2)
-    expect(vm.count('writeOwn')).equal(1)
+    expect(vm.count('writeLocalRow')).equal(1)
     fleet.loseAnswers = 1
     fleet.run(22)
     expect(vm.count('replaced')).equal(0)
@@ -143,27 +143,27 @@
   })
 
   it('an outdated replica that still shows the earlier incarnation does not stop this one', () => {
-    const row = new OwnRow('a~2', 20_000)
+    const row = new LocalRow('a~2', 20_000)
     const at = (ms: number): { mono: number, wall: number } => ({ mono: ms, wall: ms })
-    const wanted = new Fleet().add('quito', 1).row
-    row.due(wanted, at(0))
-    row.read({ holder: 'a~1', version: 5 })
-    expect(row.due(wanted, at(1))).deep.equal([{ kind: 'writeOwn', row: wanted, version: 5 }])
-    row.wrote({ kind: 'written', version: 9 })
-    row.doubt()
-    expect(row.due(wanted, at(2))).deep.equal([{ kind: 'readOwn' }])
-    expect(row.read({ holder: 'a~1', version: 5 })).deep.equal([])
+    const wanted = new MemberHarness().add('quito', 1).row
+    row.nextCall(wanted, at(0))
+    row.handleRead({ holder: 'a~1', version: 5 })
+    expect(row.nextCall(wanted, at(1))).deep.equal([{ kind: 'writeLocalRow', row: wanted, version: 5 }])
+    row.handleWriteOutcome({ kind: 'written', version: 9 })
+    row.handlePause()
+    expect(row.nextCall(wanted, at(2))).deep.equal([{ kind: 'readLocalRow' }])
+    expect(row.handleRead({ holder: 'a~1', version: 5 })).deep.equal([])
     expect(row.mayBeReplaced).equal(true)
-    expect(row.due(wanted, at(1_100))).deep.equal([{ kind: 'readOwn' }])
-    expect(row.read({ holder: 'a~3', version: 12 })).deep.equal([{ kind: 'replaced', by: 'a~3' }])
+    expect(row.nextCall(wanted, at(1_100))).deep.equal([{ kind: 'readLocalRow' }])
+    expect(row.handleRead({ holder: 'a~3', version: 12 })).deep.equal([{ kind: 'replaced', by: 'a~3' }])
   })
 
   it('the row is renewed periodically, and at once when the configuration version changes', () => {
     const fleet = fleetOf(1)
     const vm = fleet.vms[0]!
-    const before = vm.count('writeOwn')
+    const before = vm.count('writeLocalRow')
     fleet.run(40)
-    expect(vm.count('writeOwn') - before).equal(2)
+    expect(vm.count('writeLocalRow') - before).equal(2)
     vm.feed({ kind: 'self', configVersion: 2, openRequests: 0 })
     expect(fleet.rows.get(vm.row.vm)?.row.configVersion).equal(2)
   })
@@ -209,9 +209,9 @@
 
   it('a heartbeat whose holder differs from the authenticated sender is ignored', () => {
     const fleet = fleetOf(1)
-    const [vm, other] = fleet.vms as [FleetVm, FleetVm]
+    const [vm, other] = fleet.vms as [HarnessVm, HarnessVm]
     const forged = { holder: other.row.holder, beat: 9_999, state: 'leaving', config: 1, open: 0, age: 0 } as const
-    vm.feed({ kind: 'heard', from: 'tababela-1~1', heartbeat: { self: forged, news: [], ask: false } })
+    vm.feed({ kind: 'heartbeatReceived', from: 'tababela-1~1', heartbeat: { self: forged, news: [], ask: false } })
     expect(vm.stateOf(other.row.vm)).equal('live')
   })
 })
@@ -221,11 +221,11 @@
 
   it('senders are the inverse of recipients, within the domain, bounded', () => {
     for (const self of members) {
-      const targets = heartbeatTargets(self, members, defaultMemberLimits)
+      const targets = heartbeatRecipients(self, members, defaultMemberLimits)
       expect(targets.length).equal(defaultMemberLimits.ringFanout)
       for (const target of targets) {
         expect(target.domain).equal(self.domain)
-        expect(heartbeatSources(target, members, defaultMemberLimits)).include(self)
+        expect(heartbeatSenders(target, members, defaultMemberLimits)).include(self)
       }
     }
   })
@@ -257,7 +257,7 @@
   }
 
   it('spreads callers by load', () => {
-    const { random } = new Fleet()
+    const { random } = new MemberHarness()
     const members = [member('idle'), member('busy', { openRequests: 3 })]
     const firsts = Array.from({ length: 4_000 }, () => addressesFor(place, members, 1, random).addresses[0])
     expect(firsts.filter(vm => vm === 'idle').length / firsts.length).within(0.77, 0.83)
--- a/packages/decisions/src/membership/memberTypes.ts
+++ b/packages/decisions/src/membership/memberTypes.ts
@@ -30,7 +30,7 @@
 export type MemberRow = z.infer<typeof memberRowSchema>
 
 /** Update about one VM. Property names are short because updates are the bulk of the traffic. */
-export const memberNewsSchema = z.object({
+export const memberUpdateSchema = z.object({
   holder: z.string().max(256),
   /** Sequence number of the heartbeat that carried this state; grows with each heartbeat of a holder. */
   beat: count,
@@ -41,12 +41,12 @@
   /** Milliseconds since the heartbeat was sent, by the clocks on its path. */
   age: count
 })
-export type MemberNews = z.infer<typeof memberNewsSchema>
+export type MemberUpdate = z.infer<typeof memberUpdateSchema>
 
 /** A heartbeat: the sender's state, and updates about other VMs. */
 export const heartbeatSchema = z.object({
-  self: memberNewsSchema,
-  news: z.array(memberNewsSchema).max(64),
+  self: memberUpdateSchema,
+  news: z.array(memberUpdateSchema).max(64),
   /** Requests a heartbeat in return. */
   ask: z.boolean()
 })
@@ -64,7 +64,7 @@
 }
 
 /** A stored row with its version and the milliseconds since it was written. */
-export interface ReadMember {
+export interface StoredMember {
   readonly row: MemberRow
   readonly version: number
   readonly ageMs: number
@@ -77,7 +77,7 @@
 }
 
 /** Outcome of a write of the local row. */
-export type OwnWriteOutcome =
+export type LocalWriteOutcome =
   | { readonly kind: 'written', readonly version: number }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'unavailable' }
@@ -88,14 +88,14 @@
   | { readonly kind: 'tick' }
   /** The configuration version or the load of this VM changed. */
   | { readonly kind: 'self', readonly configVersion: number | null, readonly openRequests: number }
-  | { readonly kind: 'heard', readonly from: HolderId, readonly heartbeat: Heartbeat }
+  | { readonly kind: 'heartbeatReceived', readonly from: HolderId, readonly heartbeat: Heartbeat }
   /** Rows were read; `whole` if no other rows exist. */
-  | { readonly kind: 'rowsRead', readonly rows: readonly ReadMember[], readonly whole: boolean, readonly askedAt: Instant }
+  | { readonly kind: 'rowsRead', readonly rows: readonly StoredMember[], readonly whole: boolean, readonly requestedAt: Instant }
   /** The platform's list was read; `lagMs` is its age at the time of the response. */
-  | { readonly kind: 'listRead', readonly vms: readonly ListedVm[], readonly lagMs: number, readonly askedAt: Instant }
-  | { readonly kind: 'ownRead', readonly found: { readonly holder: HolderId, readonly version: number } | null }
-  | { readonly kind: 'ownUnreadable' }
-  | { readonly kind: 'ownWritten', readonly outcome: OwnWriteOutcome }
+  | { readonly kind: 'listRead', readonly vms: readonly ListedVm[], readonly lagMs: number, readonly requestedAt: Instant }
+  | { readonly kind: 'localRowRead', readonly found: { readonly holder: HolderId, readonly version: number } | null }
+  | { readonly kind: 'localRowReadFailed' }
+  | { readonly kind: 'localRowWritten', readonly outcome: LocalWriteOutcome }
   | { readonly kind: 'leave' }
 
 /** Output of the decider, carried out by its driver. */
@@ -106,11 +106,11 @@
   /** Read the rows of these VMs. */
   | { readonly kind: 'readRows', readonly vms: readonly string[] }
   | { readonly kind: 'readList' }
-  | { readonly kind: 'readOwn' }
+  | { readonly kind: 'readLocalRow' }
   /** Write the local row if its version is still the given one (null: if there is none). */
-  | { readonly kind: 'writeOwn', readonly row: MemberRow, readonly version: number | null }
+  | { readonly kind: 'writeLocalRow', readonly row: MemberRow, readonly version: number | null }
   /** Delete the row of a VM that terminated long ago, if its version is still the given one. */
-  | { readonly kind: 'dropRow', readonly vm: string, readonly version: number }
+  | { readonly kind: 'deleteRow', readonly vm: string, readonly version: number }
   | { readonly kind: 'changed', readonly vm: string, readonly state: MemberState, readonly evidence: string }
   /** A clock advanced by more than the time between two ticks: the process may have been paused. */
   | { readonly kind: 'jumped', readonly jumpMs: number }
@@ -122,7 +122,7 @@
   /** Interval between two heartbeats. */
   readonly periodMs: number
   /** A watched VM that is silent for this long is probed. */
-  readonly askAfterMs: number
+  readonly probeAfterMs: number
   /** A watched VM that is silent for this long is suspected. */
   readonly suspectAfterMs: number
   /**
@@ -149,7 +149,7 @@
   /** Periods between two heartbeats to the first candidate for the domain's writer role. */
   readonly writerEvery: number
   /** Periods for which one random peer beyond these gets heartbeats. */
-  readonly strangerPeriods: number
+  readonly randomPeerPeriods: number
   /** Updates in one heartbeat: recent changes in each, other members only in the one to a random peer. */
   readonly rumors: number
   readonly digest: number
@@ -160,7 +160,7 @@
 /** Limits of the daemon. */
 export const defaultMemberLimits: MemberLimits = {
   periodMs: 1_000,
-  askAfterMs: 2_000,
+  probeAfterMs: 2_000,
   suspectAfterMs: 3_000,
   staleAfterMs: 60_000,
   forgetAfterMs: 600_000,
@@ -174,7 +174,7 @@
   meshMembers: 8,
   ringFanout: 4,
   writerEvery: 8,
-  strangerPeriods: 8,
+  randomPeerPeriods: 8,
   rumors: 2,
   digest: 6,
   rumorTimes: 8
--- a/packages/decisions/src/membership/namedVms.ts
+++ b/packages/decisions/src/membership/namedVms.ts
@@ -6,14 +6,14 @@
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
 /** Most VMs in one response. */
-const MOST_NAMED = 64
+const MAX_ADVERTISED = 64
 /** VMs with capacity in the caller's domain from which on no others are advertised. */
-const ENOUGH_VMS = 8
+const MIN_DOMAIN_VMS = 8
 /** Share of the domain's VMs that must have capacity for that. */
-const ENOUGH_PART = 0.5
+const MIN_DOMAIN_SHARE = 0.5
 
 /** A VM that may be advertised. */
-export interface NamedVm {
+export interface AdvertisedVm {
   readonly vm: string
   readonly domain: string
   readonly region?: string | undefined
@@ -22,7 +22,7 @@
 }
 
 /** Location of a caller that requests addresses. */
-export interface CallerPlace {
+export interface CallerLocation {
   /** Identifies the caller. */
   readonly caller: string
   /** Absent if the caller does not send it. */
@@ -34,25 +34,25 @@
  * VMs to advertise to a caller. If all are overloaded they are advertised all the same: a refusal there is better than no address.
  * @param serving - VMs that serve requests
  */
-export function namedVms<T extends NamedVm> (place: CallerPlace, serving: readonly T[]): readonly T[] {
-  const withRoom = serving.filter(vm => vm.isPressed !== true)
-  const usable = withRoom.length > 0 ? withRoom : serving
-  const own = usable.filter(vm => vm.domain === place.domain)
-  const candidates = isEnough(own, place, serving) ? own : usable
-  const key = hashName(place.caller)
+export function selectAdvertisedVms<T extends AdvertisedVm> (location: CallerLocation, serving: readonly T[]): readonly T[] {
+  const withCapacity = serving.filter(vm => vm.isPressed !== true)
+  const usable = withCapacity.length > 0 ? withCapacity : serving
+  const inDomain = usable.filter(vm => vm.domain === location.domain)
+  const candidates = isSufficient(inDomain, location, serving) ? inDomain : usable
+  const key = hashName(location.caller)
   return candidates
-    .map(vm => ({ vm, distance: distanceOf(place, vm), weight: pairWeight(key, hashName(vm.vm)) }))
+    .map(vm => ({ vm, distance: distanceOf(location, vm), weight: pairWeight(key, hashName(vm.vm)) }))
     .sort((a, b) => a.distance - b.distance || b.weight - a.weight)
-    .slice(0, MOST_NAMED)
+    .slice(0, MAX_ADVERTISED)
     .map(({ vm }) => vm)
 }
 
-function isEnough (own: readonly NamedVm[], place: CallerPlace, serving: readonly NamedVm[]): boolean {
-  const inDomain = serving.filter(vm => vm.domain === place.domain).length
-  return own.length >= ENOUGH_VMS && own.length >= inDomain * ENOUGH_PART
+function isSufficient (withCapacity: readonly AdvertisedVm[], location: CallerLocation, serving: readonly AdvertisedVm[]): boolean {
+  const inDomain = serving.filter(vm => vm.domain === location.domain).length
+  return withCapacity.length >= MIN_DOMAIN_VMS && withCapacity.length >= inDomain * MIN_DOMAIN_SHARE
 }
 
-function distanceOf (place: CallerPlace, vm: NamedVm): number {
-  if (vm.domain === place.domain) return 0
-  return vm.region === undefined || place.region === undefined || vm.region === place.region ? 1 : 2
+function distanceOf (location: CallerLocation, vm: AdvertisedVm): number {
+  if (vm.domain === location.domain) return 0
+  return vm.region === undefined || location.region === undefined || vm.region === location.region ? 1 : 2
 }
--- a/packages/decisions/src/membership/ownRow.ts
+++ b/packages/decisions/src/membership/ownRow.ts
@@ -4,7 +4,7 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { HolderId } from '../names/nameTypes.js'
-import type { MemberAction, MemberRow, OwnWriteOutcome } from './memberTypes.js'
+import type { MemberAction, MemberRow, LocalWriteOutcome } from './memberTypes.js'
 
 /** Delay before a failed call to the table is retried. */
 const RETRY_MS = 1_000
@@ -14,26 +14,26 @@
   | 'starting'
   | 'registered'
   /** After a pause or a lost response: the row has to be read. */
-  | 'unsure'
+  | 'unverified'
   | 'replaced'
 
 /** Decides when to read and write the local row. */
-export class OwnRow {
+export class LocalRow {
   private phase: Phase = 'starting'
   private version: number | null = null
-  private busy = false
-  private wantsRead = true
-  private wantsWrite = false
+  private isCallInFlight = false
+  private isReadRequired = true
+  private isWriteRequired = false
   private lastCallAt: Instant | undefined
   private lastWriteAt: Instant | undefined
-  private failed = false
-  private written: MemberRow | undefined
+  private lastCallFailed = false
+  private lastWritten: MemberRow | undefined
   private paused = false
 
   /** @param renewMs - milliseconds between two renewals */
   constructor (private readonly holder: HolderId, private readonly renewMs: number) {}
 
-  get registered (): boolean {
+  get isRegistered (): boolean {
     return this.phase === 'registered'
   }
 
@@ -42,95 +42,95 @@
   }
 
   /** Handles a possible pause of the process: the row is read before it is written again. */
-  doubt (): void {
+  handlePause (): void {
     if (this.phase !== 'starting') this.paused = true
-    this.unsure()
+    this.requireRead()
   }
 
   /** Schedules a read of the row, without assuming a pause. */
-  unsure (): void {
-    this.wantsRead = true
-    if (this.phase === 'registered') this.phase = 'unsure'
+  requireRead (): void {
+    this.isReadRequired = true
+    if (this.phase === 'registered') this.phase = 'unverified'
   }
 
   /** Schedules a write of the row as soon as possible, as when this VM leaves. */
-  makeDue (): void {
-    this.wantsWrite = true
+  requireWrite (): void {
+    this.isWriteRequired = true
   }
 
   /**
    * The next call to the table, if one is due.
    * @param row - the desired content of the row
    */
-  due (row: MemberRow, now: Instant): readonly MemberAction[] {
-    if (this.busy || this.phase === 'replaced' || this.isTooEarly(now)) return []
-    if (this.wantsRead) return this.start(now, { kind: 'readOwn' })
+  nextCall (row: MemberRow, now: Instant): readonly MemberAction[] {
+    if (this.isCallInFlight || this.phase === 'replaced' || this.isTooEarly(now)) return []
+    if (this.isReadRequired) return this.start(now, { kind: 'readLocalRow' })
     if (!this.needsWrite(row, now)) return []
-    this.wantsWrite = false
-    this.written = row
+    this.isWriteRequired = false
+    this.lastWritten = row
     this.lastWriteAt = now
-    return this.start(now, { kind: 'writeOwn', row, version: this.version })
+    return this.start(now, { kind: 'writeLocalRow', row, version: this.version })
   }
 
   /**
    * Handles a read of the row.
    * @param found - its holder and version; null if there is no row
    */
-  read (found: { readonly holder: HolderId, readonly version: number } | null): readonly MemberAction[] {
+  handleRead (found: { readonly holder: HolderId, readonly version: number } | null): readonly MemberAction[] {
     if (found !== null && this.version !== null && found.version < this.version) {
       // An outdated replica responded; its holder is no longer valid.
-      this.unreadable()
+      this.handleReadFailure()
       return []
     }
-    this.busy = false
-    this.failed = false
-    this.wantsRead = false
-    const isOwn = found?.holder === this.holder
-    if (!isOwn && found !== null && this.phase !== 'starting') return this.replaced(found.holder)
-    const tookEffect = isOwn && found?.version !== this.version
+    this.isCallInFlight = false
+    this.lastCallFailed = false
+    this.isReadRequired = false
+    const isLocal = found?.holder === this.holder
+    if (!isLocal && found !== null && this.phase !== 'starting') return this.markReplaced(found.holder)
+    const writeTookEffect = isLocal && found?.version !== this.version
     this.version = found?.version ?? null
     this.paused = false
-    this.wantsWrite = !tookEffect
-    if (isOwn) this.phase = 'registered'
+    this.isWriteRequired = !writeTookEffect
+    if (isLocal) this.phase = 'registered'
     return []
   }
 
   /** Handles a failed read of the table. */
-  unreadable (): void {
-    this.busy = false
-    this.failed = true
+  handleReadFailure (): void {
+    this.isCallInFlight = false
+    this.lastCallFailed = true
   }
 
   /** Handles the outcome of a write. */
-  wrote (outcome: OwnWriteOutcome): void {
-    this.busy = false
-    this.failed = outcome.kind === 'unavailable'
+  handleWriteOutcome (outcome: LocalWriteOutcome): void {
+    this.isCallInFlight = false
+    this.lastCallFailed = outcome.kind === 'unavailable'
     if (outcome.kind === 'written') {
       this.phase = 'registered'
       this.version = outcome.version
       return
     }
-    this.wantsWrite = true
-    if (outcome.kind !== 'unavailable') this.unsure()
+    this.isWriteRequired = true
+    if (outcome.kind !== 'unavailable') this.requireRead()
   }
 
-  private replaced (by: HolderId): readonly MemberAction[] {
+  private markReplaced (by: HolderId): readonly MemberAction[] {
     this.phase = 'replaced'
     return [{ kind: 'replaced', by }]
   }
 
   private needsWrite (row: MemberRow, now: Instant): boolean {
-    if (this.wantsWrite || this.written === undefined || this.lastWriteAt === undefined) return true
-    if (row.configVersion !== this.written.configVersion || row.state !== this.written.state) return true
+    if (this.isWriteRequired || this.lastWritten === undefined || this.lastWriteAt === undefined) return true
+    if (row.configVersion !== this.lastWritten.configVersion || row.state !== this.lastWritten.state) return true
     return elapsedMs(this.lastWriteAt, now) >= this.renewMs
   }
 
   private isTooEarly (now: Instant): boolean {
-    return this.failed && this.lastCallAt !== undefined && elapsedMs(this.lastCallAt, now) < RETRY_MS
+    return this.lastCallFailed && this.lastCallAt !== undefined && elapsedMs(this.lastCallAt, now) < RETRY_MS
   }
 
   private start (now: Instant, action: MemberAction): readonly MemberAction[] {
-    this.busy = true
+    this.isCallInFlight = true
     this.lastCallAt = now
     return [action]
   }
--- a/packages/decisions/src/membership/rowQuestions.ts
+++ b/packages/decisions/src/membership/rowQuestions.ts
@@ -5,17 +5,17 @@
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 
 /** Most rows in one request. */
-const MAX_ASKED = 50
+const MAX_BATCH_ROWS = 50
 /** Delay before the row of a VM is requested again. */
-const ASK_AGAIN_MS = 5_000
+const REQUEST_AGAIN_MS = 5_000
 
 /** Selects the rows to request. */
-export class RowQuestions {
+export class RowRequests {
   private readonly wanted = new Set<string>()
-  private readonly askedAt = new Map<string, Instant>()
+  private readonly requestedAt = new Map<string, Instant>()
 
   /** Marks the row of a VM as needed. */
-  need (vm: string): void {
+  markNeeded (vm: string): void {
     this.wanted.add(vm)
   }
 
@@ -25,20 +25,20 @@
   }
 
   /** The VMs whose rows to request now. */
-  due (now: Instant): readonly string[] {
-    const vms = [...this.wanted].filter(vm => this.mayAsk(vm, now)).slice(0, MAX_ASKED)
+  nextBatch (now: Instant): readonly string[] {
+    const vms = [...this.wanted].filter(vm => this.mayRequest(vm, now)).slice(0, MAX_BATCH_ROWS)
     for (const vm of vms) {
       this.wanted.delete(vm)
-      this.askedAt.set(vm, now)
+      this.requestedAt.set(vm, now)
     }
     return vms
   }
 
-  private mayAsk (vm: string, now: Instant): boolean {
-    const askedAt = this.askedAt.get(vm)
+  private mayRequest (vm: string, now: Instant): boolean {
+    const askedAt = this.requestedAt.get(vm)
     if (askedAt === undefined) return true
-    if (elapsedMs(askedAt, now) < ASK_AGAIN_MS) return false
-    this.askedAt.delete(vm)
+    if (elapsedMs(askedAt, now) < REQUEST_AGAIN_MS) return false
+    this.requestedAt.delete(vm)
     return true
   }
 }
--- a/packages/decisions/src/membership/rumorQueue.ts
+++ b/packages/decisions/src/membership/rumorQueue.ts
@@ -24,21 +24,21 @@
   }
 
   /** Changed VMs, those passed on least often first and of these the latest. */
-  takeRumors (atMost: number): readonly string[] {
-    const taken = [...this.rumors].sort((a, b) => b.left - a.left).slice(0, atMost)
-    for (const rumor of taken) rumor.left -= 1
+  nextRumors (limit: number): readonly string[] {
+    const chosen = [...this.rumors].sort((a, b) => b.left - a.left).slice(0, limit)
+    for (const rumor of chosen) rumor.left -= 1
     this.rumors = this.rumors.filter(rumor => rumor.left > 0)
-    return taken.map(rumor => rumor.vm)
+    return chosen.map(rumor => rumor.vm)
   }
 
   /**
    * The next VMs in rotation.
    * @param vms - all VMs, in a stable order
    */
-  takeDigest (vms: readonly string[], atMost: number): readonly string[] {
-    if (vms.length <= atMost) return vms
+  nextDigest (vms: readonly string[], limit: number): readonly string[] {
+    if (vms.length <= limit) return vms
     const first = this.cursor % vms.length
-    this.cursor = first + atMost
-    return [...vms.slice(first), ...vms.slice(0, first)].slice(0, atMost)
+    this.cursor = first + limit
+    return [...vms.slice(first), ...vms.slice(0, first)].slice(0, limit)
   }
 }
--- a/packages/decisions/src/routing/routeRefusal.ts
+++ b/packages/decisions/src/routing/routeRefusal.ts
@@ -1,7 +1,7 @@
 /**
  * Refusals of the router, each with the time after which it would likely decide otherwise.
  */
-import { Failure, type FailureExtras } from '../codes/failure.js'
+import { Failure, type FailureOptions } from '../codes/failure.js'
 import type { ResultName } from '../codes/resultCodes.js'
 import { predict, type LatencyModel } from './latencyModel.js'
 import type { Judgement } from './runnerState.js'
@@ -63,7 +63,7 @@
 
 function refusal (req: RouteRequest, code: ResultName, detail: string, retryMs: number, judged: readonly Judgement[], lookIn: readonly RunnerView[]): RouteDecision {
   const candidates = judged.map(item => item.state.view.runner)
-  const extras: FailureExtras = { ran: req.keyed ? 'unknown' : 'no', retryAfterMs: Math.ceil(Math.max(RETRY_LEAST_MS, retryMs)) }
+  const extras: FailureOptions = { ran: req.keyed ? 'unknown' : 'no', retryAfterMs: Math.ceil(Math.max(RETRY_LEAST_MS, retryMs)) }
   const base = { kind: 'refused', failure: new Failure(code, detail, extras), candidates, reason: `${code}: ${detail}` } as const
   return req.keyed ? { ...base, lookIn } : base
 }
--- a/packages/operators/src/ctl/adminRequest.ts
+++ b/packages/operators/src/ctl/adminRequest.ts
@@ -5,7 +5,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { ranSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
+import { executionStatusSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
 /** What is asked. */
 export interface AdminRequest {
@@ -26,7 +26,7 @@
   code: z.string().default(''),
   title: z.string().default(''),
   detail: z.string(),
-  ran: ranSchema,
+  ran: executionStatusSchema,
   retryAfterMs: z.number().optional(),
   errors: z.array(z.string()).optional()
 })
--- a/packages/peers/src/link/failureCodec.ts
+++ b/packages/peers/src/link/failureCodec.ts
@@ -5,14 +5,14 @@
 import { createJSONRPCErrorResponse, JSONRPCErrorCode, type JSONRPCError, type JSONRPCErrorResponse, type JSONRPCID } from 'json-rpc-2.0'
 import * as z from 'zod'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
-import { ranSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
+import { executionStatusSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
 /** Code that json-rpc-2.0 itself gives to calls that it fails locally. */
 export const LOCAL_ERROR_CODE = 0
 
 const failureDataSchema = z.object({
   name: z.string().refine(name => Object.hasOwn(resultCodes, name)).transform(name => name as ResultName),
-  ran: ranSchema,
+  ran: executionStatusSchema,
   retryAfterMs: z.number().optional(),
   errors: z.array(z.string()).optional()
 })
--- a/packages/rosemaryspread/src/digest/digestTeller.ts
+++ b/packages/rosemaryspread/src/digest/digestTeller.ts
@@ -2,8 +2,8 @@
  * Writes the digest: what one VM that passes tables on sees and the digest does not say. The first of
  * these VMs writes at once, the others only what it left out for a while.
  */
-import { isNews, type DigestEntry } from '@rosemaryspread/decisions/digest/digestEntry.js'
-import { DIGEST_BEAT_MS } from '@rosemaryspread/decisions/digest/digestTrust.js'
+import { needsPublishing, type DigestEntry } from '@rosemaryspread/decisions/digest/digestEntry.js'
+import { DIGEST_HEARTBEAT_MS } from '@rosemaryspread/decisions/digest/digestTrust.js'
 import type { RowWrite, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { DIGEST_TABLE } from './digestTypes.js'
 
@@ -86,7 +86,7 @@
 
   private newsOf (sight: DigestSight): ReadonlyArray<readonly [string, DigestEntry]> {
     const { seen, told, mono } = sight
-    const news = [...[...seen].filter(([key, entry]) => isNews(entry, told.get(key))), ...this.unseen(sight)]
+    const news = [...[...seen].filter(([key, entry]) => needsPublishing(entry, told.get(key))), ...this.unseen(sight)]
     noteSince(this.leftOutSince, news.map(([key]) => key), mono)
     return news
   }
@@ -113,8 +113,8 @@
   }
 
   private isBeatDue ({ rank, mono, silentMs }: DigestSight): boolean {
-    if (mono - this.beatAt < DIGEST_BEAT_MS) return false
-    return rank === 0 || silentMs >= DIGEST_BEAT_MS + rank * STAND_BY_MS
+    if (mono - this.beatAt < DIGEST_HEARTBEAT_MS) return false
+    return rank === 0 || silentMs >= DIGEST_HEARTBEAT_MS + rank * STAND_BY_MS
   }
 
   private nextBeat (mono: number, isComplete: boolean): RowWrite {
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -6,8 +6,8 @@
 import { toFailure, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { digestEntrySchema, type DigestEntry } from '@rosemaryspread/decisions/digest/digestEntry.js'
-import { ALL_FOLLOW_UP_TO, passingRank } from '@rosemaryspread/decisions/digest/digestRank.js'
-import { digestBeatSchema, DigestTrust } from '@rosemaryspread/decisions/digest/digestTrust.js'
+import { MAX_VMS_WITHOUT_DIGEST, publisherRank } from '@rosemaryspread/decisions/digest/digestRank.js'
+import { digestHeartbeatSchema, DigestTrust } from '@rosemaryspread/decisions/digest/digestTrust.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -67,12 +67,12 @@
     if (this.isStopped || this.mono - this.lookedAt < LOOK_MS) return
     this.lookedAt = this.mono
     const vms = this.parts.vms()
-    if (vms.length <= ALL_FOLLOW_UP_TO) {
+    if (vms.length <= MAX_VMS_WITHOUT_DIGEST) {
       this.leaveDigest()
       return
     }
     this.stopFeed ??= this.followDigest()
-    const rank = passingRank(this.parts.vm, vms)
+    const rank = publisherRank(this.parts.vm, vms)
     if (rank === undefined && this.trust.isTrusted(this.mono)) this.relyOnDigest()
     else this.followDirect()
     if (rank !== undefined) this.tell(rank)
@@ -89,7 +89,7 @@
     const { mono } = this
     const seen = new Map(this.tables.flatMap(table => [...table.entries()].map(([key, entry]): [string, DigestEntry] => [`${table.name}/${key}`, entry])))
     const isInTouch = this.tables.every(({ heardAt }) => mono - heardAt <= HEARD_MS)
-    this.teller.tick({ mono, rank, seen, told: this.told, isInTouch, silentMs: this.trust.silentMs(mono) })
+    this.teller.tick({ mono, rank, seen, told: this.told, isInTouch, silentMs: this.trust.silenceMs(mono) })
       .catch((err: unknown) => { this.parts.log.write('fault', { err: toFailure(err).message }) })
   }
 
@@ -140,8 +140,8 @@
   }
 
   private takeBeat (key: string, value: unknown): void {
-    const beat = digestBeatSchema.safeParse(value)
-    if (beat.success) this.trust.heard(beat.data, this.mono)
+    const beat = digestHeartbeatSchema.safeParse(value)
+    if (beat.success) this.trust.recordHeartbeat(beat.data, this.mono)
     else if (value !== null) this.undecodable(key)
   }
 
--- a/packages/rosemaryspread/src/gateway/gatewayChooser.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayChooser.ts
@@ -4,7 +4,7 @@
 import { Left, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { Suspicion, TargetBalancer, TargetChoice, TargetDemand, WorkNotice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
+import type { Suspicion, TargetBalancer, TargetChoice, TargetDemand, WorkNotification } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import type { AvailableTargets } from '@rosemaryspread/decisions/gateway/targetSet.js'
 import type { RandomSource } from '../completion/completionPorts.js'
@@ -25,7 +25,7 @@
   /** Names of the VMs that share what targets bear while they warm up; empty while they are not known. */
   vms (): readonly string[]
   /** Has other VMs told of a request. */
-  tell (notice: WorkNotice): void
+  tell (notice: WorkNotification): void
 }
 
 /** Chooses by the balancer, and has other VMs told of large requests. */
@@ -41,7 +41,7 @@
     const demand: TargetDemand = {
       sharedParts,
       sharedTokens,
-      ownTokens: Math.max(0, call.promptTokens - sharedTokens),
+      unsharedTokens: Math.max(0, call.promptTokens - sharedTokens),
       exclude,
       ...this.warmUpOf(admitted),
       ...(suspicion === undefined ? {} : { suspicion })
@@ -54,13 +54,13 @@
   }
 
   sent (choice: TargetChoice, { sharedParts }: AdmittedCall): number {
-    const { ticket, notice } = this.parts.balancer.sent(choice, sharedParts, this.mono)
+    const { ticket, notification: notice } = this.parts.balancer.sent(choice, sharedParts, this.mono)
     if (notice !== undefined) this.parts.tell(notice)
     return ticket
   }
 
   begun ({ target }: TargetChoice, ticket: number, isAnswered: boolean): void {
-    this.parts.balancer.begun(target.id, ticket, isAnswered, this.mono)
+    this.parts.balancer.endPrefill(target.id, ticket, isAnswered, this.mono)
   }
 
   reported ({ target }: TargetChoice, report: TargetReport): void {
--- a/packages/rosemaryspread/src/gateway/gatewayTargets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTargets.ts
@@ -3,7 +3,7 @@
 import type { EvacuationChange } from '@rosemaryspread/decisions/gateway/domainEvacuations.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { TargetBalancer } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
-import { isWarmUpTime } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
+import { isPlausibleWarmUp } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
 import type { TargetProcess, TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import { TargetSet, type AvailableTargets, type TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 import { FlawLog } from './flawLog.js'
@@ -79,7 +79,7 @@
   replaced (views: readonly TargetView[]): void {
     for (const view of views) this.noteState(view)
     this.set.replace(views, this.mono)
-    this.parts.balancer.forget(id => this.set.has(id))
+    this.parts.balancer.forgetUnlisted(id => this.set.has(id))
     for (const flaws of [this.entryFlaws, this.answerFlaws]) flaws.forget(id => this.set.has(id))
     this.parts.log.write('targetsRead', { targets: views.length })
   }
@@ -90,7 +90,7 @@
    */
   changed (view: TargetView): void {
     const { id, isLeaving } = view
-    if (this.set.isNew(view)) this.parts.log.write('runnerState', { runner: id, state: isLeaving ? 'leaving' : 'active', reason: 'the register says so' })
+    if (this.set.isChange(view)) this.parts.log.write('runnerState', { runner: id, state: isLeaving ? 'leaving' : 'active', reason: 'the register says so' })
     this.noteState(view)
     this.set.put(view)
   }
@@ -116,7 +116,7 @@
   }
 
   reported (process: TargetProcess, report: TargetReport): void {
-    for (const state of this.set.reported(process, report, this.parts.clock.now())) {
+    for (const state of this.set.recordReport(process, report, this.parts.clock.now())) {
       this.parts.log.write('runnerState', { runner: process.id, state, reason: 'its answer says so', ...(state === 'paused' ? { pauseMs: report.pauseMs } : {}) })
     }
     if (report.flaw !== undefined) this.answerFlaws.note(process.id, `the time '${report.flaw}' to wait cannot be read`)
@@ -141,11 +141,11 @@
   private noteState (view: TargetView): void {
     const { balancer, log } = this.parts
     if (this.set.isRestarted(view)) {
-      balancer.restarted(view.id)
+      balancer.resetTarget(view.id)
       log.write('runnerState', { runner: view.id, state: 'active', reason: 'another process has its id' })
     }
     const leftMs = view.warmUpMs ?? 0
-    if (isWarmUpTime(leftMs)) balancer.warmsUp(view.id, leftMs, this.mono)
+    if (isPlausibleWarmUp(leftMs)) balancer.updateWarmUp(view.id, leftMs, this.mono)
     else this.entryFlaws.note(view.id, `${leftMs} ms until it is warm cannot be; what was known before holds`)
   }
 
--- a/packages/rosemaryspread/src/gateway/gatewayVm.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayVm.ts
@@ -135,7 +135,7 @@
     const balancer = this.container.get(ids.balancer)
     links.serve(GRANT_METHOD, grantMethod(ask => budgets.onGrantRequest(ask)))
     links.serve(HANDOVER_METHOD, handoverMethod((budget, tokens) => { budgets.onHandover(budget, tokens) }))
-    links.serve(WORK_METHOD, workMethod(notice => { balancer.told(notice, this.clock.now().mono) }))
+    links.serve(WORK_METHOD, workMethod(notice => { balancer.recordPeerWork(notice, this.clock.now().mono) }))
     links.serve(QUARANTINE_METHOD, this.container.get(ids.quarantineShare).method())
     this.inBackground(links.open())
   }
--- a/packages/rosemaryspread/src/gateway/workNotices.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.ts
@@ -3,7 +3,7 @@
  * theirs behind them. The telling is bounded: a VM of a large fleet tells of fewer.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
-import { workNoticeSchema, type WorkNotice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
+import { workNotificationSchema, type WorkNotification } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
 import { MOST_TOLD } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
@@ -36,7 +36,7 @@
    * Tells all other VMs of a request, or none where they or the messages are too many.
    * @param notice - the request
    */
-  tell (notice: WorkNotice): void {
+  tell (notice: WorkNotification): void {
     const peers = this.parts.peers()
     this.refill()
     if (peers.length > MOST_TOLD || peers.length > this.allowance) return
@@ -55,6 +55,6 @@
  * Serves what other VMs tell.
  * @param told - takes a notice
  */
-export function workMethod (told: (notice: WorkNotice) => void): PeerMethod {
-  return async params => { told(workNoticeSchema.parse(params)) }
+export function workMethod (told: (notice: WorkNotification) => void): PeerMethod {
+  return async params => { told(workNotificationSchema.parse(params)) }
 }
--- a/packages/rosemaryspread/src/membership/memberDriver.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.ts
@@ -136,7 +136,7 @@
 
   private async takeHeartbeat (params: unknown, from: HolderId): Promise<void> {
     const heartbeat = heartbeatSchema.parse(params)
-    await this.feed({ kind: 'heard', from, heartbeat })
+    await this.feed({ kind: 'heartbeatReceived', from, heartbeat })
     this.offerConfigVersion(heartbeat.self.config, from)
   }
 
@@ -159,9 +159,9 @@
       case 'scan': return await this.feedRead(await this.rows.scan(), true, askedAt)
       case 'readRows': return await this.feedRead(await this.rows.read(action.vms), false, askedAt)
       case 'readList': return await this.readList(askedAt)
-      case 'readOwn': return await this.feed(await this.rows.readOwn(self.vm))
-      case 'writeOwn': return await this.feed({ kind: 'ownWritten', outcome: await this.rows.writeOwn(action.row, action.version) })
-      case 'dropRow': return await this.rows.drop(action.vm, action.version)
+      case 'readLocalRow': return await this.feed(await this.rows.readOwn(self.vm))
+      case 'writeLocalRow': return await this.feed({ kind: 'localRowWritten', outcome: await this.rows.writeOwn(action.row, action.version) })
+      case 'deleteRow': return await this.rows.drop(action.vm, action.version)
       case 'changed': return log.write('peerSeen', { peer: action.vm, state: action.state, evidence: action.evidence })
       case 'jumped': return log.write('clockJumped', { jumpMs: Math.round(action.jumpMs) })
       case 'replaced': return this.options.onReplaced(action.by)
@@ -173,14 +173,14 @@
   }
 
   private async feedRead (read: Awaited<ReturnType<MemberRows['scan']>>, whole: boolean, askedAt: Instant): Promise<void> {
-    if (read !== undefined) await this.feed({ kind: 'rowsRead', rows: read, whole, askedAt })
+    if (read !== undefined) await this.feed({ kind: 'rowsRead', rows: read, whole, requestedAt: askedAt })
   }
 
   private async readList (askedAt: Instant): Promise<void> {
     const answer = await this.options.vmList.list()
     const list = answer.caseOf({ Left: err => this.fault(err), Right: value => value })
     if (list === undefined) return
-    await this.feed({ kind: 'listRead', vms: list.vms, lagMs: Math.max(0, list.now - list.asOf), askedAt })
+    await this.feed({ kind: 'listRead', vms: list.vms, lagMs: Math.max(0, list.now - list.asOf), requestedAt: askedAt })
   }
 
   private fault (err: Failure): undefined {
--- a/packages/rosemaryspread/src/membership/memberRows.ts
+++ b/packages/rosemaryspread/src/membership/memberRows.ts
@@ -3,7 +3,7 @@
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { MEMBER_TABLE, memberRowSchema, type MemberEvent, type MemberRow, type OwnWriteOutcome, type ReadMember } from '@rosemaryspread/decisions/membership/memberTypes.js'
+import { MEMBER_TABLE, memberRowSchema, type MemberEvent, type MemberRow, type LocalWriteOutcome, type StoredMember } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
 const SCAN_PAGE = 500
@@ -17,8 +17,8 @@
   constructor (private readonly table: TableStore, private readonly log: EventLog) {}
 
   /** Every row, or undefined when the table failed on the way. */
-  async scan (): Promise<readonly ReadMember[] | undefined> {
-    const found: ReadMember[] = []
+  async scan (): Promise<readonly StoredMember[] | undefined> {
+    const found: StoredMember[] = []
     let after: string | undefined
     do {
       const page = await this.table.scan({ table: MEMBER_TABLE, prefix: '', limit: SCAN_PAGE, ...(after === undefined ? {} : { after }) })
@@ -34,9 +34,9 @@
    * The rows of some VMs, or undefined when the table failed.
    * @param vms - names of the VMs
    */
-  async read (vms: readonly string[]): Promise<readonly ReadMember[] | undefined> {
+  async read (vms: readonly string[]): Promise<readonly StoredMember[] | undefined> {
     const answer = await this.table.read(vms.map(vm => ({ table: MEMBER_TABLE, key: vm })))
-    return answer.caseOf<readonly ReadMember[] | undefined>({
+    return answer.caseOf<readonly StoredMember[] | undefined>({
       Left: err => this.fault('read', err),
       Right: ({ rows, now }) => parseRows(rows, now)
     })
@@ -51,9 +51,9 @@
     return answer.caseOf<MemberEvent>({
       Left: err => {
         this.fault('read', err)
-        return { kind: 'ownUnreadable' }
+        return { kind: 'localRowReadFailed' }
       },
-      Right: ({ rows: [row] }) => ({ kind: 'ownRead', found: row == null ? null : { holder: holderOfRow(row), version: row.version } })
+      Right: ({ rows: [row] }) => ({ kind: 'localRowRead', found: row == null ? null : { holder: holderOfRow(row), version: row.version } })
     })
   }
 
@@ -62,10 +62,10 @@
    * @param row - the new row
    * @param version - version of the row as last known; null when there is none
    */
-  async writeOwn (row: MemberRow, version: number | null): Promise<OwnWriteOutcome> {
+  async writeOwn (row: MemberRow, version: number | null): Promise<LocalWriteOutcome> {
     const key = { table: MEMBER_TABLE, key: row.vm }
     const answer = await this.table.transact({ checks: [{ ...key, version }], writes: [{ ...key, value: row }] })
-    return answer.caseOf<OwnWriteOutcome>({
+    return answer.caseOf<LocalWriteOutcome>({
       Left: err => this.failedWrite(err),
       Right: written => ({ kind: 'written', version: written.version })
     })
@@ -82,7 +82,7 @@
     answer.ifLeft(err => this.failedWrite(err))
   }
 
-  private failedWrite (err: Failure): OwnWriteOutcome {
+  private failedWrite (err: Failure): LocalWriteOutcome {
     if (err.code === 'platformConflict') return { kind: 'conflict' }
     this.fault('transact', err)
     return { kind: err.code === 'platformUnavailable' ? 'unavailable' : 'unknown' }
@@ -93,7 +93,7 @@
   }
 }
 
-function parseRows (rows: readonly (Row | null)[], now: number): readonly ReadMember[] {
+function parseRows (rows: readonly (Row | null)[], now: number): readonly StoredMember[] {
   return rows.flatMap(row => {
     const parsed = memberRowSchema.safeParse(row?.value)
     if (row === null || !parsed.success) return []
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { namedVms, type CallerPlace } from '@rosemaryspread/decisions/membership/namedVms.js'
+import { selectAdvertisedVms, type CallerLocation } from '@rosemaryspread/decisions/membership/namedVms.js'
 import { HASH_RANGE, hashName } from '@rosemaryspread/decisions/routing/rendezvous.js'
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -150,9 +150,9 @@
    * gone: an address of an ended VM costs a caller a second, while its tokens must not be taken early.
    * @param place - the caller
    */
-  addresses (place: CallerPlace): readonly string[] {
+  addresses (place: CallerLocation): readonly string[] {
     const all = [this.ownRow, ...this.view.punctual(this.mono)]
-    return namedVms(place, all.filter(({ state }) => state === 'serving')).map(({ callers }) => callers)
+    return selectAdvertisedVms(place, all.filter(({ state }) => state === 'serving')).map(({ callers }) => callers)
   }
 
   /**
--- a/packages/rosemaryspread/src/service/serviceDispatch.ts
+++ b/packages/rosemaryspread/src/service/serviceDispatch.ts
@@ -7,7 +7,7 @@
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ServiceConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { TargetChoice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
-import { MOST_PAUSE_MS, type TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
+import { MAX_PAUSE_MS, type TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import type { ApplicationAnswer, ApplicationClient } from '@rosemaryspread/runners/application/applicationTypes.js'
 import type { AdmittedCall, AnswerHead, CallRetries, CallSink, TargetAnswer, TargetChooser, TargetClient, TargetRequest, TargetVerdict } from '../gateway/callTypes.js'
 import { chooseServiceRunner, type ServiceLoad } from './serviceRoute.js'
@@ -40,7 +40,7 @@
   begun (): void {}
 
   reported ({ target }: TargetChoice, { pauseMs }: TargetReport): void {
-    if (pauseMs !== undefined) this.load.pause(target.id, this.clock.now().mono + Math.min(pauseMs, MOST_PAUSE_MS))
+    if (pauseMs !== undefined) this.load.pause(target.id, this.clock.now().mono + Math.min(pauseMs, MAX_PAUSE_MS))
   }
 
   ended ({ target }: TargetChoice, verdict: TargetVerdict): void {
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -4,7 +4,7 @@
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { passingRank } from '@rosemaryspread/decisions/digest/digestRank.js'
+import { publisherRank } from '@rosemaryspread/decisions/digest/digestRank.js'
 import type { FeedHandler, FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { ReadAnswer, ScanAnswer, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import { TableDigest } from 'rosemaryspread/digest/tableDigest.js'
@@ -214,7 +214,7 @@
   /** VMs that pass tables on, the first one first. */
   get passing (): readonly DigestVm[] {
     const names = this.vms.filter(({ trouble }) => trouble !== 'ended').map(({ name }) => name)
-    return this.vms.filter(({ name }) => passingRank(name, names) !== undefined).sort((a, b) => (passingRank(a.name, names) ?? 0) - (passingRank(b.name, names) ?? 0))
+    return this.vms.filter(({ name }) => publisherRank(name, names) !== undefined).sort((a, b) => (publisherRank(a.name, names) ?? 0) - (publisherRank(b.name, names) ?? 0))
   }
 
   /** VMs without trouble that read the digest. */
--- a/packages/stand-ins/src/measure/capacity/memberProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/memberProbe.ts
@@ -2,7 +2,7 @@
  * Membership by the number of VMs: heap of the view of one VM, calls of the whole fleet to the
  * table and to the list, messages and bytes between VMs, and the time of one heartbeat.
  */
-import { Fleet } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
+import { MemberHarness } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
 import { MemberTable } from '@rosemaryspread/decisions/membership/memberTable.js'
 import { defaultMemberLimits, type MemberRow } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import { membershipBench } from '../membershipBench.js'
@@ -31,13 +31,13 @@
   const now = { mono: 0, wall: 0 }
   const table = new MemberTable(rowOf(0), () => 0.5)
   const rows = Array.from({ length: vms }, (_, index) => ({ row: rowOf(index), version: index + 1, ageMs: 0 }))
-  table.handle({ kind: 'rowsRead', rows, whole: true, askedAt: now }, now)
+  table.handle({ kind: 'rowsRead', rows, whole: true, requestedAt: now }, now)
   return table
 }
 
 /** Calls of a whole fleet in a second. */
 function callsOf (vms: number): readonly ProbePoint[] {
-  const fleet = new Fleet()
+  const fleet = new MemberHarness()
   for (let index = 0; index < vms; index++) fleet.add(DOMAINS[index % DOMAINS.length] ?? '', index, '0123456789ab')
   const { scanMs, scanMsPerMember } = defaultMemberLimits
   const period = Math.ceil((scanMs + scanMsPerMember * vms) / SECOND_MS)
@@ -47,8 +47,8 @@
   const rate = (...kinds: ReadonlyArray<Parameters<typeof fleet.vms[number]['count']>[0]>): number =>
     fleet.vms.reduce((sum, vm) => sum + kinds.reduce((part, kind) => part + vm.count(kind), 0), 0) / period / SCANS
   return [
-    pointOf(tableSeries('membership transactions'), vms, rate('writeOwn', 'dropRow')),
-    pointOf(tableSeries('membership reads and scans'), vms, rate('scan', 'readRows', 'readOwn')),
+    pointOf(tableSeries('membership transactions'), vms, rate('writeLocalRow', 'deleteRow')),
+    pointOf(tableSeries('membership reads and scans'), vms, rate('scan', 'readRows', 'readLocalRow')),
     pointOf(tableSeries('rows read by membership scans'), vms, rate('scan') * vms),
     pointOf({ ...tableSeries('reads of the VM list'), role: 'VM list' }, vms, rate('readList'))
   ]
--- a/packages/stand-ins/src/measure/membershipBench.ts
+++ b/packages/stand-ins/src/measure/membershipBench.ts
@@ -5,7 +5,7 @@
  */
 import { createJSONRPCNotification } from 'json-rpc-2.0'
 import { Packr } from 'msgpackr'
-import { Fleet, type FleetVm } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
+import { MemberHarness, type HarnessVm } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
 import type { Measurement, MeasureRow } from './measureTypes.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela', 'thu-duc', 'tan-binh', 'binh-thanh']
@@ -45,7 +45,7 @@
 }
 
 function measureFleet (perDomain: number): MeasureRow {
-  const fleet = new Fleet()
+  const fleet = new MemberHarness()
   for (const domain of DOMAINS) {
     for (let i = 0; i < perDomain; i++) fleet.add(domain, i, HOLDER_TOKEN)
   }
@@ -71,7 +71,7 @@
 }
 
 /** Pairs of VMs of which one does not see the other as live. */
-function falseSuspicions (fleet: Fleet): number {
+function falseSuspicions (fleet: MemberHarness): number {
   const views = fleet.vms.flatMap(vm => vm.table.members(vm.now()))
   return views.filter(view => view.state !== 'live').length
 }
@@ -81,7 +81,7 @@
   private readonly traffic = new Map<string, Traffic>()
   private readonly links = new Map<string, Link>()
 
-  constructor (private readonly fleet: Fleet) {
+  constructor (private readonly fleet: MemberHarness) {
     fleet.onMessage = (from, to, heartbeat) => this.count(from.row.peers, to, heartbeat)
   }
 
@@ -90,7 +90,7 @@
     this.traffic.clear()
   }
 
-  of (vm: FleetVm): Traffic {
+  of (vm: HarnessVm): Traffic {
     return this.at(vm.row.peers)
   }
 
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -142,7 +142,7 @@
       target.isUp = true
       target.listedUntil = Infinity
       target.view = { ...target.view, startedAt: this.time.mono }
-      for (const { balancer } of this.vms) balancer.restarted(target.view.id)
+      for (const { balancer } of this.vms) balancer.resetTarget(target.view.id)
     })
   }
 
@@ -162,12 +162,12 @@
     }
     const listed = this.targets.filter(({ listedUntil }) => listedUntil > mono).map(({ view }) => view)
     const suspicion = standing === 'suspected' ? { suspicion: { digest, domains: vm.quarantine.domainsOf(digest) } } : {}
-    const chosen = vm.balancer.choose(listed, { sharedParts: [], sharedTokens: 0, ownTokens: 100, exclude, ...suspicion }, mono, this.random())
+    const chosen = vm.balancer.choose(listed, { sharedParts: [], sharedTokens: 0, unsharedTokens: 100, exclude, ...suspicion }, mono, this.random())
     chosen.ifLeft(() => { ask.again() }).ifRight(choice => {
       const target = this.targets.find(({ view }) => view.id === choice.target.id) as Target
       const ticket = vm.balancer.sent(choice, [], mono).ticket
       const ended = (verdict: 'good' | 'unreachable'): void => {
-        vm.balancer.begun(choice.target.id, ticket, verdict === 'good', this.time.mono)
+        vm.balancer.endPrefill(choice.target.id, ticket, verdict === 'good', this.time.mono)
         vm.balancer.ended(choice.target.id, verdict, this.time.mono)
       }
       if (target.isUp) this.run(ask, target, ended)
--- a/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
@@ -1,7 +1,7 @@
 /**
  * Ways of bounding what all VMs together send to a target that warms up: the product's, and those it was weighed against.
  */
-import { WarmUpPart, type WarmUpRate } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
+import { WarmUpShare, type WarmUpRate } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
 
 /** What one VM may send to one target. */
 export interface WarmUpWay {
@@ -52,12 +52,12 @@
 
 /** A few VMs named for each target: the product's way. */
 class NamedVms implements WarmUpWay {
-  private readonly part: WarmUpPart
+  private readonly part: WarmUpShare
   private readonly rate: WarmUpRate
 
   constructor ({ vm, target, vms, perS, warmAt }: WarmUpPlace) {
     this.rate = { perS, vm, vms: () => vms }
-    this.part = new WarmUpPart(target, warmAt)
+    this.part = new WarmUpShare(target, warmAt)
   }
 
   maySend (mono: number): boolean { return this.part.waitMs(this.rate, mono) === 0 }
--- a/packages/stand-ins/src/scenario/callers/testCaller.ts
+++ b/packages/stand-ins/src/scenario/callers/testCaller.ts
@@ -3,7 +3,7 @@
  */
 import got from 'got'
 import * as z from 'zod'
-import { ranSchema } from '@rosemaryspread/decisions/codes/resultCodes.js'
+import { executionStatusSchema } from '@rosemaryspread/decisions/codes/resultCodes.js'
 import type { Outcome } from '../../history/history.js'
 import type { HistoryRecord } from '../../history/historyTypes.js'
 import type { Ask, Refusal, RequestSpec } from './callerTypes.js'
@@ -16,7 +16,7 @@
   code: z.string(),
   name: z.string(),
   status: z.number(),
-  ran: ranSchema,
+  ran: executionStatusSchema,
   retryAfterMs: z.number().optional()
 })
 type Problem = z.infer<typeof problemSchema>
