--- a/packages/decisions/src/gateway/targetBalancer.spec.ts
+++ b/packages/decisions/src/gateway/targetBalancer.spec.ts
@@ -122,8 +122,8 @@
   for (const { name, demand: what, told } of notificationCases) {
     it(`notifies peers ${name}`, () => {
       const balancer = new TargetBalancer()
-      const { notification: notice } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
-      expect(notice !== undefined).to.equal(told)
+      const { notification } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
+      expect(notification !== undefined).to.equal(told)
     })
   }
 
@@ -131,8 +131,8 @@
     const [here, there] = [new TargetBalancer(), new TargetBalancer()]
     for (const balancer of [here, there]) sendHome(4_100)(balancer)
     const away = chosen(here, demand())
-    const { notification: notice } = here.sent(away, ['p', 'q'], 0)
-    if (notice !== undefined) there.recordPeerWork(notice, 0)
+    const { notification } = here.sent(away, ['p', 'q'], 0)
+    if (notification !== undefined) there.recordPeerWork(notification, 0)
     expect([away.work, chosen(there, demand(), 100).work]).to.deep.equal([1_100, 100])
   })
 
--- a/packages/decisions/src/gateway/targetBalancer.ts
+++ b/packages/decisions/src/gateway/targetBalancer.ts
@@ -11,7 +11,7 @@
 import { TargetHealth } from '../routing/targetHealth.js'
 import { TargetLoad } from './targetLoad.js'
 import type { TargetView } from './targetSet.js'
-import { WarmUpShare, type WarmUpRate } from './warmUpPart.js'
+import { WarmUpShare, type WarmUpRate } from './warmUpShare.js'
 
 /**
  * Highest-ranked targets compared for a request with shared parts. Comparing a whole pool spreads the shared parts over more
@@ -226,12 +226,12 @@
    * The highest-ranked target, whatever its load: VMs that list the same targets agree on it, so that copies of a request that
    * terminates targets terminate one and not several.
    */
-  private suspected (candidates: readonly TargetView[], { digest, domains }: Suspicion, { unsharedTokens: ownTokens, sharedTokens }: TargetDemand): TargetChoice {
+  private suspected (candidates: readonly TargetView[], { digest, domains }: Suspicion, { unsharedTokens, sharedTokens }: TargetDemand): TargetChoice {
     const key = hashName(digest)
     const weightOf = ({ id }: TargetView): number => pairWeight(key, this.stateOf(id).nameHash)
     const elsewhere = candidates.filter(({ domain }) => !domains.includes(domain))
     const target = (elsewhere.length > 0 ? elsewhere : candidates).reduce((best, next) => weightOf(next) > weightOf(best) ? next : best)
-    return { target, work: ownTokens + sharedTokens, candidates: candidates.length, reason: 'suspected' }
+    return { target, work: unsharedTokens + sharedTokens, candidates: candidates.length, reason: 'suspected' }
   }
 
   private chooseFewestOpen (candidates: readonly TargetView[], random: number): TargetView {
--- a/packages/decisions/src/gateway/targetReports.ts
+++ b/packages/decisions/src/gateway/targetReports.ts
@@ -63,16 +63,16 @@
    * @returns the states that it changed
    */
   record (process: TargetProcess, { isLeaving, pauseMs = 0 }: TargetReport, now: Instant): readonly ReportChange[] {
-    const known = this.reportOf(process, now)
-    if (known === undefined) return []
+    const stored = this.reportOf(process, now)
+    if (stored === undefined) return []
     const { mono } = now
-    known.reportedAt = now
-    known.isInDoubt = false
+    stored.reportedAt = now
+    stored.isInDoubt = false
     const changes: ReportChange[] = []
-    if (isLeaving && !known.isLeaving) changes.push('leaving')
-    if (pauseMs > 0 && known.pausedUntil <= mono) changes.push('paused')
-    known.isLeaving ||= isLeaving
-    known.pausedUntil = Math.max(known.pausedUntil, mono + Math.min(pauseMs, MAX_PAUSE_MS))
+    if (isLeaving && !stored.isLeaving) changes.push('leaving')
+    if (pauseMs > 0 && stored.pausedUntil <= mono) changes.push('paused')
+    stored.isLeaving ||= isLeaving
+    stored.pausedUntil = Math.max(stored.pausedUntil, mono + Math.min(pauseMs, MAX_PAUSE_MS))
     return changes
   }
 
@@ -91,14 +91,14 @@
    * after that start may be the later process's own and stays, in doubt.
    */
   handleListing (process: TargetProcess): void {
-    const known = this.reports.get(process.id)
-    if (known === undefined || !isLaterProcess(process, known)) return
-    if (isLaterProcess(process, { startedAt: known.reportedAt.wall })) {
+    const stored = this.reports.get(process.id)
+    if (stored === undefined || !isLaterProcess(process, stored)) return
+    if (isLaterProcess(process, { startedAt: stored.reportedAt.wall })) {
       this.reports.delete(process.id)
       return
     }
-    known.startedAt = process.startedAt
-    known.isInDoubt = true
+    stored.startedAt = process.startedAt
+    stored.isInDoubt = true
   }
 
   /**
@@ -107,10 +107,10 @@
    */
   tick (isListed: (id: string) => boolean, mono: number): boolean {
     let hasDroppedListed = false
-    for (const [id, known] of this.reports) {
+    for (const [id, stored] of this.reports) {
       const isStillListed = isListed(id)
-      if (isStillListed) known.lastListedAt = mono
-      const since = known.isInDoubt ? known.reportedAt.mono : known.lastListedAt
+      if (isStillListed) stored.lastListedAt = mono
+      const since = stored.isInDoubt ? stored.reportedAt.mono : stored.lastListedAt
       if (mono - since <= REPORT_RETENTION_MS) continue
       this.reports.delete(id)
       hasDroppedListed ||= isStillListed
@@ -120,9 +120,9 @@
 
   /** The reports of a process, created if missing; undefined if a later process of the target has already responded. */
   private reportOf (process: TargetProcess, now: Instant): ProcessReport | undefined {
-    const known = this.reports.get(process.id)
-    if (known !== undefined && isLaterProcess(known, process)) return undefined
-    if (known !== undefined && !isLaterProcess(process, known)) return known
+    const stored = this.reports.get(process.id)
+    if (stored !== undefined && isLaterProcess(stored, process)) return undefined
+    if (stored !== undefined && !isLaterProcess(process, stored)) return stored
     const fresh = { startedAt: process.startedAt, reportedAt: now, isInDoubt: false, isLeaving: false, pausedUntil: -Infinity, lastListedAt: now.mono }
     this.reports.set(process.id, fresh)
     return fresh
--- a/packages/decisions/src/gateway/warmUpPart.spec.ts
+++ b/packages/decisions/src/gateway/warmUpShare.spec.ts
@@ -2,7 +2,7 @@
  * Pacing during a warm-up: a VM that is not designated sends nothing, a designated one sends evenly.
  */
 import { expect } from 'chai'
-import { isPlausibleWarmUp, WarmUpShare, type WarmUpRate } from './warmUpPart.js'
+import { isPlausibleWarmUp, WarmUpShare, type WarmUpRate } from './warmUpShare.js'
 
 const WARM_AT = 3_000
 const names = (count: number): readonly string[] => Array.from({ length: count }, (_, index) => `vm${index}`)
--- a/packages/decisions/src/membership/heartbeatPlan.ts
+++ b/packages/decisions/src/membership/heartbeatPlan.ts
@@ -40,13 +40,13 @@
 
   next (fleet: FleetState): readonly PlannedHeartbeat[] {
     const targets = this.targets(fleet)
-    const silent = this.unresponsive(fleet)
+    const unresponsive = this.unresponsive(fleet)
     const changed = this.rumors.nextRumors(this.limits.rumors)
     const randomPeer = this.nextRandomPeer(fleet, targets)
     const digest = randomPeer === undefined ? [] : this.digest(fleet)
     return [
-      { to: [...targets].filter(record => !silent.includes(record)), about: changed, ask: false },
-      { to: silent, about: [], ask: true },
+      { to: [...targets].filter(record => !unresponsive.includes(record)), about: changed, ask: false },
+      { to: unresponsive, about: [], ask: true },
       { to: randomPeer === undefined ? [] : [randomPeer], about: [...changed, ...digest], ask: false }
     ]
   }
--- a/packages/decisions/src/membership/memberTable.spec.ts
+++ b/packages/decisions/src/membership/memberTable.spec.ts
@@ -1,9 +1,9 @@
 import { expect } from 'chai'
-import { MemberHarness, type HarnessVm } from './memberFleet.fixture.js'
+import { MemberHarness, type HarnessVm } from './memberHarness.fixture.js'
 import { addressesFor } from './callerAddresses.js'
 import { heartbeatSenders, heartbeatRecipients, roleCandidates } from './memberRing.js'
 import { defaultMemberLimits, type MemberView } from './memberTypes.js'
-import { LocalRow } from './ownRow.js'
+import { LocalRow } from './localRow.js'
 
 const DOMAINS = ['quito', 'cumbaya', 'tababela']
 
--- a/packages/decisions/src/membership/memberTable.ts
+++ b/packages/decisions/src/membership/memberTable.ts
@@ -11,8 +11,8 @@
 import { roleCandidates } from './memberRing.js'
 import { MEMBER_ROLES } from './memberRoles.js'
 import { defaultMemberLimits, type Heartbeat, type ListedVm, type MemberAction, type MemberDecider, type MemberEvent, type MemberLimits, type MemberUpdate, type MemberRow, type MemberView, type StoredMember } from './memberTypes.js'
-import { LocalRow } from './ownRow.js'
-import { RowRequests } from './rowQuestions.js'
+import { LocalRow } from './localRow.js'
+import { RowRequests } from './rowRequests.js'
 import { RumorQueue } from './rumorQueue.js'
 
 /** Membership as one VM sees it. */
--- a/packages/decisions/src/membership/rowQuestions.ts
+++ b/packages/decisions/src/membership/rowRequests.ts
@@ -35,9 +35,9 @@
   }
 
   private mayRequest (vm: string, now: Instant): boolean {
-    const askedAt = this.requestedAt.get(vm)
-    if (askedAt === undefined) return true
-    if (elapsedMs(askedAt, now) < REQUEST_AGAIN_MS) return false
+    const lastRequestAt = this.requestedAt.get(vm)
+    if (lastRequestAt === undefined) return true
+    if (elapsedMs(lastRequestAt, now) < REQUEST_AGAIN_MS) return false
     this.requestedAt.delete(vm)
     return true
   }
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { selectAdvertisedVms, type CallerLocation } from '@rosemaryspread/decisions/membership/namedVms.js'
+import { selectAdvertisedVms, type CallerLocation } from '@rosemaryspread/decisions/membership/advertisedVms.js'
 import { HASH_RANGE, hashName } from '@rosemaryspread/decisions/routing/rendezvous.js'
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
--- a/packages/stand-ins/src/measure/capacity/memberProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/memberProbe.ts
@@ -2,7 +2,7 @@
  * Membership by the number of VMs: heap of the view of one VM, calls of the whole fleet to the
  * table and to the list, messages and bytes between VMs, and the time of one heartbeat.
  */
-import { MemberHarness } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
+import { MemberHarness } from '@rosemaryspread/decisions/membership/memberHarness.fixture.js'
 import { MemberTable } from '@rosemaryspread/decisions/membership/memberTable.js'
 import { defaultMemberLimits, type MemberRow } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import { membershipBench } from '../membershipBench.js'
--- a/packages/stand-ins/src/measure/membershipBench.ts
+++ b/packages/stand-ins/src/measure/membershipBench.ts
@@ -5,7 +5,7 @@
  */
 import { createJSONRPCNotification } from 'json-rpc-2.0'
 import { Packr } from 'msgpackr'
-import { MemberHarness, type HarnessVm } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
+import { MemberHarness, type HarnessVm } from '@rosemaryspread/decisions/membership/memberHarness.fixture.js'
 import type { Measurement, MeasureRow } from './measureTypes.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela', 'thu-duc', 'tan-binh', 'binh-thanh']
--- a/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
@@ -1,7 +1,7 @@
 /**
  * Ways of bounding what all VMs together send to a target that warms up: the product's, and those it was weighed against.
  */
-import { WarmUpShare, type WarmUpRate } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
+import { WarmUpShare, type WarmUpRate } from '@rosemaryspread/decisions/gateway/warmUpShare.js'
 
 /** What one VM may send to one target. */
 export interface WarmUpWay {
