--- a/packages/decisions/src/clock/clockTypes.ts
+++ b/packages/decisions/src/clock/clockTypes.ts
@@ -1,7 +1,7 @@
 /**
- * Time as the deciders see it. Deciders never read a clock: the shell reads both clocks once
- * per event and passes them in. The monotonic clock measures durations; the wall clock is
- * only a second witness, because some hypervisors stop the monotonic clock of a paused VM.
+ * Time for decision logic, which never reads a clock: the caller reads both clocks once per event
+ * and passes them in. The monotonic clock measures durations; the wall clock is used in addition
+ * because some hypervisors stop the monotonic clock of a paused VM.
  */
 
 /** One reading of both clocks, in milliseconds. */
@@ -12,16 +12,14 @@
   readonly wall: number
 }
 
-/** Source of {@link Instant} readings; the daemon binds the system clocks, tests a manual one. */
+/** Source of {@link Instant} readings: the system clocks in the daemon, a manual clock in tests. */
 export interface Clock {
   now (): Instant
 }
 
 /**
- * Milliseconds that passed between two readings, by whichever clock saw more. A pause that one
- * clock missed is thereby still noticed; a wall clock stepped back is ignored.
- * @param from - the earlier reading
- * @param to - the later reading
+ * Milliseconds between two readings, by whichever clock advanced more. A pause that stopped one
+ * clock is therefore still detected, and a wall clock that was set back is ignored.
  */
 export function elapsedMs (from: Instant, to: Instant): number {
   return Math.max(to.mono - from.mono, to.wall - from.wall, 0)
--- a/packages/decisions/src/lease/leaseKeeper.spec.ts
+++ b/packages/decisions/src/lease/leaseKeeper.spec.ts
@@ -12,7 +12,7 @@
   return new LeaseWorld(count, name => new LeaseKeeper(ROLE, name, limits))
 }
 
-/** Weaker: trusts the monotonic clock alone. */
+/** Faulty: relies on the monotonic clock alone. */
 class MonotonicKeeper extends LeaseKeeper {
   override mayAct (now: Instant): boolean {
     return super.mayAct({ mono: now.mono, wall: 0 })
@@ -20,7 +20,7 @@
 }
 
 describe('lease of a role', () => {
-  it('is taken by one of several, with fencing 1, and kept', () => {
+  it('is acquired by exactly one of several candidates, with fencing number 1, and stays with it', () => {
     const world = worldOf(3)
     world.run(20_000)
     expect(world.acting()).length(1)
@@ -28,7 +28,7 @@
     expect(world.nodes.map(node => node.count('taken')).sort()).deep.equal([0, 0, 1])
   })
 
-  it('goes to another within seconds of the holder\'s death, with a higher fencing number', () => {
+  it('is acquired by another process within seconds after the holder stops, with a higher fencing number', () => {
     const world = worldOf(3)
     world.run(3_000)
     world.acting()[0]!.paused = true
@@ -37,7 +37,7 @@
     expect(world.acting()[0]!.keeper.fencing()).equal(2)
   })
 
-  it('goes to another at once when released, and is released when its write is lost', () => {
+  it('can be acquired at once after a release, also when responses to the release write are lost', () => {
     for (const loseAnswers of [0, 1, 2]) {
       const world = worldOf(2)
       world.run(3_000)
@@ -51,7 +51,7 @@
     }
   })
 
-  it('a release ends by time when the table is down', () => {
+  it('completes a release by expiry when the table is unavailable', () => {
     const world = worldOf(1)
     world.run(3_000)
     world.down = true
@@ -63,7 +63,7 @@
   })
 
   for (const [monoRuns, wallRuns] of [[true, true], [true, false], [false, true]] as const) {
-    it(`a holder frozen beyond the end may not act on waking (monotonic ${monoRuns ? 'runs' : 'stops'}, wall ${wallRuns ? 'runs' : 'stops'})`, () => {
+    it(`a holder that was paused past expiry may not act on resuming (monotonic clock ${monoRuns ? 'runs' : 'stops'}, wall clock ${wallRuns ? 'runs' : 'stops'})`, () => {
       const world = worldOf(2)
       world.run(3_000)
       const [frozen] = world.acting() as [LeaseNode]
@@ -71,16 +71,16 @@
       Object.assign(frozen, { paused: true, monoRuns, wallRuns })
       world.run(20_000)
       frozen.paused = false
-      expect(beforeWait, 'a check before the wait says nothing (counter-example)').equal(true)
+      expect(beforeWait, 'a check before the wait proves nothing (counter-example)').equal(true)
       expect(frozen.mayAct()).equal(false)
-      expect(world.acting(), 'the other took it').length(1)
+      expect(world.acting(), 'acquired by the other process').length(1)
       world.run(3_000)
       expect(frozen.count('lost')).equal(1)
       expect(world.acting()).length(1)
     })
   }
 
-  it('a lease counted on the monotonic clock alone lets two act (counter-example)', () => {
+  it('a lease measured by the monotonic clock alone lets two processes act (counter-example)', () => {
     const world = new LeaseWorld(2, name => new MonotonicKeeper(ROLE, name))
     world.run(3_000)
     const [frozen] = world.acting() as [LeaseNode]
@@ -90,7 +90,7 @@
     expect(world.acting()).length(2)
   })
 
-  it('a wall clock that was set back does not bring a lapsed lease back', () => {
+  it('a wall clock that is set back does not revive an expired lease', () => {
     const world = worldOf(1)
     world.run(3_000)
     const [holder] = world.nodes as [LeaseNode]
@@ -102,7 +102,7 @@
     expect(holder.mayAct()).equal(false)
   })
 
-  it('lost answers are read back: taking and renewing go on under one fencing number', () => {
+  it('lost write responses are resolved by reading, so acquiring and renewing continue under one fencing number', () => {
     const world = worldOf(1)
     world.loseAnswers = 3
     world.run(20_000)
@@ -111,7 +111,7 @@
     expect([holder.keeper.fencing(), holder.count('taken'), holder.count('lost')]).deep.equal([1, 1, 0])
   })
 
-  it('an outage shorter than the lease does not end it; a longer one does, and the holder takes it up again', () => {
+  it('a table outage shorter than the lease does not end it; after a longer one the same process acquires it again', () => {
     for (const [outageMs, lost] of [[durationMs - marginMs - renewMs - 500, 0], [durationMs + 1_000, 1]] as const) {
       const world = worldOf(1)
       world.run(3_000)
@@ -124,14 +124,14 @@
     }
   })
 
-  it('a write under the lease fails once another holds it, also before the old holder knows', () => {
+  it('a write under the lease fails once another process holds it, even before the old holder detects the loss', () => {
     const world = worldOf(2)
     world.run(3_000)
     const [old] = world.acting() as [LeaseNode]
     const check = old.keeper.leaseCheck(old.now())!
     expect(world.fits(check)).equal(true)
     world.run(4 * renewMs)
-    expect(world.fits(check), 'renewals leave it as it is').equal(true)
+    expect(world.fits(check), 'a renewal does not invalidate the check').equal(true)
     old.paused = true
     world.run(durationMs + marginMs + 2 * pollMs)
     expect(world.fits(check)).equal(false)
@@ -139,7 +139,7 @@
     expect(old.keeper.leaseCheck(old.now())).equal(undefined)
   })
 
-  it('an older replica does not make a holder give up', () => {
+  it('a read from a lagging replica does not make the holder drop its lease', () => {
     const world = worldOf(1)
     world.run(3_000)
     const [holder] = world.nodes as [LeaseNode]
@@ -149,14 +149,14 @@
     expect(holder.mayAct()).equal(true)
   })
 
-  it('nobody takes a role without being a candidate', () => {
+  it('a process that is not a candidate does not acquire the role', () => {
     const world = worldOf(1)
     world.nodes[0]!.feed({ kind: 'candidate', wanted: false } satisfies LeaseEvent)
     world.run(5_000)
     expect(world.acting()).deep.equal([])
   })
 
-  describe('never two that may act at once, over random pauses, losses, delays and drifting clocks', () => {
+  describe('at most one process may act under random pauses, losses, delays and clock drift', () => {
     const DRIFT = 0.08
     const drift = fc.constantFrom(1 - DRIFT, 1, 1 + DRIFT)
     const trouble = fc.record({
@@ -196,7 +196,7 @@
     })
   })
 
-  it('counts a pause that either clock saw', () => {
+  it('elapsed time includes a pause that only one clock measured', () => {
     expect(elapsedMs({ mono: 0, wall: 0 }, { mono: 1, wall: 9 })).equal(9)
   })
 })
--- a/packages/decisions/src/lease/leaseKeeper.ts
+++ b/packages/decisions/src/lease/leaseKeeper.ts
@@ -1,10 +1,9 @@
 /**
- * Takes, renews and gives up the lease of one role. The holder counts the lease from the moment
- * before its write was sent, on whichever of its clocks saw more time pass, and stops a margin
- * early; others wait a margin longer by the table's clock. So a holder that was paused finds
- * its lease ended on waking, and two processes never may act at once while clocks drift less
- * than the margin allows and, on each machine, one of the two clocks goes on during pauses and
- * is not set back.
+ * Acquires, renews and releases the lease of one role. The holder counts the lease from just before
+ * its write was sent, by whichever of its clocks advanced more, and stops a margin early; others
+ * wait a margin longer by the table's clock. A paused holder therefore finds its lease expired on
+ * resuming. Two processes never may act at once, provided that clocks drift less than the margin
+ * and that, on each machine, at least one of the two clocks runs during pauses and is not set back.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { HolderId } from '../names/nameTypes.js'
@@ -15,28 +14,23 @@
 interface HeldLease {
   readonly fencing: number
   readonly versions: LeaseVersions
-  /** Just before the write that the lease rests on was sent. */
+  /** Time just before the write that established the lease was sent. */
   readonly validFrom: Instant
 }
 
-/** Keeper of one role's lease. */
 export class LeaseKeeper implements LeaseDecider {
   private readonly calls: LeaseCalls
   private held: HeldLease | undefined
   private wanted = false
   private releasingSince: Instant | undefined
   private done = false
-  /** A lapse once seen stays, though a clock be set back later. */
+  /** Stays set once expiry was seen, even if a clock is set back later. */
   private lapsed = false
   private wantsRead = false
-  /** Highest version of the lease row seen; a replica that shows a lower one lags. */
+  /** Highest version of the lease row seen; a replica that returns a lower one lags. */
   private seenVersion = 0
 
-  /**
-   * @param role - name of the role
-   * @param self - holder id of this process
-   * @param limits - duration, margin and periods
-   */
+  /** @param self - holder id of this process */
   constructor (private readonly role: string, private readonly self: HolderId, private readonly limits: LeaseLimits = defaultLeaseLimits) {
     this.calls = new LeaseCalls(role, self, limits)
   }
@@ -88,7 +82,7 @@
     return this.next(now)
   }
 
-  /** The next call to the table, if one is due. */
+  /** Reports an expired lease, then returns the next call to the table, if one is due. */
   private next (now: Instant): readonly LeaseAction[] {
     const lost = this.noticeLapse(now)
     return [...lost, ...this.nextCall(now)]
@@ -111,7 +105,7 @@
     return this.wanted && this.calls.isPast(this.limits.pollMs, now) ? this.calls.read(now) : []
   }
 
-  /** Whether a release took so long that the lease ended by itself. */
+  /** Whether a release took so long that the lease has expired meanwhile. */
   private hasGivenUp (now: Instant): boolean {
     return this.releasingSince !== undefined && elapsedMs(this.releasingSince, now) >= this.limits.durationMs
   }
@@ -162,7 +156,7 @@
     this.calls.forgetUnresolved()
     if (this.releasingSince !== undefined || !isNew) return this.next(now)
     if (this.mayAct(now)) return [{ kind: 'taken', fencing: held.fencing }, ...this.next(now)]
-    // The answer came after the lease had ended; it may be renewed if nobody took it since.
+    // The response arrived after the lease expired; it can be renewed if no one else acquired it since.
     this.held = undefined
     this.wantsRead = true
     return this.next(now)
@@ -183,7 +177,7 @@
     return [...lost, ...this.calls.take((lease?.row.fencing ?? 0) + 1, versionsOf(read), now)]
   }
 
-  /** The rows name this process: by a write that is known, or by one too old to count on. */
+  /** The rows name this process, through a tracked write or through one too old to rely on, which is renewed first. */
   private adopt (row: LeaseRow, versions: LeaseVersions, now: Instant): readonly LeaseAction[] {
     const startedAt = this.calls.sentAt(row.renewal)
     const held = { fencing: row.fencing, versions, validFrom: startedAt ?? now }
--- a/packages/decisions/src/lease/leaseTypes.ts
+++ b/packages/decisions/src/lease/leaseTypes.ts
@@ -1,7 +1,7 @@
 /**
- * Leases of roles as the decider sees them. Two rows stand for one role. `leases/<role>` is
- * written at each renewal. `fences/<role>` is written only when the role changes hands, so
- * writes under the lease can check its version without a conflict with a renewal under way.
+ * Types of role leases. Each role has two rows: `leases/<role>` is written at each renewal,
+ * `fences/<role>` only when the holder changes, so that writes under the lease can check the version
+ * of the fence row without conflicting with a concurrent renewal.
  */
 import * as z from 'zod'
 import type { Instant } from '../clock/clockTypes.js'
@@ -16,13 +16,13 @@
 export const leaseRowSchema = z.object({
   role: z.string(),
   holder: z.string(),
-  /** Rises at each change of hands. */
+  /** Fencing token; increases with each change of holder. */
   fencing: z.number().int().positive(),
-  /** Milliseconds of the table's clock for which the lease runs from the row's last write. */
+  /** Duration of the lease by the table's clock, from the row's last write. */
   durationMs: z.number().int().positive(),
-  /** Number of the holder's write, by which a lost answer is resolved. */
+  /** Number of the holder's write, by which a write with an unknown outcome is recognized. */
   renewal: count,
-  /** The holder gave the role up; anyone may take it at once. */
+  /** The holder released the role; anyone may acquire it at once. */
   released: z.boolean()
 })
 export type LeaseRow = z.infer<typeof leaseRowSchema>
@@ -31,47 +31,46 @@
 export const fenceRowSchema = z.object({ role: z.string(), holder: z.string(), fencing: z.number().int().positive() })
 export type FenceRow = z.infer<typeof fenceRowSchema>
 
-/** Condition on a row of the table: its version, or null when it must not exist. */
+/** Precondition on a row of the table: its version, or null when it must not exist. */
 export interface LeaseRowCheck {
   readonly table: string
   readonly key: string
   readonly version: number | null
 }
 
-/** New value of a row of the table. */
 export interface LeaseRowWrite {
   readonly table: string
   readonly key: string
   readonly value: LeaseRow | FenceRow
 }
 
-/** Both rows as read; `ageMs` by the table's own clock. */
+/** Both rows as read; `ageMs` is the time since the last write by the table's clock. */
 export interface ReadLease {
   readonly lease: { readonly row: LeaseRow, readonly version: number, readonly ageMs: number } | null
   readonly fence: { readonly row: FenceRow, readonly version: number } | null
 }
 
-/** How a write ended; `version` is that of every row written. */
+/** Outcome of a write; `version` is the new version of every row written. */
 export type LeaseWriteOutcome =
   | { readonly kind: 'written', readonly version: number }
   | { readonly kind: 'conflict' }
   | { readonly kind: 'unavailable' }
   | { readonly kind: 'unknown' }
 
-/** What the keeper is told. */
+/** Input of the lease manager. */
 export type LeaseEvent =
   | { readonly kind: 'tick' }
-  /** Whether this process should try to hold the role; a role held is kept all the same. */
+  /** Whether this process should try to acquire the role; a lease already held continues either way. */
   | { readonly kind: 'candidate', readonly wanted: boolean }
   | { readonly kind: 'readAnswered', readonly read: ReadLease }
   | { readonly kind: 'readFailed' }
   | { readonly kind: 'writeAnswered', readonly outcome: LeaseWriteOutcome }
-  /** A write under the lease met a conflict: the rows have to be read. */
+  /** A write under the lease failed, for example with a conflict, so the rows have to be read again. */
   | { readonly kind: 'doubt' }
-  /** Give the role up for good; `released` follows. */
+  /** Release the role permanently; the action `released` follows. */
   | { readonly kind: 'release' }
 
-/** What the shell has to do; at most one read or write is under way. */
+/** Output for the caller to execute; at most one read or write is in progress. */
 export type LeaseAction =
   | { readonly kind: 'read' }
   | { readonly kind: 'write', readonly checks: readonly LeaseRowCheck[], readonly writes: readonly LeaseRowWrite[] }
@@ -83,17 +82,17 @@
 export interface LeaseLimits {
   readonly durationMs: number
   /**
-   * Taken off the holder's end of the lease and added to every other's. It must exceed what
-   * the clocks of the holder and of the table can drift apart within the lease's duration.
+   * Subtracted from the lease by the holder and added to it by all others. Must exceed the drift
+   * between the clocks of the holder and of the table over the duration of the lease.
    */
   readonly marginMs: number
   readonly renewMs: number
   readonly pollMs: number
-  /** Between a failed call and the next. */
+  /** Delay between a failed call and the next. */
   readonly retryMs: number
 }
 
-/** Limits of the daemon: a new holder within nine seconds of a holder's death. */
+/** With these limits a new holder takes over within 9 seconds after the previous one crashed. */
 export const defaultLeaseLimits: LeaseLimits = {
   durationMs: 6_000,
   marginMs: 1_000,
@@ -102,20 +101,20 @@
   retryMs: 250
 }
 
-/** Decides about one role for one process. */
+/** Manages the lease of one role for one process. */
 export interface LeaseDecider {
   handle (event: LeaseEvent, now: Instant): readonly LeaseAction[]
   /**
-   * Whether this process may act in the role at this moment. To be asked anew after every wait.
-   * @param now - both clocks, read just before the act
+   * Whether this process may act in the role now. Must be checked again after every wait.
+   * @param now - both clocks, read just before acting
    */
   mayAct (now: Instant): boolean
   /** Fencing number of the role while this process holds it. */
   fencing (): number | undefined
   /**
-   * The condition that every transaction under the lease has to carry; undefined when this
+   * Precondition that every transaction under the lease must include; undefined when this
    * process may not act.
-   * @param now - both clocks, read just before the act
+   * @param now - both clocks, read just before acting
    */
   leaseCheck (now: Instant): LeaseRowCheck | undefined
   holder (): HolderId
--- a/packages/decisions/src/lease/leaseWorld.fixture.ts
+++ b/packages/decisions/src/lease/leaseWorld.fixture.ts
@@ -1,13 +1,13 @@
 /**
- * Several keepers of one role against one table, in simulated time. Clocks drift, calls are
- * slow or lost, and processes are paused; all of it by numbers that the test gives.
+ * Simulates several lease managers of one role on one table, in virtual time. Clock drift, slow or
+ * lost calls and process pauses follow from numbers that the test supplies.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { LeaseKeeper } from './leaseKeeper.js'
 import { FENCE_TABLE, LEASE_TABLE, type FenceRow, type LeaseAction, type LeaseEvent, type LeaseRow, type LeaseRowCheck, type LeaseWriteOutcome, type ReadLease } from './leaseTypes.js'
 
 const STEP_MS = 50
-/** Draws from here on are delays in milliseconds; smaller ones a tenth of it. */
+/** Random values from here on are used as delays in milliseconds; smaller ones are divided by ten. */
 const SLOW_FROM = 800
 
 interface Stored {
@@ -21,16 +21,16 @@
   readonly run: () => void
 }
 
-/** A disturbance of one node. */
+/** A fault of one node. */
 export interface Trouble {
   readonly atMs: number
   readonly node: number
-  /** `wallBack` only affects nodes whose wall clock is the faulty one. */
+  /** `cut` disconnects the node from the table; `wallBack` affects only nodes whose wall clock is the faulty one. */
   readonly kind: 'pause' | 'cut' | 'wallBack'
   readonly forMs: number
 }
 
-/** One process. */
+/** One simulated process. */
 export class LeaseNode {
   paused = false
   cut = false
@@ -39,10 +39,10 @@
   mono = 0
   wall = 1_000_000
   rate = 1
-  /** The clock that stops in pauses; a wall clock that does may also be set back. */
+  /** The clock that stops during pauses; if it is the wall clock, it may also be set back. */
   faulty: 'mono' | 'wall' | undefined
   readonly actions: LeaseAction[] = []
-  /** Answers that arrived during a pause. */
+  /** Responses delivered at the next step, or after a pause. */
   readonly inbox: LeaseEvent[] = []
 
   constructor (readonly name: string, readonly keeper: LeaseKeeper, private readonly world: LeaseWorld) {}
@@ -74,11 +74,10 @@
   }
 }
 
-/** Nodes, table and time. */
 export class LeaseWorld {
   readonly nodes: LeaseNode[]
   down = false
-  /** Answers of writes to lose, after they took effect. */
+  /** Number of write responses to drop after the write took effect. */
   loseAnswers = 0
   mostActing = 0
   private time = 0
@@ -95,7 +94,7 @@
     for (const node of this.nodes) node.feed({ kind: 'candidate', wanted: true })
   }
 
-  /** Sets drifting clocks, and numbers of 0 to 999 from which delays and losses follow. */
+  /** Sets clock drift, and the random values, 0 to 999, that determine delays and losses. */
   disturb (rates: readonly number[], faulty: readonly ('mono' | 'wall')[], tableRate: number, tape: readonly number[]): void {
     this.nodes.forEach((node, i) => { Object.assign(node, { rate: rates[i], faulty: faulty[i] }) })
     this.tableRate = tableRate
--- a/packages/decisions/src/names/nameTypes.ts
+++ b/packages/decisions/src/names/nameTypes.ts
@@ -1,24 +1,21 @@
 /**
- * Names that go between VMs. A VM name lasts over restarts; a holder is one incarnation of it,
- * so that what an earlier process held is never taken for the present one's.
+ * Names used between VMs. A VM name survives restarts; a holder id names one incarnation of the VM,
+ * so that allotments of an earlier process are never mistaken for those of the current one.
  */
 
-/** One incarnation of a VM: `<vm>~<start>`; holds allotments and leases. */
+/** One incarnation of a VM, `<vm>~<token>`; the holder of allotments and leases. */
 export type HolderId = string
 
 /**
- * Makes the holder id of a fresh process.
+ * Holder id of a new process.
  * @param vm - name of the VM from the settings
- * @param token - something unlike any earlier incarnation, such as a random hex string
+ * @param token - unique per incarnation, such as a random hex string
  */
 export function holderOf (vm: string, token: string): HolderId {
   return `${vm}~${token}`
 }
 
-/**
- * The VM name inside a holder id.
- * @param holder - a holder id
- */
+/** VM name within a holder id. */
 export function vmOf (holder: HolderId): string {
   return holder.slice(0, holder.lastIndexOf('~'))
 }
--- a/packages/decisions/src/quarantine/quarantineTypes.ts
+++ b/packages/decisions/src/quarantine/quarantineTypes.ts
@@ -1,33 +1,33 @@
 /**
- * What VMs tell each other of requests under which targets ended. One schema is the source of the types, of the rows in the table
- * and of the messages over links. A request is named by a digest of what makes it the same when it comes again.
+ * Updates that VMs exchange about requests during which targets terminated. One schema defines the types, the table rows and the
+ * messages between VMs. A request is identified by a digest of the content that makes a repeat the same request.
  */
 import * as z from 'zod'
 
-/** Table of the rows, which a feed carries to all VMs. */
+/** Table whose rows a change feed distributes to all VMs. */
 export const QUARANTINE_TABLE = 'quarantine'
 
-/** Digests in one row at most: more calls than a target has open from one VM, and 12 KB of the 64 KB that a row may have. */
+/** Digests per row: more than a target has open calls from one VM, and 12 KB of the 64 KB that a row may have. */
 export const MOST_DIGESTS = 500
-/** Ends in one row at most, and so those that are remembered of a request. */
+/** Ends per row, and therefore also per request. */
 export const MOST_ENDS = 50
 const MOST_CHARACTERS = 200
 
 const digestSchema = z.string().min(1).max(MOST_CHARACTERS)
 
-/** The end of one process of a target. */
+/** The termination of one process of a target. */
 export const targetEndSchema = z.object({
   target: z.string().max(MOST_CHARACTERS),
   /** Failure domain of the target. */
   domain: z.string().max(MOST_CHARACTERS),
-  /** Unix milliseconds of the start of the process; tells processes under one id apart, absent where it is not known. */
+  /** Start of the process in Unix milliseconds, which distinguishes processes with the same id; absent when unknown. */
   startedAt: z.number().optional(),
-  /** Wall-clock milliseconds at which its calls broke. */
+  /** Wall time in milliseconds at which its calls broke off. */
   at: z.number()
 })
 export type TargetEnd = z.infer<typeof targetEndSchema>
 
-/** A VM saw targets end while requests were open there. */
+/** A VM saw targets terminate while requests were in progress there. */
 export const endReportSchema = z.object({
   kind: z.literal('ended'),
   ends: z.array(targetEndSchema).min(1).max(MOST_ENDS),
@@ -35,46 +35,42 @@
 })
 export type EndReport = z.infer<typeof endReportSchema>
 
-/** A request is not sent on any more. */
+/** A request is no longer forwarded. */
 export const verdictSchema = z.object({
   kind: z.literal('quarantined'),
   digest: digestSchema,
   ends: z.array(targetEndSchema).max(MOST_ENDS),
-  /** How often it was quarantined, this time included. */
+  /** How often it has been quarantined, including this time. */
   level: z.number().int().positive()
 })
 export type Verdict = z.infer<typeof verdictSchema>
 
-/** Ends that do not count for a request: it was answered since, or an operator says so. */
+/** Ends that no longer count for a request, because it was answered since or an operator lifted the suspicion. */
 export const clearanceSchema = z.object({
   kind: z.literal('cleared'),
   digest: digestSchema,
-  /** Names of the processes, see {@link processOf}. */
+  /** Process keys, see {@link processKey}. */
   processes: z.array(z.string()).max(MOST_ENDS)
 })
 export type Clearance = z.infer<typeof clearanceSchema>
 
-/** All that is told. */
 export const quarantineNewsSchema = z.discriminatedUnion('kind', [endReportSchema, verdictSchema, clearanceSchema])
 export type QuarantineNews = z.infer<typeof quarantineNewsSchema>
 
-/** How a request stands: `suspected` once a target ended under it, `quarantined` when it is not sent on any more. */
+/** `suspected` once a target terminated during the request, `quarantined` when it is no longer forwarded. */
 export type Standing = 'clear' | 'suspected' | 'quarantined'
 
-/** A request as operators see it. */
+/** A request under suspicion, as shown to operators. */
 export interface SuspectView {
   readonly digest: string
   readonly standing: Standing
   readonly ends: readonly TargetEnd[]
   readonly level: number
-  /** Milliseconds until the quarantine ends by itself; absent where there is none. */
+  /** Milliseconds until the quarantine expires; absent when there is none. */
   readonly leftMs?: number
 }
 
-/**
- * Name of the process of a target that ended.
- * @param end - the end
- */
+/** Key that identifies a terminated process of a target. */
 export function processOf ({ target, startedAt }: Pick<TargetEnd, 'target' | 'startedAt'>): string {
   return `${target}@${startedAt ?? ''}`
 }
--- a/packages/decisions/src/quarantine/requestQuarantine.spec.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What news make of a request: any order, any VM, more than once.
+ * Updates lead to the same standing of a request in any order, from any VM and when repeated.
  */
 import { expect } from 'chai'
 import { quarantineNewsSchema, type QuarantineNews, type Standing, type TargetEnd } from './quarantineTypes.js'
@@ -23,24 +23,24 @@
 }
 
 const cases: readonly NewsCase[] = [
-  { name: 'nothing', news: [], standing: 'clear' },
-  { name: 'the end of a target under another request', news: [under(['b'], end('t1'))], standing: 'clear' },
+  { name: 'no update', news: [], standing: 'clear' },
+  { name: 'the end of a target during another request', news: [under(['b'], end('t1'))], standing: 'clear' },
   { name: 'one end', news: [under(['a', 'b'], end('t1'))], standing: 'suspected' },
-  { name: 'the same end told by three VMs', news: [under(['a'], end('t1')), under(['a'], end('t1')), under(['a', 'b'], end('t1'))], standing: 'suspected' },
+  { name: 'the same end reported by three VMs', news: [under(['a'], end('t1')), under(['a'], end('t1')), under(['a', 'b'], end('t1'))], standing: 'suspected' },
   { name: 'two ends', news: [under(['a'], end('t1')), under(['a'], end('t2'))], standing: 'suspected' },
   { name: 'three ends', news: [under(['a'], end('t1')), under(['a'], end('t2')), under(['a'], end('t3'))], standing: 'quarantined' },
-  { name: 'three ends of one target that began again under its id', news: [under(['a'], end('t1', 1)), under(['a'], end('t1', 2)), under(['a'], end('t1', 3))], standing: 'quarantined' },
-  { name: 'three ends told together', news: [under(['a'], end('t1'), end('t2'), end('t3'))], standing: 'quarantined' },
-  { name: 'a verdict of another VM', news: [verdict('a', end('t1'), end('t2'), end('t3'))], standing: 'quarantined' },
-  { name: 'three ends, one of them cleared before it was told', news: [cleared('a', 't2@'), under(['a'], end('t1')), under(['a'], end('t2')), under(['a'], end('t3'))], standing: 'suspected' },
+  { name: 'three ends of one target that restarted under its id', news: [under(['a'], end('t1', 1)), under(['a'], end('t1', 2)), under(['a'], end('t1', 3))], standing: 'quarantined' },
+  { name: 'three ends in one report', news: [under(['a'], end('t1'), end('t2'), end('t3'))], standing: 'quarantined' },
+  { name: 'a verdict from another VM', news: [verdict('a', end('t1'), end('t2'), end('t3'))], standing: 'quarantined' },
+  { name: 'three ends, one of them cleared before it was reported', news: [cleared('a', 't2@'), under(['a'], end('t1')), under(['a'], end('t2')), under(['a'], end('t3'))], standing: 'suspected' },
   { name: 'three ends that were all cleared', news: [under(['a'], end('t1'), end('t2'), end('t3')), cleared('a', 't1@', 't2@', 't3@')], standing: 'clear' },
-  { name: 'a verdict that comes behind its clearance', news: [cleared('a', 't1@', 't2@', 't3@'), verdict('a', end('t1'), end('t2'), end('t3'))], standing: 'clear' },
-  { name: 'a fourth end behind a clearance', news: [under(['a'], end('t1'), end('t2'), end('t3')), cleared('a', 't1@', 't2@', 't3@'), under(['a'], end('t4'))], standing: 'suspected' }
+  { name: 'a verdict that arrives after its clearance', news: [cleared('a', 't1@', 't2@', 't3@'), verdict('a', end('t1'), end('t2'), end('t3'))], standing: 'clear' },
+  { name: 'a fourth end after a clearance', news: [under(['a'], end('t1'), end('t2'), end('t3')), cleared('a', 't1@', 't2@', 't3@'), under(['a'], end('t4'))], standing: 'suspected' }
 ]
 
 describe('RequestQuarantine', () => {
   for (const { name, news, standing } of cases) {
-    it(`with ${name}: ${standing}, in any order and twice`, () => {
+    it(`${name}: ${standing}, in any order and when repeated`, () => {
       for (const order of [news, [...news].reverse(), [...news, ...news]]) {
         const requests = new RequestQuarantine()
         for (const item of order) requests.take(item, 0)
@@ -49,13 +49,13 @@
     })
   }
 
-  it('tells each verdict once', () => {
+  it('returns each verdict once', () => {
     const requests = new RequestQuarantine()
     const told = ['t1', 't2', 't3', 't4'].map(target => requests.take(under(['a'], end(target)), 0).length)
     expect(told).to.deep.equal([0, 0, 1, 0])
   })
 
-  it('takes an answer for proof, and tells it only where more than one end was told', () => {
+  it('clears a request that was answered, and publishes the clearance only when more than one end was reported', () => {
     const requests = new RequestQuarantine()
     requests.take(under(['a', 'b'], end('t1')), 0)
     requests.take(under(['a'], end('t2')), 0)
@@ -65,7 +65,7 @@
     expect(requests.answered('a', 2)).to.equal(undefined)
   })
 
-  it('names the failure domains of the ends that count', () => {
+  it('returns the failure domains of the ends that count', () => {
     const requests = new RequestQuarantine()
     requests.take(under(['a'], { ...end('t1'), domain: 'x' }, { ...end('t2'), domain: 'y' }), 0)
     requests.take(cleared('a', 't1@'), 0)
@@ -73,13 +73,13 @@
   })
 
   const ages: ReadonlyArray<{ readonly name: string, readonly news: QuarantineNews, readonly afterMs: number, readonly standing: Standing }> = [
-    { name: 'a suspicion while callers may come back', news: under(['a'], end('t1')), afterMs: SUSPECT_MS, standing: 'suspected' },
-    { name: 'a suspicion later', news: under(['a'], end('t1')), afterMs: SUSPECT_MS + 1_001, standing: 'clear' },
-    { name: 'a quarantine shortly before its end', news: under(['a'], end('t1'), end('t2'), end('t3')), afterMs: HOUR_MS - 1, standing: 'quarantined' },
-    { name: 'a quarantine that is over: one end brings it back', news: under(['a'], end('t1'), end('t2'), end('t3')), afterMs: HOUR_MS, standing: 'suspected' }
+    { name: 'a suspicion while callers may retry', news: under(['a'], end('t1')), afterMs: SUSPECT_MS, standing: 'suspected' },
+    { name: 'a suspicion after its expiry', news: under(['a'], end('t1')), afterMs: SUSPECT_MS + 1_001, standing: 'clear' },
+    { name: 'a quarantine shortly before its expiry', news: under(['a'], end('t1'), end('t2'), end('t3')), afterMs: HOUR_MS - 1, standing: 'quarantined' },
+    { name: 'a quarantine after its expiry, which one more end starts again', news: under(['a'], end('t1'), end('t2'), end('t3')), afterMs: HOUR_MS, standing: 'suspected' }
   ]
   for (const { name, news, afterMs, standing } of ages) {
-    it(`holds ${name}: ${standing}`, () => {
+    it(`${name}: ${standing}`, () => {
       const requests = new RequestQuarantine()
       requests.take(news, 0)
       requests.tick(afterMs)
@@ -87,7 +87,7 @@
     })
   }
 
-  it('doubles the time of each further quarantine, up to a bound', () => {
+  it('doubles the duration of each further quarantine, up to a bound', () => {
     const requests = new RequestQuarantine()
     let now = 0
     const lasted = [1, 2, 3].map(round => {
@@ -101,7 +101,7 @@
     expect(quarantineMs(100)).to.equal(32 * HOUR_MS)
   })
 
-  it('is lifted by an operator and counts from zero', () => {
+  it('counts from zero after an operator lifted a quarantine', () => {
     const requests = new RequestQuarantine()
     requests.take(under(['a'], end('t1'), end('t2'), end('t3')), 0)
     expect(requests.lift('a', 1)?.processes).to.have.length(3)
@@ -109,7 +109,7 @@
     expect([requests.standing('a', 3), requests.lift('b', 3)]).to.deep.equal(['suspected', undefined])
   })
 
-  it('can tell the lifting of a request under which more targets ended than a row holds, whatever the order in which it learnt of them', () => {
+  it('publishes a valid clearance for a request with more ends than a row may have, whatever the order of the reports', () => {
     const many = Array.from({ length: 70 }, (_, index) => under(['a'], end(`t${index}`, undefined, index)))
     for (const order of [many, [...many].reverse()]) {
       const requests = new RequestQuarantine()
@@ -122,7 +122,7 @@
     }
   })
 
-  it('forgets the oldest suspicion when there are too many, and no quarantine', () => {
+  it('removes the oldest suspicion when there are too many, but never a quarantine', () => {
     const requests = new RequestQuarantine()
     requests.take(under(['q'], end('t1'), end('t2'), end('t3')), 0)
     for (let index = 0; index < 20_000; index += 1) requests.take(under([`s${index}`], end('t1')), 1)
--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -1,35 +1,30 @@
 /**
- * Keeps requests that end the targets that run them from being sent on. What is counted belongs to the request and not to one
- * call of it, so it outlives calls, callers that change VMs, and VMs: every VM takes the same news, in any order and more than
- * once, and comes to the same standing.
+ * Stops forwarding requests that terminate the targets that run them. The count belongs to the request and not to a call, so it
+ * survives calls, callers that move to another VM, and VMs. Updates are idempotent and commutative: every VM that applies the same
+ * ones, in any order and more than once, reaches the same standing.
  */
 import {
   type Clearance, type EndReport, type QuarantineNews, type Standing, type SuspectView, type Verdict
 } from './quarantineTypes.js'
 import { SuspectRequest } from './suspectRequest.js'
 
-/** Milliseconds after the last end for which a request stays suspected: callers come back within seconds or minutes. */
+/** Time after the last end for which a request stays suspected; callers retry within seconds or minutes. */
 export const SUSPECT_MS = 600_000
-/** Requests remembered at most, some 660 bytes each (measured), so 13 MB: 100 targets that end at once with 64 calls each leave 6,400. */
+/** At some 660 bytes each this is 13 MB; 100 targets that terminate at once with 64 calls each leave 6,400 suspects. */
 const MOST_SUSPECTS = 20_000
-/** Milliseconds between two passes over all that is remembered. */
+/** Time between two expiry passes over all suspects. */
 const EXPIRE_EVERY_MS = 1_000
 
-/** Requests under which targets ended, as one VM knows them. Times are monotonic milliseconds. */
+/** Requests during which targets terminated, as known to one VM. Times are monotonic milliseconds. */
 export class RequestQuarantine {
   private readonly suspects = new Map<string, SuspectRequest>()
   private expiredAt = 0
 
-  /** Whether no request is under suspicion. */
+  /** False while any request is stored, also one whose ends were all cleared. */
   get isEmpty (): boolean {
     return this.suspects.size === 0
   }
 
-  /**
-   * How a request stands.
-   * @param digest - digest of the request
-   * @param mono - present time
-   */
   standing (digest: string, mono: number): Standing {
     const suspect = this.suspects.get(digest)
     if (suspect === undefined) return 'clear'
@@ -37,19 +32,12 @@
     return suspect.isSuspected ? 'suspected' : 'clear'
   }
 
-  /**
-   * Failure domains of the targets that ended under a request.
-   * @param digest - digest of the request
-   */
+  /** Failure domains of the targets whose termination counts against a request. */
   domainsOf (digest: string): readonly string[] {
     return this.suspects.get(digest)?.counted.map(({ domain }) => domain) ?? []
   }
 
-  /**
-   * Takes news of this VM or another; answers the requests that are quarantined by it.
-   * @param news - the news
-   * @param mono - present time
-   */
+  /** Applies an update from this VM or another; returns verdicts on the requests that it quarantines. */
   take (news: QuarantineNews, mono: number): readonly Verdict[] {
     switch (news.kind) {
       case 'ended': return this.takeEnds(news, mono)
@@ -59,10 +47,8 @@
   }
 
   /**
-   * A target answered a request, which proves that it did not end it. Answers what others have to know: nothing as
-   * long as too few ends were told of it to matter.
-   * @param digest - digest of the request
-   * @param mono - present time
+   * Clears a request that a target answered, which proves that it does not terminate targets. Returns the clearance to
+   * publish; undefined when so few ends were reported that other VMs need not know.
    */
   answered (digest: string, mono: number): Clearance | undefined {
     const suspect = this.suspects.get(digest)
@@ -71,20 +57,13 @@
     return clearance.processes.length > 1 ? clearance : undefined
   }
 
-  /**
-   * Lifts the suspicion from a request, at the order of an operator; undefined when there is none.
-   * @param digest - digest of the request
-   * @param mono - present time
-   */
+  /** Clears a request on behalf of an operator; undefined when it is not under suspicion. */
   lift (digest: string, mono: number): Clearance | undefined {
     const suspect = this.suspects.get(digest)
     return suspect === undefined ? undefined : this.clearanceOf(digest, suspect, mono)
   }
 
-  /**
-   * Forgets what is over; to be called several times a second.
-   * @param mono - present time
-   */
+  /** Releases expired quarantines and removes expired suspects; to be called several times a second. */
   tick (mono: number): void {
     if (mono - this.expiredAt < EXPIRE_EVERY_MS) return
     this.expiredAt = mono
@@ -97,10 +76,7 @@
     }
   }
 
-  /**
-   * All requests under suspicion, for operators.
-   * @param mono - present time
-   */
+  /** All requests under suspicion, for operators. */
   list (mono: number): readonly SuspectView[] {
     return [...this.suspects]
       .filter(([, suspect]) => suspect.isSuspected)
@@ -135,7 +111,7 @@
 
   private suspectOf (digest: string, mono: number): SuspectRequest {
     const suspect = this.suspects.get(digest) ?? new SuspectRequest()
-    // The one touched last stands last, so that the first is the one to forget.
+    // Keeps the map in order of the last update, so that the first entry is the oldest.
     this.suspects.delete(digest)
     this.suspects.set(digest, suspect)
     suspect.touchedAt = mono
--- a/packages/decisions/src/quarantine/suspectRequest.ts
+++ b/packages/decisions/src/quarantine/suspectRequest.ts
@@ -1,68 +1,56 @@
 /**
- * One request under which targets ended: which processes, which of their ends count, and since when it is quarantined.
+ * State of one request during which targets terminated: the processes, which of their ends count, and the quarantine.
  */
 import { MOST_ENDS, processOf, type TargetEnd } from './quarantineTypes.js'
 
-/** Processes that ended under a request, and none of them answered it, from which on it is not sent any more. */
+/** Processes that have to terminate during a request, without an answer to it, before it is quarantined. */
 export const QUARANTINE_ENDS = 3
-/** Milliseconds of the first quarantine. Each further one takes twice as long: a request that was mended on the targets' side gets through within the hour. */
+/** Duration of the first quarantine, doubled for each further one. A request whose cause was fixed in the targets is forwarded again within the hour. */
 const QUARANTINE_MS = 3_600_000
-/** Doublings at most: a day and eight hours. */
+/** Bounds a quarantine to 32 hours. */
 const MOST_DOUBLINGS = 5
 
 /**
- * Milliseconds for which a request is quarantined.
- * @param level - how often it was, this time included
+ * Duration of a quarantine in milliseconds.
+ * @param level - how often the request has been quarantined, including this time
  */
 export function quarantineMs (level: number): number {
   return QUARANTINE_MS * 2 ** Math.min(Math.max(0, level - 1), MOST_DOUBLINGS)
 }
 
-/** A request under suspicion. Times named `mono` are monotonic milliseconds. */
+/** Times are monotonic milliseconds, except `at` of an end. */
 export class SuspectRequest {
   level = 0
-  /** When something was last learned of it. */
   touchedAt = 0
   private readonly ends = new Map<string, TargetEnd>()
   private readonly cleared = new Set<string>()
   private quarantinedAt: number | undefined
 
-  /** Ends that count, the earliest first. */
+  /** Ends that were not cleared, earliest first. */
   get counted (): readonly TargetEnd[] {
     return [...this.ends.values()].filter(end => !this.cleared.has(processOf(end))).sort((a, b) => a.at - b.at)
   }
 
-  /** All ends that were told, those included that do not count. */
+  /** Process keys of all reported ends, including cleared ones. */
   get processes (): readonly string[] {
     return [...this.ends.keys()]
   }
 
-  /** Whether some end counts. */
   get isSuspected (): boolean {
     return this.counted.length > 0
   }
 
-  /**
-   * Whether it is quarantined.
-   * @param mono - present time
-   */
   isQuarantined (mono: number): boolean {
     return this.leftMs(mono) > 0
   }
 
-  /**
-   * Milliseconds until its quarantine ends; 0 where there is none.
-   * @param mono - present time
-   */
+  /** Milliseconds until its quarantine expires; 0 when there is none. */
   leftMs (mono: number): number {
     if (this.quarantinedAt === undefined) return 0
     return Math.max(0, this.quarantinedAt + quarantineMs(this.level) - mono)
   }
 
-  /**
-   * Takes ends; several VMs tell of the same one.
-   * @param ends - the ends
-   */
+  /** Adds ends. Several VMs may report the same one, of which the earliest time counts. */
   add (ends: readonly TargetEnd[]): void {
     for (const end of ends) {
       const known = this.ends.get(processOf(end))
@@ -72,8 +60,8 @@
   }
 
   /**
-   * Leaves ends out of the count, also those that are told of later.
-   * @param processes - names of the processes
+   * Excludes ends from the count, also those that are reported later.
+   * @param processes - process keys of the ends
    */
   clear (processes: readonly string[]): void {
     for (const name of processes) this.cleared.add(name)
@@ -81,9 +69,8 @@
   }
 
   /**
-   * Quarantines it where enough ends count; answers whether that is new.
-   * @param mono - present time
-   * @param level - how often others quarantined it, this time included
+   * Quarantines the request if enough ends count; returns whether that is new.
+   * @param level - how often other VMs have quarantined it, including this time
    */
   judge (mono: number, level = 1): boolean {
     if (!this.isDue || this.isQuarantined(mono)) return false
@@ -92,21 +79,18 @@
     return true
   }
 
-  /**
-   * Whether a quarantine took its time and was not released yet.
-   * @param mono - present time
-   */
+  /** Whether a quarantine has expired and was not released yet. */
   isOver (mono: number): boolean {
     return this.quarantinedAt !== undefined && this.leftMs(mono) === 0
   }
 
-  /** Ends a quarantine whose time is over: the next end brings it back. */
+  /** Releases an expired quarantine and clears all but two ends, so that the next end starts it again. */
   release (): void {
     this.quarantinedAt = undefined
     for (const end of this.counted.slice(0, 1 - QUARANTINE_ENDS)) this.cleared.add(processOf(end))
   }
 
-  /** With more ends than a row holds, other VMs could not read of a verdict or a clearance. */
+  /** With more ends than a row may have, other VMs would reject a verdict or a clearance. */
   private forgetEarliest (): void {
     if (this.ends.size <= MOST_ENDS) return
     const names = [...this.ends].sort(([a, { at }], [b, other]) => at - other.at || (a < b ? -1 : 1)).map(([name]) => name)
--- a/packages/decisions/src/routing/ejectionBound.ts
+++ b/packages/decisions/src/routing/ejectionBound.ts
@@ -1,23 +1,22 @@
 /**
- * Bounds how many candidates may be ejected at once. When more are, the trouble is likely not
- * theirs, and those nearest to their return are used again: serving badly beats refusing all.
+ * Bounds the share of candidates that may be ejected at once. When more are ejected, the cause is
+ * likely not the runners, so those whose ejection ends first are used again.
  */
 import type { RunnerState } from './runnerState.js'
 
-/** Share of the candidates that may be ejected at once; one of two or more always may. */
+/** Of two or more candidates, one may always be ejected. */
 const EJECTED_SHARE = 1 / 3
 
-/** Candidates split by whether they may be used. */
 export interface BoundedCandidates {
   readonly usable: readonly RunnerState[]
-  /** Ejected ones that are used all the same. */
+  /** Number of usable runners that are still ejected. */
   readonly forced: number
 }
 
 /**
- * Leaves out ejected candidates as far as the bound allows.
+ * Removes ejected candidates, up to the bound.
  * @param candidates - runners that are neither leaving nor excluded
- * @param mono - present monotonic time in milliseconds
+ * @param mono - current monotonic time in milliseconds
  */
 export function boundEjections (candidates: readonly RunnerState[], mono: number): BoundedCandidates {
   const ejected = candidates.filter(state => isOut(state, mono))
--- a/packages/decisions/src/routing/ewma.ts
+++ b/packages/decisions/src/routing/ewma.ts
@@ -1,30 +1,25 @@
 /**
- * Running estimates of a measured duration: an exponentially weighted mean and mean deviation,
- * as TCP keeps them for its retransmission timer. Constant memory, one multiplication a sample.
+ * Exponentially weighted moving average and mean deviation of a duration, as in TCP's
+ * retransmission timer (RFC 6298).
  */
 
-/** A sample counts for at most this many times the mean: one stalled request must not spoil the estimate. */
+/** Samples are clipped at this multiple of the mean, so that one stalled request does not distort the estimate. */
 const CLIP_FACTOR = 4
 
-/** Samples after which outliers are clipped. */
 const CLIP_AFTER = 5
 
-/** Weight of a new sample once the first ones are in. */
+/** Weight of a new sample; the first samples weigh more. */
 const GAIN = 0.1
 
-/** Weighted mean and mean deviation of samples. */
 export class Ewma {
   private meanValue = 0
   private deviation = 0
   private samples = 0
 
-  /** @param clipFactor - times the mean for which a sample counts at most */
+  /** @param clipFactor - multiple of the mean at which samples are clipped */
   constructor (private readonly clipFactor = CLIP_FACTOR) {}
 
-  /**
-   * Takes a sample. Early samples weigh more, so that the first estimate is their plain mean.
-   * @param value - the sample, in any unit
-   */
+  /** Adds a sample in any unit. Early samples weigh more, so that the first estimate is their arithmetic mean. */
   add (value: number): void {
     this.samples += 1
     const gain = Math.max(GAIN, 1 / this.samples)
@@ -42,10 +37,7 @@
     return this.meanValue
   }
 
-  /**
-   * A cautious estimate: the mean and some mean deviations above it.
-   * @param deviations - how many
-   */
+  /** Upper estimate: the mean plus the given number of mean deviations. */
   above (deviations: number): number {
     return this.meanValue + deviations * this.deviation
   }
--- a/packages/decisions/src/routing/fairQueue.spec.ts
+++ b/packages/decisions/src/routing/fairQueue.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds, fairness, priorities and deadlines of the queue, beside a first-come queue that lacks them.
+ * Limits, fairness, priorities and deadlines of the queue, compared with a FIFO queue that lacks them.
  */
 import { expect } from 'chai'
 import { FairQueue } from './fairQueue.js'
@@ -14,7 +14,7 @@
   return { id, team, weight: 1, maxInFlight: 1_000, priority: 1, tokens: 100, serviceMs: 1_000, deadline: at(10_000_000), value: 0, ...over }
 }
 
-/** Serves one at a time; answers the teams in the order served. */
+/** Serves one request at a time; returns the teams in the order served. */
 function served (queue: Pick<FairQueue<number>, 'pop' | 'done'>, turns: number): readonly string[] {
   return Array.from({ length: turns }, () => {
     const next = queue.pop()
@@ -24,7 +24,7 @@
   })
 }
 
-/** Weaker: first come, first served, until the deadline passes. */
+/** Faulty: first in, first out, without fairness or deadlines. */
 class FirstCome {
   private readonly items: Item[] = []
   offer (one: Item): void { this.items.push(one) }
@@ -38,10 +38,10 @@
   const shares = [
     { name: 'a greedy team', teams: { greedy: { weight: 1, count: 90 }, small: { weight: 1, count: 10 } }, turns: 20, small: 10, firstCome: 0 },
     { name: 'weights 3 to 1', teams: { greedy: { weight: 1, count: 90 }, small: { weight: 3, count: 30 } }, turns: 20, small: 15, firstCome: 0 },
-    { name: 'a team that calls all urgent', teams: { greedy: { weight: 1, count: 400, priority: 9 }, small: { weight: 1, count: 200 } }, turns: 800, small: 200, firstCome: 0 }
+    { name: 'a team that marks every request urgent', teams: { greedy: { weight: 1, count: 400, priority: 9 }, small: { weight: 1, count: 200 } }, turns: 800, small: 200, firstCome: 0 }
   ]
   for (const { name, teams, turns, small, firstCome } of shares) {
-    it(`${name}: the other team gets its ${small} of ${turns}; first come first served gives it less`, () => {
+    it(`${name}: the other team gets its ${small} of ${turns} turns, and fewer from a FIFO queue`, () => {
       const queue = new FairQueue<number>(1)
       const weak = new FirstCome()
       for (const [team, { count, ...rest }] of Object.entries(teams)) {
@@ -55,7 +55,7 @@
     })
   }
 
-  it('serves a team\'s higher priority first and charges what was used in fact', () => {
+  it('serves the higher priority of a team first and charges the tokens actually used', () => {
     const queue = new FairQueue<number>(1)
     const [low, high] = [item('a', { priority: 0 }), item('a', { priority: 2 })]
     queue.offer(low, at(0))
@@ -75,9 +75,9 @@
     { name: 'team at its limit', queue: busy, next: item('a', { maxInFlight: 6 }), code: 'queueFull' },
     { name: 'another team is not at its limit', queue: busy, next: item('b', { maxInFlight: 6 }), code: 'taken' },
     { name: 'queue full', queue: () => new FairQueue<number>(1, 0), next: item('b'), code: 'overloaded' },
-    { name: 'takes longer than it has', queue: () => new FairQueue<number>(1), next: item('b', { deadline: at(999) }), code: 'deadlineOutOfReach' },
-    { name: 'its turn would come too late', queue: busy, next: item('a', { deadline: at(2_000) }), code: 'deadlineOutOfReach' },
-    { name: 'its turn comes in time', queue: busy, next: item('a', { deadline: at(6_000) }), code: 'taken' }
+    { name: 'predicted service time exceeds the time left', queue: () => new FairQueue<number>(1), next: item('b', { deadline: at(999) }), code: 'deadlineOutOfReach' },
+    { name: 'would start too late', queue: busy, next: item('a', { deadline: at(2_000) }), code: 'deadlineOutOfReach' },
+    { name: 'would start in time', queue: busy, next: item('a', { deadline: at(6_000) }), code: 'taken' }
   ]
   for (const { name, queue, next, code } of refusals) {
     it(`${name}: ${code} at once`, () => {
@@ -87,7 +87,7 @@
     })
   }
 
-  it('refuses a waiting item when its deadline comes out of reach, not when it passes; first come would start it late', () => {
+  it('refuses a waiting item when its deadline comes out of reach, not when it passes; a FIFO queue starts it late', () => {
     const queue = new FairQueue<number>(1)
     queue.offer(item('a'), at(0))
     queue.pop()
@@ -101,7 +101,7 @@
     expect(weak.pop()).to.equal(late)
   })
 
-  it('counts waiting and running over offer, pop, putBack, abandoned, remove and done', () => {
+  it('tracks waiting and running over offer, pop, putBack, abandoned, remove and done', () => {
     const queue = new FairQueue<number>(2)
     const [one, two, three] = [item('a'), item('b'), item('c')]
     for (const each of [one, two, three]) queue.offer(each, at(0))
--- a/packages/decisions/src/routing/fairQueue.ts
+++ b/packages/decisions/src/routing/fairQueue.ts
@@ -1,10 +1,8 @@
 /**
- * Bounded queue with weighted fairness between teams by virtual time (start-time fair queuing):
- * a team's turn comes when its tag is the lowest; each start moves its tag on by the tokens
- * divided by its weight. A team that was idle starts at the present virtual time, or at its own
- * tag if that is later: idle time earns no credit. Priority orders requests inside a team; against
- * other teams it is only a bounded head start, charged like any service, so that a team which calls
- * everything urgent gains no share.
+ * Bounded queue with weighted fairness between teams (start-time fair queuing). The team with the
+ * lowest tag goes next, and each start advances its tag by tokens / weight; idle time earns no
+ * credit. Priority orders requests within a team. Against other teams it is a bounded head start
+ * that is charged like any service, so that marking every request urgent gains no share.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Instant } from '../clock/clockTypes.js'
@@ -14,10 +12,10 @@
 import type { ExpiredItem, QueueItem, RequestQueue } from './queueTypes.js'
 import { headStart, insert, nextTeam, startsUpTo, type TeamQueue } from './teamQueue.js'
 
-/** Items that wait at most, over all teams. */
+/** Waiting requests over all teams. */
 const DEFAULT_CAPACITY = 1_024
 
-/** Fair queue of one VM for one model. */
+/** Fair queue of one VM for one model; see {@link RequestQueue}. */
 export class FairQueue<T> implements RequestQueue<T> {
   private readonly teams = new Map<string, TeamQueue<T>>()
   private readonly serviceMs = new Ewma()
@@ -89,7 +87,7 @@
     for (const [name, team] of this.teams) {
       const late = team.items.filter(item => isLate(item, now))
       if (late.length === 0) continue
-      for (const item of late) expired.push({ item, failure: outOfReach('its turn did not come in time', this.turnMs(team)) })
+      for (const item of late) expired.push({ item, failure: outOfReach('waited in the queue until its deadline came out of reach', this.turnMs(team)) })
       this.take(team, late)
       this.dropIdle(name, team)
     }
@@ -125,13 +123,13 @@
     }
   }
 
-  /** Predicted wait: everything that would start before it, at the present pace. */
+  /** Predicted wait: the number of requests that would start earlier, times the current start interval. */
   private waitMs (team: TeamQueue<T>, item: QueueItem<T>): number {
     if (this.waitingCount === 0 && this.runningCount < this.concurrency) return 0
     return (this.startsBefore(team, item) + 0.5) * this.startGapMs(item.serviceMs)
   }
 
-  /** Items that wait and would start before a new one. */
+  /** Waiting requests that would start before a new one. */
   private startsBefore (team: TeamQueue<T>, item: QueueItem<T>): number {
     const ahead = team.items.filter(other => other.priority >= item.priority)
     const tokensAhead = ahead.reduce((sum, other) => sum + other.tokens, 0)
@@ -141,14 +139,14 @@
     return count
   }
 
-  /** Time between two starts of one team while all teams that wait keep waiting. */
+  /** Milliseconds between two starts of a team, as long as all waiting teams have requests. */
   private turnMs (team: TeamQueue<T>): number {
     let weights = team.items.length === 0 ? team.weight : 0
     for (const other of this.teams.values()) if (other.items.length > 0) weights += other.weight
     return this.startGapMs(0) * weights / team.weight
   }
 
-  /** Time between two starts of any team. */
+  /** Milliseconds between two starts over all teams. */
   private startGapMs (fallbackMs: number): number {
     const serviceMs = this.serviceMs.count > 0 ? this.serviceMs.mean : fallbackMs
     const atOnce = this.waitingCount > 0 ? this.runningCount : this.concurrency
@@ -177,7 +175,7 @@
     team.items.splice(0, team.items.length, ...rest)
   }
 
-  /** Forgets a team that has no items and whose tag is not ahead of the virtual time. */
+  /** A team whose tag is ahead of the virtual time stays, or it would lose what it was charged. */
   private dropIdle (name: string, team: TeamQueue<T>): void {
     if (team.items.length === 0 && team.running === 0 && team.tag <= this.virtualTime) this.teams.delete(name)
   }
--- a/packages/decisions/src/routing/fleetView.ts
+++ b/packages/decisions/src/routing/fleetView.ts
@@ -1,6 +1,6 @@
 /**
- * All runners one VM knows, fed by events: configuration, dispatches, first tokens, ends, load
- * reports, cache events and leaving marks. It keeps the figures; {@link RunnerRouter} decides.
+ * State of all runners as one VM sees it, updated by routing events. {@link RunnerRouter} decides
+ * on the basis of this state.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { Ewma } from './ewma.js'
@@ -10,22 +10,22 @@
 import { RunnerState } from './runnerState.js'
 import type { RouteEvent, RunnerView } from './routingTypes.js'
 
-/** Routed requests that are remembered until their dispatch is told. */
+/** Routed requests that are stored until their `dispatched` event. */
 const ROUTED_LIMIT = 4_096
 
-/** Times the median first-token time at which a runner is ejected as slow. */
+/** A runner is ejected when its prefill time per token exceeds this multiple of the median. */
 const SLOW_FACTOR = 3
 
-/** First tokens of a runner between two comparisons with the median. */
+/** First tokens of a runner between two comparisons with the median of its peers. */
 const SLOW_CHECK_EVERY = 8
 
-/** One slow runner must not make the whole fleet look slow: its samples count up to this many times the mean. */
+/** Samples are clipped at this multiple of the mean, so that one slow runner does not make the whole fleet look slow. */
 const FLEET_CLIP_FACTOR = 1.5
 
-/** Runners needed for a median to mean something. */
+/** With fewer peers a median says too little to eject a runner. */
 const MEDIAN_RUNNERS = 3
 
-/** What was decided for a request, needed once it is dispatched. */
+/** Details of a routing decision, used when the request is dispatched. */
 export interface RoutedWork {
   readonly maxTokens: number
   readonly uncachedTokens: number
@@ -33,7 +33,7 @@
   readonly prefixHashes: readonly string[]
 }
 
-/** Runners of one model. */
+/** Runners of one model; `watched` are those in the subset of this VM. */
 export interface ModelRunners {
   readonly all: readonly RunnerState[]
   readonly watched: readonly RunnerState[]
@@ -41,7 +41,6 @@
 
 type EventOf<K extends RouteEvent['kind']> = Extract<RouteEvent, { kind: K }>
 
-/** State of all runners. */
 export class FleetView {
   readonly prefixes = new PrefixIndex()
   readonly fleet = new LatencyModel(FLEET_CLIP_FACTOR)
@@ -52,11 +51,11 @@
 
   /**
    * @param vm - name of this VM
-   * @param domain - its failure domain
+   * @param domain - failure domain of this VM
    */
   constructor (private readonly vm: string, private readonly domain: string) {}
 
-  /** Requests of other VMs for each slot, over all runners that report. */
+  /** Average number of requests from other VMs per slot, over all runners that report. */
   get prior (): number {
     return this.othersPerSlot.mean
   }
@@ -65,7 +64,7 @@
     return this.models.get(model) ?? { all: [], watched: [] }
   }
 
-  /** Runners whose load and cache events this VM should ask for. */
+  /** Runners whose load reports and cache events this VM should poll. */
   watchedRunners (): readonly RunnerView[] {
     const states = new Set([...this.models.values()].flatMap(model => model.watched))
     return [...states].map(state => state.view)
--- a/packages/decisions/src/routing/keyedOrder.spec.ts
+++ b/packages/decisions/src/routing/keyedOrder.spec.ts
@@ -1,13 +1,13 @@
 /**
- * A keyed request repeated at another VM with another view of the runners runs at most once, with
- * engines that keep seals; an order over each VM's own view breaks that.
+ * A keyed request repeated at VMs with different views of the runners runs at most once, provided
+ * that engines store seals. Without seals, or without the common order, it runs more than once.
  */
 import { expect } from 'chai'
 import { at, MODEL, outcome, productRouter, request, runners, seeded } from './routing.fixture.js'
 import { RunnerRouter } from './runnerRouter.js'
 import type { RouteDecider, RouteDecision, RouteRequest, RunnerView } from './routingTypes.js'
 
-/** What engines keep of one request id. */
+/** Records of one request id at the engines. */
 class SealedEngines {
   readonly marks = new Map<string, 'run' | 'sealed'>()
 
@@ -15,7 +15,7 @@
     return [...this.marks.values()].filter(mark => mark === 'run').length
   }
 
-  /** One attempt as the dispatcher makes it: seal those before, join a run found there, else submit. */
+  /** One attempt as the dispatcher makes it: seal the skipped runners, join a run found there, otherwise submit. */
   attempt (decision: RouteDecision): 'done' | 'sealed' | 'refused' {
     if (decision.kind === 'refused') return 'refused'
     for (const { runner } of decision.before) {
@@ -28,7 +28,7 @@
   }
 }
 
-/** Draws a view: some runners leaving, some failing, some loaded. */
+/** Applies random state to a router: some runners leaving, some failing, some loaded. */
 function disturb (router: RouteDecider, views: readonly RunnerView[], random: () => number): void {
   for (const { runner } of views) {
     const draw = random()
@@ -65,7 +65,7 @@
   return most
 }
 
-/** Seals nothing: a common order, but each VM skips what it thinks unusable. */
+/** Faulty: common order, but runners that a VM skips are not sealed. */
 class UnsealedOrder extends RunnerRouter {
   override route (req: RouteRequest, now: ReturnType<typeof at>, random: () => number): RouteDecision {
     const decision = super.route(req, now, random)
@@ -75,7 +75,7 @@
 
 describe('keyed requests', () => {
   for (const total of [2, 12, 60]) {
-    it(`${total} runners: three VMs with other views run it once; without seals or without the order they do not`, () => {
+    it(`${total} runners: three VMs with different views run it once, and more often without seals or without the common order`, () => {
       const views = runners(total)
       expect(mostRuns((vm, domain) => new RunnerRouter(vm, domain), views, true)).to.equal(1)
       expect(mostRuns((vm, domain) => new UnsealedOrder(vm, domain), views, true)).to.be.above(1)
@@ -83,7 +83,7 @@
     })
   }
 
-  it('puts runners added within the record time after all others, so that an earlier run is still found', () => {
+  it('places runners added within the record retention time last, so that an earlier run is still found', () => {
     const old = runners(12)
     const added = { runner: 'new', address: '10.0.1.1:80', domain: 'a', slots: 8, addedAt: at(0).wall }
     const before = productRouter(old)
@@ -96,7 +96,7 @@
     expect(later).to.include('new')
   })
 
-  it('puts a runner last only for the model that it began to serve lately', () => {
+  it('places a runner last only for the model that it was recently added to', () => {
     const old = runners(12)
     const router = productRouter(old)
     router.observe({ kind: 'configured', model: 'other', runners: old.map(view => ({ ...view, addedAt: at(0).wall })) }, at(0))
@@ -107,7 +107,7 @@
     }
   })
 
-  it('says unknown in a refusal and names where an earlier run would be, leaving runners included', () => {
+  it('refuses with ran unknown and lists where an earlier run may be found, including leaving runners', () => {
     const views = runners(3)
     const router = productRouter(views)
     for (const view of views) router.observe({ kind: 'leaving', runner: view.runner }, at(1))
@@ -117,7 +117,7 @@
     expect(decision.lookIn?.map(view => view.runner)).to.have.members(['r0', 'r1', 'r2'])
   })
 
-  it('goes past a runner over the load bound and says which ones to seal', () => {
+  it('skips a runner over the load bound and lists it for sealing', () => {
     const router = productRouter(runners(4))
     const req = request({ keyed: true })
     const first = outcome(router.route(req, at(1), seeded(1)))
--- a/packages/decisions/src/routing/keyedOrder.ts
+++ b/packages/decisions/src/routing/keyedOrder.ts
@@ -1,25 +1,22 @@
 /**
- * Order of runners for a keyed request. Every VM walks all configured runners of the model in
- * the same order, so a repeat at any VM finds the first run without a store: a VM that skips a
- * runner has it sealed first, hence a run at one place proves that all places before it hold
- * either a seal or the run itself.
+ * Order of runners for a keyed request. Every VM tries all configured runners of the model in the
+ * same order and seals each runner that it skips. Every runner before the one that runs a request
+ * is therefore sealed, and a repeat at any VM finds the first run without a shared store.
  */
 import { hashName, pairWeight } from './rendezvous.js'
 import type { RunnerState } from './runnerState.js'
 
-/** Milliseconds for which engines keep the record of a run. */
+/** How long engines store the record of a run. */
 const RECORD_KEEP_MS = 7_200_000
 
-/** Puts runners added lately after all others. */
+/** Exceeds every weight, so that recently added runners come after all others. */
 const RECENT_PENALTY = 2 ** 32
 
 /**
- * Yields the runners in the order of one request. A runner added less than the record time ago
- * comes after the rest, since an earlier run cannot have been placed by an order that had it.
- * @param requestId - the request
- * @param model - its model
+ * Yields the runners in the order of one request. Runners added within the record retention time
+ * come last, because an earlier run may have been placed before they were added.
  * @param states - all configured runners of the model
- * @param wall - present wall time in milliseconds
+ * @param wall - current wall time in milliseconds
  */
 export function * keyedOrder (requestId: string, model: string, states: readonly RunnerState[], wall: number): Generator<RunnerState, void> {
   const key = hashName(requestId)
@@ -35,11 +32,9 @@
 }
 
 /**
- * Place of one runner in the order of a request; the higher comes first.
- * @param requestId - the request
- * @param runner - id of the runner
- * @param addedAt - wall milliseconds since which it serves the model, when known
- * @param wall - present wall time in milliseconds
+ * Rank of one runner in the order of a request; the highest comes first.
+ * @param addedAt - wall time in milliseconds when the runner was configured for the model, if known
+ * @param wall - current wall time in milliseconds
  */
 export function keyedRank (requestId: string, runner: string, addedAt: number | undefined, wall: number): number {
   return rankOf(hashName(requestId), hashName(runner), addedAt, wall)
@@ -67,7 +62,7 @@
   return state?.view.runner ?? ''
 }
 
-/** Removes an item by moving the last one into its place. */
+/** Removes an item in constant time by moving the last one to its index. */
 function removeAt<T> (items: T[], index: number): void {
   const last = items.pop()
   if (last !== undefined && index < items.length) items[index] = last
--- a/packages/decisions/src/routing/latencyModel.ts
+++ b/packages/decisions/src/routing/latencyModel.ts
@@ -1,53 +1,51 @@
 /**
- * Measured speed of a runner and the prediction from it: time to first token grows with the
- * prompt tokens that are not cached, time between tokens with the share of busy slots, and a
- * request beyond the slots waits for others to end.
+ * Latency model of a runner. Time to first token grows with the uncached prompt tokens, time per
+ * output token with the share of busy slots, and a request beyond the slots waits for one to free up.
  */
 import { Ewma } from './ewma.js'
 
-/** Fixed cost of a first token, expressed in prompt tokens. */
+/** Fixed cost of a first token, in equivalent prompt tokens. */
 const FIRST_TOKEN_OVERHEAD = 200
 
-/** How much slower a token is when all slots are busy than when one is, less 1. */
+/** Relative increase of the time per token from an idle to a fully busy runner. */
 const BUSY_SLOWDOWN = 1
 
-/** Samples below which a measured figure is not trusted. */
+/** With fewer samples a measured value is not used. */
 const TRUSTED_SAMPLES = 5
 
-/** Times the expectation beyond which a first token rather waited in a queue; more is not learnt at once. */
+/** A first token later than this multiple of the expected time probably waited in a queue, so its sample is clipped there. */
 const QUEUED_FACTOR = 1.5
 
-/** Milliseconds after which figures without new samples are no ground for a refusal: else refusals would preserve them. */
+/** Older measurements justify no refusal: a model that refuses all requests would never get new samples. */
 const STALE_MS = 10_000
 
-/** Mean deviations added for a cautious prediction. */
+/** Mean deviations added in a cautious prediction. */
 const CAUTION = 1
 
-/** Assumed before anything was measured, in milliseconds. */
+/** Assumed until the first measurement. */
 const DEFAULT_UNIT_MS = 0.5
 const DEFAULT_TOKEN_MS = 20
 const DEFAULT_TOKENS = 200
 
-/** What one prediction is about. */
+/** Input of a prediction: the request and the runner that would serve it. */
 export interface Work {
   readonly uncachedTokens: number
   readonly answerTokens: number
-  /** Requests at the runner without this one. */
+  /** Requests at the runner, without this one. */
   readonly load: number
   readonly slots: number
 }
 
-/** Predicted times in milliseconds. */
 export interface Prediction {
   readonly waitMs: number
   readonly prefillMs: number
   readonly firstTokenMs: number
   readonly totalMs: number
-  /** For how long a typical request holds a slot. */
+  /** Time for which a typical request occupies a slot. */
   readonly slotMs: number
 }
 
-/** Measured speed, of one runner or of the fleet. Times are monotonic milliseconds. */
+/** Measured speed of one runner or of the fleet. */
 export class LatencyModel {
   readonly firstTokenMs = new Ewma()
   readonly promptTokens = new Ewma()
@@ -55,14 +53,14 @@
   readonly answerTokens = new Ewma()
   private answeredAt = -Infinity
 
-  /** @param clipFactor - times the mean for which one sample counts at most */
+  /** @param clipFactor - multiple of the mean at which samples of the time per output token are clipped */
   constructor (clipFactor?: number) {
     this.tokenMs = new Ewma(clipFactor)
   }
 
   /**
-   * Whether enough was measured, and lately, to refuse a request by it.
-   * @param mono - present time
+   * Whether there are enough recent samples to refuse a request on their basis.
+   * @param mono - current monotonic time in milliseconds
    */
   isTrusted (mono: number): boolean {
     return this.tokenMs.count >= TRUSTED_SAMPLES && mono - this.answeredAt <= STALE_MS
@@ -76,20 +74,20 @@
   }
 
   /**
-   * Milliseconds for each computed prompt token. A ratio of means, since the mean of ratios is
-   * dominated by short prompts that waited for a step to end.
-   * @param deviations - mean deviations of the first-token time added for caution
+   * Milliseconds per computed prompt token: a ratio of means, because the mean of ratios is
+   * dominated by short prompts that wait for an engine step to end.
+   * @param deviations - mean deviations added to the first-token time
    */
   unitMs (deviations: number): number {
     return this.firstTokenMs.above(deviations) / Math.max(1, this.promptTokens.mean)
   }
 
   /**
-   * Takes the times of an ended request.
-   * @param decodeMs - from the first token to the end
+   * Records a completed request.
+   * @param decodeMs - time from the first token to the end
    * @param tokens - tokens generated
-   * @param busy - share of slots that was busy, 0 to 1
-   * @param mono - present time
+   * @param busyShare - share of busy slots, 0 to 1
+   * @param mono - current monotonic time in milliseconds
    */
   sawAnswer (decodeMs: number, tokens: number, busy: number, mono: number): void {
     this.answeredAt = mono
@@ -99,11 +97,11 @@
 }
 
 /**
- * Predicts the times of one request.
- * @param own - what was measured of the runner
- * @param fleet - what was measured of all, used where the runner's own figures are too few
- * @param work - the request and the load
- * @param cautious - true for a bound that most requests meet, false for the expected times
+ * Predicts the latency of one request.
+ * @param runner - measured speed of the runner
+ * @param fleet - measured speed of all runners, used while the runner has too few samples
+ * @param input - the request and the load
+ * @param cautious - true for an upper bound that most requests meet, false for the expected times
  */
 export function predict (own: LatencyModel, fleet: LatencyModel, work: Work, cautious: boolean): Prediction {
   const deviations = cautious ? CAUTION : 0
--- a/packages/decisions/src/routing/ownWindow.ts
+++ b/packages/decisions/src/routing/ownWindow.ts
@@ -1,19 +1,17 @@
 /**
- * How many requests one VM may have in flight over a set of runners. Reports lag, so VMs that each
- * fill what they see free would all overshoot and then all hold back. Instead each scales what it
- * had at the time of the reports by how far all together were from the limit then: that settles
- * whatever the lag, and a VM gets a part in proportion to its use.
+ * Number of requests that one VM may have in flight over a set of runners. Reports lag, so VMs that
+ * each filled the reported free slots would overshoot and then back off together. Instead each VM
+ * scales its own load at report time by limit / total load, which converges whatever the lag and
+ * shares the capacity in proportion to use.
  */
 import type { RunnerState } from './runnerState.js'
 
-/** Requests added to the window beyond the scaled ones, for each runner: lets a VM with none begin. */
+/** Requests added to the window per runner, so that a VM with none in flight can start. */
 const PROBE_PER_RUNNER = 0.3
 
 /**
- * The window of this VM.
- * @param usable - runners that may be used
  * @param queueShare - requests that may wait at a runner, as a share of its slots
- * @returns requests in flight allowed in all; infinite when nothing is reported
+ * @returns total requests in flight allowed; infinite when no load is reported
  */
 export function ownWindow (usable: readonly RunnerState[], queueShare: number): number {
   let total = 0
--- a/packages/decisions/src/routing/pollSchedule.spec.ts
+++ b/packages/decisions/src/routing/pollSchedule.spec.ts
@@ -1,12 +1,12 @@
 /**
- * Load calls stay bounded, every runner is asked in the end, and runners in use come first.
+ * Load calls stay bounded, every runner is polled eventually, and runners in use are polled more often.
  */
 import { expect } from 'chai'
 import { callsPerSecond, PollSchedule } from './pollSchedule.js'
 
 const TICK_MS = 250
 
-/** Calls to each runner over a time. */
+/** Simulates the schedule; returns the number of calls to each runner. */
 function play (runners: number, vms: number, seconds: number, used: readonly string[] = []): Map<string, number> {
   const schedule = new PollSchedule(500)
   const watched = Array.from({ length: runners }, (_, index) => `r${index}`)
@@ -22,29 +22,29 @@
 
 const bounds = [
   { name: 'one runner', runners: 1, vms: 6, most: 201 },
-  { name: 'today\'s runners', runners: 12, vms: 6, most: 202 },
-  { name: 'all runners of the target', runners: 600, vms: 360, most: 27 }
+  { name: '12 runners', runners: 12, vms: 6, most: 202 },
+  { name: '600 runners and 360 VMs', runners: 600, vms: 360, most: 27 }
 ]
 
-describe('the schedule of load calls', () => {
+describe('PollSchedule', () => {
   for (const { name, runners, vms, most } of bounds) {
-    it(`bounds the calls of 100 seconds with ${name}`, () => {
+    it(`bounds the calls in 100 seconds with ${name}`, () => {
       expect(total(play(runners, vms, 100))).to.be.within(1, most)
     })
   }
 
-  it('asks every runner in turn', () => {
+  it('polls all runners equally often', () => {
     const calls = [...play(12, 6, 100).values()]
     expect(Math.max(...calls) - Math.min(...calls)).to.be.at.most(1)
   })
 
-  it('asks a runner in use more often, and the others still', () => {
+  it('polls a runner in use more often, but still polls the others', () => {
     const calls = play(12, 6, 100, ['r3'])
     expect(calls.get('r3')).to.be.above(3 * (calls.get('r4') ?? 0))
     expect(Math.min(...calls.values())).to.be.above(0)
   })
 
-  it('lets a whole fleet make a bounded number of calls', () => {
+  it('bounds the calls per second of the whole fleet', () => {
     expect([6, 60, 360].map(vms => vms * callsPerSecond(vms))).to.deep.equal([12, 15, 90])
   })
 })
--- a/packages/decisions/src/routing/pollSchedule.ts
+++ b/packages/decisions/src/routing/pollSchedule.ts
@@ -1,34 +1,31 @@
 /**
- * Which runners a VM asks for their load, and when. The calls of a VM are bounded whatever the
- * number of runners, and fewer the more VMs ask: the engines answer all of them. Runners that the
- * VM sends requests to come first; for the others an old report does.
+ * Schedules the load polls of one VM. The poll rate is bounded whatever the number of runners and
+ * falls with the number of VMs, because the engines answer all of them. Runners in use come first;
+ * for the others an older report suffices.
  */
 
-/** Load calls that the whole fleet makes in a second, as long as each VM may make the least. */
+/** Load calls of the whole fleet, unless the minimum rate per VM adds up to more. */
 const FLEET_CALLS_PER_SECOND = 12
-/** Bounds of the calls of one VM in a second. */
 const MOST_CALLS_PER_SECOND = 2
 const LEAST_CALLS_PER_SECOND = 0.25
-/** Times by which the age of a report counts more for a runner in use. */
+/** Factor on the report age of a runner in use. */
 const USED_WEIGHT = 8
 const SECOND_MS = 1_000
 
-/** One runner to be asked. */
 export interface DueRunner {
   readonly runner: string
-  /** Whether this VM sent it a request since its cache events were asked for. */
+  /** Whether this VM sent it a request since its last poll. */
   readonly isUsed: boolean
 }
 
 /**
- * Calls that one VM may make in a second.
- * @param vms - VMs of the fleet
+ * Load calls per second allowed for one VM.
+ * @param vms - number of VMs in the fleet
  */
 export function callsPerSecond (vms: number): number {
   return Math.min(MOST_CALLS_PER_SECOND, Math.max(LEAST_CALLS_PER_SECOND, FLEET_CALLS_PER_SECOND / Math.max(1, vms)))
 }
 
-/** Plans the calls of one VM. */
 export class PollSchedule {
   private readonly askedAt = new Map<string, number>()
   private readonly used = new Set<string>()
@@ -36,23 +33,20 @@
   private lastMono: number | undefined
 
   /**
-   * @param leastMs - milliseconds between two calls to one runner at least
+   * @param minIntervalMs - minimum time between two calls to one runner
    */
   constructor (private readonly leastMs: number) {}
 
-  /**
-   * Notes that a request was sent to a runner.
-   * @param runner - its id
-   */
+  /** Records that a request was sent to a runner. */
   use (runner: string): void {
     this.used.add(runner)
   }
 
   /**
-   * The runners to ask now.
+   * Returns the runners to poll now.
    * @param watched - ids of the runners that the VM watches
-   * @param vms - VMs of the fleet
-   * @param mono - monotonic milliseconds
+   * @param vms - number of VMs in the fleet
+   * @param mono - current monotonic time in milliseconds
    */
   due (watched: readonly string[], vms: number, mono: number): readonly DueRunner[] {
     this.earn(vms, mono)
@@ -82,7 +76,7 @@
     return this.ageMs(runner, mono) * (this.used.has(runner) ? USED_WEIGHT : 1)
   }
 
-  /** A runner that was never asked is older than any other. */
+  /** A runner that was never polled counts as older than any other. */
   private ageMs (runner: string, mono: number): number {
     return mono - (this.askedAt.get(runner) ?? -Number.MAX_SAFE_INTEGER)
   }
--- a/packages/decisions/src/routing/prefixIndex.ts
+++ b/packages/decisions/src/routing/prefixIndex.ts
@@ -1,16 +1,13 @@
 /**
- * What is believed of the prompt prefixes cached at each runner. Cache events come late and
- * with gaps and evictions may be lost, so an entry is only a hint and expires; the number of
- * entries is bounded and the oldest go first.
+ * Index of the prompt prefixes that each runner is believed to cache. Cache events arrive late and
+ * incomplete and evictions may be lost, so an entry is only a hint and expires. The number of
+ * entries is bounded, and the oldest are dropped first.
  */
 
-/** Entries kept at most. */
 const PREFIX_LIMIT = 16_384
 
-/** Milliseconds for which an entry is believed. */
 const PREFIX_KEEP_MS = 30_000
 
-/** Runners remembered for one prefix at most. */
 const RUNNERS_PER_PREFIX = 4
 
 interface Holding {
@@ -18,7 +15,7 @@
   readonly until: number
 }
 
-/** Prefix hashes and the runners believed to hold them. Times are monotonic milliseconds. */
+/** Times are monotonic milliseconds. */
 export class PrefixIndex {
   private readonly holdings = new Map<string, Holding[]>()
 
@@ -41,9 +38,9 @@
   }
 
   /**
-   * Share of a prompt believed to be cached, 0 to 1, for each runner that holds any of it.
+   * Share of a prompt believed to be cached, 0 to 1, for each runner that caches any of it.
    * @param hashes - hashes of the prompt's prefixes, longest last
-   * @param mono - present time
+   * @param mono - current time
    */
   shares (hashes: readonly string[], mono: number): ReadonlyMap<string, number> {
     const found = new Map<string, number>()
--- a/packages/decisions/src/routing/queueTypes.ts
+++ b/packages/decisions/src/routing/queueTypes.ts
@@ -1,21 +1,20 @@
 /**
- * Waiting requests of one VM for one model: what the queue takes and what it answers.
+ * Interface of the queue of requests that wait on one VM for one model.
  */
 import type { Either } from 'purify-ts'
 import type { Instant } from '../clock/clockTypes.js'
 import type { Failure } from '../codes/failure.js'
 
-/** A request that waits. */
 export interface QueueItem<T> {
   readonly id: string
   readonly team: string
-  /** Share of the team relative to others. */
+  /** Share of the team relative to other teams. */
   readonly weight: number
-  /** Requests of the team that may wait or run at once. */
+  /** Limit on the waiting and running requests of the team. */
   readonly maxInFlight: number
-  /** Higher goes first, among requests of the same team only. */
+  /** Higher goes first within the team; against other teams it gives only a bounded head start. */
   readonly priority: number
-  /** Worst case of prompt and answer in tokens; corrected by {@link RequestQueue.done}. */
+  /** Upper bound of prompt and answer tokens; corrected by {@link RequestQueue.done}. */
   readonly tokens: number
   /** Predicted milliseconds from start to end. */
   readonly serviceMs: number
@@ -23,45 +22,43 @@
   readonly value: T
 }
 
-/** An item that left the queue because its deadline came out of reach. */
+/** An item removed because it can no longer meet its deadline. */
 export interface ExpiredItem<T> {
   readonly item: QueueItem<T>
   readonly failure: Failure
 }
 
-/** A bounded queue, fair between teams. */
+/** Bounded queue with fairness between teams. */
 export interface RequestQueue<T> {
-  /** Requests that wait now. */
   readonly waiting: number
-  /** Requests popped and not done. */
+  /** Requests popped and not yet done. */
   readonly running: number
   /**
-   * Requests that may run at once, such as this VM's share of the slots.
+   * Sets how many requests may run at once, such as this VM's share of the slots.
    * @param limit - at least 1
    */
   setConcurrency (limit: number): void
   /**
-   * Takes an item, or refuses it at once: `queueFull` when its team has too many, `overloaded` when
-   * the queue is full, `deadlineOutOfReach` when its turn would come too late.
+   * Enqueues an item, or refuses it at once: `queueFull` when its team is at its limit, `overloaded`
+   * when the queue is full, `deadlineOutOfReach` when it would start too late.
    */
   offer (item: QueueItem<T>, now: Instant): Either<Failure, void>
   /**
-   * The next item to start; undefined when none waits or the concurrency limit is reached. Call
-   * {@link RequestQueue.expire} before.
+   * Returns the next item to start; undefined when none is waiting or the concurrency limit is
+   * reached. Call {@link RequestQueue.expire} first.
    */
   pop (): QueueItem<T> | undefined
-  /** Puts back an item that was popped and could not be started; it goes first in its team. */
+  /** Puts a popped item that could not be started back at the head of its team. */
   putBack (item: QueueItem<T>): void
-  /** Lets go of an item that was popped and refused: nothing ran, so nothing is charged or measured. */
+  /** Drops a popped item that was refused: nothing ran, so nothing is charged or measured. */
   abandoned (item: QueueItem<T>): void
-  /** Items whose deadline is out of reach now; they are removed. */
+  /** Removes and returns the items that can no longer meet their deadline. */
   expire (now: Instant): readonly ExpiredItem<T>[]
-  /** Removes an item whose caller went away. */
+  /** Removes a waiting item, for example when its caller disconnected; false when it is not waiting. */
   remove (id: string): boolean
   /**
-   * Tells that a popped item ended.
-   * @param item - the item
-   * @param usedTokens - tokens it used in fact
+   * Records the end of a popped item.
+   * @param usedTokens - tokens actually used
    * @param ranMs - milliseconds since it was popped
    */
   done (item: QueueItem<T>, usedTokens: number, ranMs: number): void
--- a/packages/decisions/src/routing/rendezvous.ts
+++ b/packages/decisions/src/routing/rendezvous.ts
@@ -1,18 +1,15 @@
 /**
  * Rendezvous (highest random weight) hashing on 32-bit hashes. Every VM computes the same order
- * from the same names; adding or removing one name moves only the keys that it wins or held.
+ * from the same names; adding or removing a name moves only the keys assigned to it.
  */
 
-/** Number of values of a hash and of a weight. */
+/** Number of distinct hashes and weights. */
 export const HASH_RANGE = 2 ** 32
 
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
-/**
- * 32-bit FNV-1a hash of a name, finished by a mixer.
- * @param text - the name
- */
+/** 32-bit FNV-1a hash of a name, finalized by {@link mix}. */
 export function hashName (text: string): number {
   let hash = FNV_OFFSET
   for (let i = 0; i < text.length; i++) {
--- a/packages/decisions/src/routing/retryBudget.spec.ts
+++ b/packages/decisions/src/routing/retryBudget.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Retries: each reason not to, the wait, and a fault that fails everything.
+ * Reasons not to retry, retry delays, and the load when every request fails.
  */
 import { expect } from 'chai'
 import { RetryBudget, type FailedAttempt, type RetryDecider, type RetryDecision } from './retryBudget.js'
@@ -7,7 +7,7 @@
 
 const failed = (over: Partial<FailedAttempt> = {}): FailedAttempt => ({ attempts: 1, repeatable: true, deadline: at(10_000), needMs: 1_000, ...over })
 
-/** Weaker: retries whatever may be repeated. */
+/** Faulty: retries everything up to the attempt limit. */
 class RetryAlways implements RetryDecider {
   attempted (): void {}
   decide (attempt: FailedAttempt): RetryDecision {
@@ -15,7 +15,7 @@
   }
 }
 
-/** Attempts that reach the runners when every one of 1,000 requests in 10 seconds fails. */
+/** Number of attempts that reach the runners when all of 1,000 requests in 10 seconds fail. */
 function storm (decider: RetryDecider): number {
   let sent = 0
   for (let i = 0; i < 1_000; i++) {
@@ -30,11 +30,11 @@
 
 describe('RetryBudget', () => {
   const cases: readonly { readonly name: string, readonly attempt: FailedAttempt, readonly reason: string }[] = [
-    { name: 'may not be repeated', attempt: failed({ repeatable: false }), reason: 'notRepeatable' },
-    { name: 'was tried often enough', attempt: failed({ attempts: 3 }), reason: 'attemptsSpent' },
-    { name: 'would end after its deadline', attempt: failed({ needMs: 9_990 }), reason: 'deadline' },
-    { name: 'is asked to wait past its deadline', attempt: failed({ retryAfterMs: 9_500 }), reason: 'deadline' },
-    { name: 'fits', attempt: failed(), reason: 'retry' }
+    { name: 'is not repeatable', attempt: failed({ repeatable: false }), reason: 'notRepeatable' },
+    { name: 'has reached the attempt limit', attempt: failed({ attempts: 3 }), reason: 'attemptsSpent' },
+    { name: 'would complete after its deadline', attempt: failed({ needMs: 9_990 }), reason: 'deadline' },
+    { name: 'would have to wait past its deadline', attempt: failed({ retryAfterMs: 9_500 }), reason: 'deadline' },
+    { name: 'meets its deadline', attempt: failed(), reason: 'retry' }
   ]
   for (const { name, attempt, reason } of cases) {
     it(`a request that ${name}: ${reason}`, () => {
@@ -44,14 +44,14 @@
   }
 
   for (const { attempts, draw, delayMs } of [{ attempts: 1, draw: 0, delayMs: 25 }, { attempts: 1, draw: 1, delayMs: 50 }, { attempts: 2, draw: 0, delayMs: 50 }]) {
-    it(`attempt ${attempts} with jitter ${draw} waits ${delayMs} ms, on top of what was asked for`, () => {
+    it(`attempt ${attempts} with jitter ${draw} waits ${delayMs} ms, in addition to a requested delay`, () => {
       const decide = (over: Partial<FailedAttempt>): RetryDecision => new RetryBudget().decide(failed({ attempts, ...over }), at(0), () => draw)
       expect(decide({})).to.deep.equal({ retry: true, delayMs })
       expect(decide({ retryAfterMs: 300 })).to.deep.equal({ retry: true, delayMs: 300 + delayMs })
     })
   }
 
-  it('adds at most a tenth and the time\'s share when all fails; retrying always triples the load', () => {
+  it('limits the additional load when every request fails; retrying always triples the load', () => {
     expect(storm(new RetryBudget())).to.be.within(1_100, 1_121)
     expect(storm(new RetryAlways())).to.equal(3_000)
   })
--- a/packages/decisions/src/routing/retryBudget.ts
+++ b/packages/decisions/src/routing/retryBudget.ts
@@ -1,67 +1,60 @@
 /**
- * Whether and when a failed attempt is tried again. Retries are allowed as a share of requests,
- * so that a fault which fails everything is not answered by multiplying the load. Only work that
- * may be repeated is retried, and only if the wait and the attempt end before the deadline.
+ * Decides whether and when a failed attempt is retried. Retries are limited to a share of the
+ * requests, so that they do not multiply the load when every request fails. Only repeatable
+ * requests are retried, and only if the delay and the attempt fit before the deadline.
  */
 import type { Instant } from '../clock/clockTypes.js'
 
-/** Limits of retries. */
 export interface RetryPolicy {
-  /** Retries earned by each first attempt. */
+  /** Retries credited per first attempt. */
   readonly share: number
-  /** Retries earned each second regardless, so that a quiet VM can retry at all. */
+  /** Retries credited per second, so that a VM with little traffic can retry at all. */
   readonly perSecond: number
-  /** Retries that can be saved up. */
+  /** Maximum retry credit. */
   readonly burst: number
-  /** Attempts of one request, the first one included. */
+  /** Maximum attempts per request, including the first. */
   readonly attempts: number
-  /** First and longest wait before a retry, in milliseconds; doubled each time, then jittered. */
+  /** Initial and maximum backoff in milliseconds; doubled per retry, then jittered. */
   readonly baseMs: number
   readonly maxMs: number
 }
 
-/** Used unless given otherwise. */
 export const defaultRetryPolicy: RetryPolicy = { share: 0.1, perSecond: 1, burst: 10, attempts: 3, baseMs: 50, maxMs: 2_000 }
 
-/** A failed attempt. */
 export interface FailedAttempt {
   /** Attempts made so far, at least 1. */
   readonly attempts: number
-  /** Whether running it again does no harm: it may be repeated, or it surely was not run. */
+  /** Whether another attempt is safe: the request is idempotent, or it certainly did not run. */
   readonly repeatable: boolean
   readonly deadline: Instant
-  /** Predicted milliseconds that another attempt takes. */
+  /** Predicted duration of another attempt. */
   readonly needMs: number
-  /** Wait asked for by whoever refused, in milliseconds. */
+  /** Delay requested by whoever refused the attempt. */
   readonly retryAfterMs?: number
 }
 
-/** What to do with a failed attempt. */
 export type RetryDecision =
   | { readonly retry: true, readonly delayMs: number }
   | { readonly retry: false, readonly reason: 'notRepeatable' | 'attemptsSpent' | 'deadline' | 'budgetSpent' }
 
-/** Decides retries; draws on one budget for all requests of a VM. */
+/** Decides on retries from one budget for all requests of a VM. */
 export interface RetryDecider {
-  /** Counts a first attempt. */
   attempted (now: Instant): void
   /**
-   * Decides on a failed attempt; a granted retry is taken from the budget.
-   * @param attempt - what failed
-   * @param now - both clocks
-   * @param random - a number in [0, 1) for each call
+   * Decides on a failed attempt; an allowed retry is charged to the budget.
+   * @param random - returns a number in [0, 1)
    */
   decide (attempt: FailedAttempt, now: Instant, random: () => number): RetryDecision
 }
 
-/** Token bucket filled by requests and by time. */
+/** Token bucket that is refilled by first attempts and by time. */
 export class RetryBudget implements RetryDecider {
   private tokens: number
   private filledAt: number | undefined
   private readonly policyNow: () => RetryPolicy
 
   /**
-   * @param policy - the limits, or what tells them where they change with the number of VMs
+   * @param policy - the limits, or a function that returns them where they change with the number of VMs
    */
   constructor (policy: RetryPolicy | (() => RetryPolicy) = defaultRetryPolicy) {
     this.policyNow = typeof policy === 'function' ? policy : () => policy
@@ -88,7 +81,7 @@
     return { retry: true, delayMs }
   }
 
-  /** Exponential backoff of which the upper half is random, never less than was asked for. */
+  /** Exponential backoff with equal jitter, on top of the requested delay. */
   private delayMs (attempt: FailedAttempt, random: () => number): number {
     const ceiling = Math.min(this.policy.maxMs, this.policy.baseMs * 2 ** (attempt.attempts - 1))
     const backoff = ceiling * (0.5 + 0.5 * random())
--- a/packages/decisions/src/routing/routeRefusal.ts
+++ b/packages/decisions/src/routing/routeRefusal.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals of the router, each with the time after which it would likely decide otherwise.
+ * Refusals of the router, each with the delay after which a retry is likely to be accepted.
  */
 import { Failure, type FailureExtras } from '../codes/failure.js'
 import type { ResultName } from '../codes/resultCodes.js'
@@ -7,40 +7,36 @@
 import type { Judgement } from './runnerState.js'
 import type { RouteDecision, RouteRequest, RunnerView } from './routingTypes.js'
 
-/** Shortest time to come back, in milliseconds. */
 const RETRY_LEAST_MS = 250
 
-/** Time to come back when no runner is there, about as long as an ejection or a restart takes. */
+/** Retry delay when no runner is available: about the duration of an ejection or a restart. */
 const RETRY_NO_RUNNER_MS = 5_000
 
-/** Time to come back when even an idle runner is too slow for the request as it stands. */
+/** Retry delay when even an idle runner is too slow for the request. */
 const RETRY_NEVER_FITS_MS = 60_000
 
 /**
- * No runner may be used.
- * @param req - the request
- * @param lookIn - for keyed requests, where an earlier run would be
+ * Refuses because no runner is available.
+ * @param lookupRunners - for keyed requests, the runners where an earlier run may be found
  */
 export function refuseNoRunner (req: RouteRequest, lookIn: readonly RunnerView[]): RouteDecision {
-  return refusal(req, 'noRunner', `no runner of ${req.model} may be used now`, RETRY_NO_RUNNER_MS, [], lookIn)
+  return refusal(req, 'noRunner', `no runner is available for model ${req.model}`, RETRY_NO_RUNNER_MS, [], lookIn)
 }
 
 /**
- * No runner that is quick enough has room.
- * @param req - the request
+ * Refuses because every runner that is fast enough is at capacity.
  * @param fleet - measured speed of all runners
- * @param judged - the runners looked at
- * @param lookIn - for keyed requests, where an earlier run would be
+ * @param lookupRunners - for keyed requests, the runners where an earlier run may be found
  */
 export function refuseFull (req: RouteRequest, fleet: LatencyModel, judged: readonly Judgement[], lookIn: readonly RunnerView[]): RouteDecision {
   const slots = judged.reduce((sum, item) => sum + item.state.view.slots, 0)
   const excess = judged.reduce((sum, item) => sum + Math.max(1, item.load + 1 - item.state.view.slots), 0)
   const work = { uncachedTokens: req.promptTokens, answerTokens: req.maxTokens, load: 0, slots: 1 }
   const retryMs = predict(fleet, fleet, work, false).slotMs * excess / slots
-  return refusal(req, 'overloaded', 'all runners that are quick enough are full', retryMs, judged, lookIn)
+  return refusal(req, 'overloaded', 'every runner that is fast enough is at capacity', retryMs, judged, lookIn)
 }
 
-/** Cautious predictions for the quickest runner and the time left, in milliseconds. */
+/** Cautious predictions for the fastest runner, at its current load and when idle, and the time left. */
 export interface TooLate {
   readonly presentMs: number
   readonly idleMs: number
@@ -48,11 +44,8 @@
 }
 
 /**
- * None is quick enough, with room or without.
- * @param req - the request
- * @param times - predictions and time left
- * @param judged - the runners looked at
- * @param lookIn - for keyed requests, where an earlier run would be
+ * Refuses because no runner is fast enough, whether at capacity or not.
+ * @param lookupRunners - for keyed requests, the runners where an earlier run may be found
  */
 export function refuseLate (req: RouteRequest, times: TooLate, judged: readonly Judgement[], lookIn: readonly RunnerView[]): RouteDecision {
   const { presentMs, idleMs, remainingMs } = times
--- a/packages/decisions/src/routing/routing.fixture.ts
+++ b/packages/decisions/src/routing/routing.fixture.ts
@@ -1,6 +1,6 @@
 /**
- * Shared parts of the routing specs: instants, runners, requests, a seeded random source and the
- * weaker routers that the fault tables are tried against.
+ * Helpers of the routing specs: instants, runners, requests, a seeded random source and a
+ * configurable faulty router.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { RunnerRouter } from './runnerRouter.js'
@@ -19,7 +19,7 @@
   return { ...base, prefixHashes: [], deadline: at(10_000_000), exclude: [], ...over }
 }
 
-/** Mulberry32, so that every run draws the same numbers. */
+/** Mulberry32 generator, so that every run gets the same random numbers. */
 export function seeded (seed: number): () => number {
   let state = seed
   return () => {
@@ -36,7 +36,7 @@
   return router
 }
 
-/** Sees what the product sees and uses one figure of it: the runner with the lowest score. */
+/** Faulty router: observes the same events as {@link RunnerRouter} but always chooses the runner with the lowest score. */
 export class LowestScore implements RouteDecider {
   readonly counts = new Map<string, number>()
   readonly reports = new Map<string, number>()
@@ -66,19 +66,19 @@
   }
 }
 
-/** The runner of a decision, or the code of a refusal. */
+/** Runner id of a routed decision, or the code of a refusal. */
 export function outcome (decision: RouteDecision): string {
   return decision.kind === 'routed' ? decision.choice.runner : decision.failure.code
 }
 
-/** Routes and tells the dispatch. */
+/** Routes a request and reports its dispatch. */
 export function dispatch (router: RouteDecider, req: RouteRequest, ms: number, random: () => number): string {
   const name = outcome(router.route(req, at(ms), random))
   router.observe({ kind: 'dispatched', runner: name, requestId: req.requestId, tokens: req.promptTokens + req.maxTokens }, at(ms))
   return name
 }
 
-/** Routes a request and ends it at once with the given times. */
+/** Routes a request and reports its end at once, with the given times. */
 export function serve (router: RouteDecider, req: RouteRequest, ms: number, random: () => number, times: (runner: string) => { firstMs: number, totalMs: number, ok?: boolean }): string {
   const runner = dispatch(router, req, ms, random)
   const { firstMs, totalMs, ok = true } = times(runner)
--- a/packages/decisions/src/routing/routingTypes.ts
+++ b/packages/decisions/src/routing/routingTypes.ts
@@ -1,43 +1,42 @@
 /**
- * Routing as the decider sees it: runners with what is known of them and how old it is; one
- * decision for one request.
+ * Types of routing: runners, requests, decisions, and the events from which the router learns the
+ * state of the runners.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { Failure } from '../codes/failure.js'
 
-/** What is known of one runner. */
+/** Configuration of one runner. */
 export interface RunnerView {
   readonly runner: string
   readonly address: string
   readonly domain: string
   readonly slots: number
-  /** What the configuration says: true takes it out of use, false brings it back, absent leaves it as it is. */
+  /** True takes the runner out of use, false returns it to use, absent leaves it unchanged. */
   readonly leaving?: boolean
-  /** Wall milliseconds when the configuration first named it; recent ones come last in the order of keyed requests. */
+  /** Wall time in milliseconds when it was first configured; recent runners come last in the order of keyed requests. */
   readonly addedAt?: number
 }
 
 /**
- * How one VM stands to a runner: `leaving` gets no new work, `ejected` gets none but a probe, `notLoaded` says itself
+ * State of a runner as one VM sees it: `leaving` gets no new work, `ejected` gets none but a probe, `notLoaded` reports
  * that it has loaded none of its models.
  */
 export interface RunnerStanding {
   readonly runner: string
   readonly state: 'active' | 'leaving' | 'ejected' | 'notLoaded'
   readonly reason: string
-  /** Requests of this VM there. */
+  /** Requests of this VM at the runner. */
   readonly inFlight: number
-  /** Milliseconds since its last load report held; absent before the first, and for runners that this VM does not ask. */
+  /** Age of its last load report; absent before the first, and for runners that this VM does not poll. */
   readonly reportAgeMs?: number
 }
 
-/** A request to be routed. */
 export interface RouteRequest {
   readonly requestId: string
   readonly team: string
   readonly model: string
   readonly adapter?: string
-  /** Whether the caller gave a key: then repeats at other VMs must find the same runner. */
+  /** Whether the caller sent an idempotency key, so that repeats at other VMs must find the same runner. */
   readonly keyed: boolean
   readonly promptTokens: number
   readonly maxTokens: number
@@ -48,7 +47,7 @@
   readonly exclude: readonly string[]
 }
 
-/** A decision. `before` are runners that a repeat at another VM might choose; they must be sealed first. */
+/** `runnersToSeal` are runners that a repeat at another VM might choose; they must be sealed before dispatch. */
 export type RouteDecision =
   | {
     readonly kind: 'routed'
@@ -63,16 +62,17 @@
     readonly candidates: readonly string[]
     readonly reason: string
     /**
-     * Set for keyed requests, whose failure says `ran: unknown`: where an earlier run of the id would be, in this order.
-     * The first of them without a record of the id proves that it was not run.
+     * Set for keyed requests, whose failure says `ran: unknown`: the runners where an earlier run of the id may be found,
+     * in this order. The first of them without a record of the id proves that it did not run.
      */
     readonly lookIn?: readonly RunnerView[]
   }
 
 /**
- * What the router is told of runners. `dispatched.tokens` is the worst case of prompt and answer, `ended.tokens` the
- * tokens generated; `ended.ok` is false only for a failure of the runner, not when the caller went away. The mark of
- * `leaving` with source `runner` (it answered so) is lifted by its own later report; any other only by `configured`.
+ * Events from which the router learns the state of runners. `dispatched.tokens` is the upper bound of prompt and answer,
+ * `ended.tokens` the tokens generated; `ended.ok` is false only for a failure of the runner, not when the caller
+ * disconnected. A `leaving` mark with source `runner` (from its response) is cleared by a later report of that runner,
+ * any other only by `configured`.
  */
 export type RouteEvent =
   | { readonly kind: 'configured', readonly model: string, readonly runners: readonly RunnerView[] }
@@ -84,16 +84,14 @@
   | { readonly kind: 'leaving', readonly runner: string, readonly source?: 'config' | 'runner' }
 
 /**
- * Chooses runners. `dispatched` must be told after a routed decision before the next `route`, or the next one does
- * not see it and all that wait go to the same runner.
+ * Chooses runners. `dispatched` must be reported after a routed decision and before the next `route`, or all waiting
+ * requests go to the same runner.
  */
 export interface RouteDecider {
   observe (event: RouteEvent, now: Instant): void
   /**
-   * Decides where a request goes.
-   * @param req - the request
-   * @param now - both clocks
-   * @param random - a number in [0, 1) for each call, seeded in tests
+   * Chooses a runner for a request.
+   * @param random - returns a number in [0, 1); seeded in tests
    */
   route (req: RouteRequest, now: Instant, random: () => number): RouteDecision
   inFlight (runner: string): number
--- a/packages/decisions/src/routing/runnerLoad.ts
+++ b/packages/decisions/src/routing/runnerLoad.ts
@@ -1,38 +1,38 @@
 /**
- * Load of one runner as one VM can know it: its own requests in flight, exactly, and everyone
- * else's from the runner's report. A report describes the past: what the VM itself had in flight
- * at that time is subtracted, so own dispatches since then count once and old ones not twice.
- * What the report says of the others loses weight with age in favour of the mean of the fleet.
+ * Load of one runner as estimated by one VM: its own requests in flight, which it knows exactly, plus
+ * those of other VMs from the runner's last report. The requests that the VM had in flight at report
+ * time are subtracted from the report, so that none counts twice. The reported remote load loses
+ * weight with age in favour of the mean of the fleet.
  */
 
-/** Age up to which a report has full weight, in milliseconds. */
+/** Age up to which a report has full weight. */
 const FRESH_MS = 1_000
 
-/** Time constant by which an older report loses weight, in milliseconds. */
+/** Time constant of the exponential decay of an older report. */
 const STALE_TAU_MS = 4_000
 
 /**
- * Weight of a report that tells of fewer requests of others than believed. Every VM sees a freed
- * slot at about the same time; believing it only in part keeps them from all filling it.
+ * Weight of a report with less remote load than estimated. All VMs see a freed slot at about the
+ * same time; following it only in part keeps them from all filling it.
  */
 const FREED_GAIN = 0.25
 
-/** Changes of the own count that are remembered, to look up its value at the time of a report. */
+/** Changes of the local count that are stored, to look up its value at report time. */
 const HISTORY = 64
 
-/** Milliseconds after which a request whose end was never told no longer counts. */
+/** Age after which a request without an `ended` event no longer counts. */
 const FORGET_MS = 3_600_000
 
-/** One own request in flight at the runner. */
+/** A request of this VM in flight at the runner. */
 export interface OpenRequest {
   readonly atMono: number
-  /** Worst case of prompt and answer together. */
+  /** Upper bound of prompt and answer together. */
   readonly tokens: number
-  /** Upper bound of generated tokens, 0 when not known. */
+  /** Upper bound of generated tokens, 0 when unknown. */
   readonly maxTokens: number
-  /** Prompt tokens that the runner had to compute, by the router's belief. */
+  /** Estimated prompt tokens that the runner has to compute. */
   readonly uncachedTokens: number
-  /** Whether the runner had a free slot by the router's belief. */
+  /** Whether the runner was estimated to have a free slot at dispatch. */
   readonly unqueued: boolean
   firstTokenMs?: number
 }
@@ -42,7 +42,7 @@
   readonly count: number
 }
 
-/** Load of one runner. Times are monotonic milliseconds. */
+/** Times are monotonic milliseconds. */
 export class RunnerLoad {
   private readonly open = new Map<string, OpenRequest>()
   private readonly awaiting = new Map<string, number>()
@@ -57,20 +57,17 @@
     return this.open.size
   }
 
-  /** Worst case of tokens in flight from this VM. */
+  /** Upper bound of tokens in flight from this VM. */
   get tokens (): number {
     return this.tokenSum
   }
 
-  /** What the last report said of all, and the own requests at that time; undefined before the first report. */
+  /** Total load in the last report and the local load at that time; undefined before the first report. */
   get lastReport (): { readonly total: number, readonly own: number } | undefined {
     return this.reportAt === -Infinity ? undefined : { total: this.totalAtReport, own: this.ownAtReport }
   }
 
-  /**
-   * Milliseconds since what the last report tells held; undefined before the first report.
-   * @param mono - present time
-   */
+  /** Age of the last report; undefined before the first. */
   reportAgeMs (mono: number): number | undefined {
     return this.reportAt === -Infinity ? undefined : Math.max(0, mono - this.reportAt)
   }
@@ -101,10 +98,10 @@
   }
 
   /**
-   * Takes a report; one older than the last is ignored.
+   * Applies a report, unless it is older than the last one.
    * @param total - requests running and waiting at the runner
-   * @param at - when that held
-   * @returns requests of others then, or undefined when ignored
+   * @param at - time to which the report refers
+   * @returns estimated load from other VMs, or undefined when the report is ignored
    */
   reported (total: number, at: number): number | undefined {
     if (at <= this.reportAt) return undefined
@@ -118,9 +115,9 @@
   }
 
   /**
-   * Requests at the runner now, own and others'.
-   * @param mono - present time
-   * @param prior - what others are assumed to have there when nothing is known
+   * Estimated requests at the runner now, from all VMs.
+   * @param mono - current time
+   * @param defaultRemote - load from other VMs assumed without a recent report
    */
   estimate (mono: number, prior: number): number {
     this.forget(mono)
@@ -128,27 +125,18 @@
     return this.open.size + weight * this.othersAtReport + (1 - weight) * prior
   }
 
-  /**
-   * How long the longest-waiting own request has been without its first token.
-   * @param mono - present time
-   */
+  /** How long the oldest local request without a first token has been waiting for it. */
   oldestWaitMs (mono: number): number {
     const oldest = this.awaiting.values().next()
     return oldest.done === true ? 0 : Math.max(0, mono - oldest.value)
   }
 
-  /**
-   * Requests at the runner that are sure enough to call it full: own ones, and others' as far as the report is fresh.
-   * @param mono - present time
-   */
+  /** Load certain enough to call the runner full: local requests, and reported remote ones weighted by freshness. */
   known (mono: number): number {
     return this.open.size + this.reportWeight(mono) * this.othersAtReport
   }
 
-  /**
-   * Whether the last report is recent enough to tell that a slot is free.
-   * @param mono - present time
-   */
+  /** Whether the last report is recent enough to conclude that a slot is free. */
   isFresh (mono: number): boolean {
     return mono - this.reportAt <= FRESH_MS + STALE_TAU_MS / 2
   }
--- a/packages/decisions/src/routing/runnerRouter.spec.ts
+++ b/packages/decisions/src/routing/runnerRouter.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Runner choice under each fault, the product beside a weaker router that breaks the promise.
+ * Runner choice under faults, compared with faulty routers that violate the same expectation.
  */
 import { expect } from 'chai'
 import { at, dispatch, LowestScore, MODEL, outcome, productRouter, request, runners, seeded, serve, shareOf } from './routing.fixture.js'
@@ -10,7 +10,7 @@
   readonly fault: string
   readonly weaker: string
   readonly weak: () => RouteDecider
-  /** Plays the fault; answers whether the promise held. */
+  /** Simulates the fault; returns whether the expectation holds. */
   readonly holds: (router: RouteDecider) => boolean
 }
 
@@ -67,16 +67,16 @@
 const views = runners(4)
 
 const faults: readonly FaultCase[] = [
-  { fault: 'a stale report says idle', weaker: 'the raw report', weak: () => new LowestScore(views, (weak, name) => weak.reports.get(name) ?? 0), holds: staleReports },
-  { fault: 'one runner is slow', weaker: 'least in flight', weak: () => new LowestScore(views, count), holds: slowRunner },
-  { fault: 'one runner fails quickly', weaker: 'least in flight', weak: () => new LowestScore(views, count), holds: failingRunner },
-  { fault: 'one runner falls silent', weaker: 'round robin', weak: () => new LowestScore(views, (weak, name, req) => (Number(name.slice(1)) - Number(req.requestId.slice(1)) + 400) % 4), holds: silentRunner },
-  { fault: 'an eviction is lost', weaker: 'prefix holder always', weak: () => new LowestScore(views, (weak, name, req) => weak.holders.get(req.prefixHashes[0] ?? '') === name ? -1 : weak.inFlight(name)), holds: lostEvictions }
+  { fault: 'a stale report shows an idle runner', weaker: 'a router that uses raw reports', weak: () => new LowestScore(views, (weak, name) => weak.reports.get(name) ?? 0), holds: staleReports },
+  { fault: 'one runner is slow', weaker: 'a least-in-flight router', weak: () => new LowestScore(views, count), holds: slowRunner },
+  { fault: 'one runner fails quickly', weaker: 'a least-in-flight router', weak: () => new LowestScore(views, count), holds: failingRunner },
+  { fault: 'one runner becomes unresponsive', weaker: 'a round-robin router', weak: () => new LowestScore(views, (weak, name, req) => (Number(name.slice(1)) - Number(req.requestId.slice(1)) + 400) % 4), holds: silentRunner },
+  { fault: 'an eviction event is lost', weaker: 'a router that always prefers the prefix holder', weak: () => new LowestScore(views, (weak, name, req) => weak.holders.get(req.prefixHashes[0] ?? '') === name ? -1 : weak.inFlight(name)), holds: lostEvictions }
 ]
 
 describe('RunnerRouter under faults', () => {
   for (const { fault, weaker, weak, holds } of faults) {
-    it(`${fault}: keeps its promise, ${weaker} does not`, () => {
+    it(`${fault}: limits the requests to that runner, ${weaker} does not`, () => {
       expect(holds(productRouter(views))).to.equal(true)
       expect(holds(weak())).to.equal(false)
     })
@@ -85,8 +85,8 @@
 
 describe('RunnerRouter and loaded models', () => {
   const cases = [
-    { name: 'passes over a runner that says it has not loaded the model', lacking: ['r0', 'r1'], allowed: ['r2', 'r3'] },
-    { name: 'uses any when all say so, since reports lag', lacking: ['r0', 'r1', 'r2', 'r3'], allowed: ['r0', 'r1', 'r2', 'r3'] }
+    { name: 'skips a runner that reports the model as not loaded', lacking: ['r0', 'r1'], allowed: ['r2', 'r3'] },
+    { name: 'uses any runner when all report it as not loaded, because reports lag', lacking: ['r0', 'r1', 'r2', 'r3'], allowed: ['r0', 'r1', 'r2', 'r3'] }
   ]
   for (const { name, lacking, allowed } of cases) {
     for (const keyed of [false, true]) {
@@ -112,16 +112,16 @@
   const healthyState = { state: 'active', reason: 'healthy' }
   const ejected = { state: 'ejected', reason: 'consecutive failures' }
   const cases: ReadonlyArray<{ readonly name: string, readonly events: readonly RouteEvent[], readonly then?: RouteEvent, readonly state: object }> = [
-    { name: 'a runner just configured', events: [], state: healthyState },
+    { name: 'configuration', events: [], state: healthyState },
     { name: 'two failures', events: failures(2), state: healthyState },
-    { name: 'three failures, though the ejection has run out', events: failures(3), state: ejected },
-    { name: 'the answer to a probe', events: failures(3), then: probe, state: healthyState },
+    { name: 'three failures, although the ejection has ended', events: failures(3), state: ejected },
+    { name: 'a response to a probe', events: failures(3), then: probe, state: healthyState },
     { name: 'a failed probe', events: failures(3), then: failures(1)[0] as RouteEvent, state: { state: 'ejected', reason: 'probe failed' } },
     { name: 'a report without its model', events: [loaded('other')], state: { state: 'notLoaded', reason: `not loaded: ${MODEL}` } },
     { name: 'a report with its model', events: [loaded()], then: { ...loaded(MODEL), reportAgeMs: -1 } as RouteEvent, state: healthyState },
-    { name: 'a report of leaving, ejected too', events: [...failures(3), report('r0', 0, 0, true)], state: { state: 'leaving', reason: 'the runner says so' } },
-    { name: 'leaving by configuration', events: [configured(true)], state: { state: 'leaving', reason: 'the configuration says so' } },
-    { name: 'brought back by configuration', events: [configured(true)], then: configured(false), state: healthyState }
+    { name: 'a report of leaving while ejected', events: [...failures(3), report('r0', 0, 0, true)], state: { state: 'leaving', reason: 'reported by the runner' } },
+    { name: 'leaving by configuration', events: [configured(true)], state: { state: 'leaving', reason: 'marked as leaving in the configuration' } },
+    { name: 'return to use by configuration', events: [configured(true)], then: configured(false), state: healthyState }
   ]
   for (const { name, events, then, state } of cases) {
     it(`after ${name}`, () => {
@@ -133,7 +133,7 @@
     })
   }
 
-  it('tell the own requests and the age of the report, and nothing of a report that never came', () => {
+  it('include the local requests and the report age, which is absent without a report', () => {
     const router = productRouter(runners(2))
     router.observe(report('r0', 3, 200), at(1_000))
     router.observe({ kind: 'dispatched', runner: 'r0', requestId: 'q', tokens: 10 }, at(1_100))
@@ -148,14 +148,14 @@
   const cases: readonly { readonly source: string, readonly event: RouteEvent, readonly weakSees: boolean }[] = [
     { source: 'the configuration', event: { kind: 'configured', model: MODEL, runners: views.map(view => ({ ...view, leaving: view.runner === 'r0' })) }, weakSees: false },
     { source: 'a mark', event: { kind: 'leaving', runner: 'r0', source: 'config' }, weakSees: true },
-    { source: 'its own answer', event: { kind: 'leaving', runner: 'r0', source: 'runner' }, weakSees: false },
+    { source: 'its response', event: { kind: 'leaving', runner: 'r0', source: 'runner' }, weakSees: false },
     { source: 'its load report', event: report('r0', 0, 0, true), weakSees: false }
   ]
   const got = (router: RouteDecider): boolean =>
     play(50, (i, random) => serve(router, request({ requestId: `q${i}` }), 1_000 + i, random, () => healthy)).includes('r0')
 
   for (const { source, event, weakSees } of cases) {
-    it(`sends nothing after ${source} says so; a router that reads one source ${weakSees ? 'neither' : 'does'}`, () => {
+    it(`sends nothing after ${source} marks it as leaving; a router that reads only marks sends ${weakSees ? 'nothing either' : 'requests'}`, () => {
       for (const [router, expected] of [[productRouter(views), false], [new LowestScore(views, () => 0), !weakSees]] as const) {
         router.observe(event, at(900))
         expect(got(router)).to.equal(expected)
@@ -163,7 +163,7 @@
     })
   }
 
-  it('lifts a runner\'s own mark by its later report only, and never the configuration\'s', () => {
+  it('clears the mark from a runner by its later report only, and never the mark from the configuration', () => {
     const router = productRouter(views.slice(0, 1))
     const now = (): string => outcome(router.route(request(), at(5_000), () => 0))
     router.observe({ kind: 'leaving', runner: 'r0', source: 'runner' }, at(1_000))
@@ -188,7 +188,7 @@
   }
 
   for (const { out, usable } of [{ out: 1, usable: 5 }, { out: 2, usable: 4 }, { out: 4, usable: 4 }, { out: 6, usable: 4 }]) {
-    it(`${out} of 6 ejected leave ${usable} in use`, () => {
+    it(`${out} of 6 runners ejected: ${usable} stay in use`, () => {
       const six = runners(6)
       const router = productRouter(six)
       failAll(router, six.slice(0, out).map(view => view.runner), 1_000)
@@ -203,7 +203,7 @@
     expect(outcome(router.route(request(), at(1_100), () => 0))).to.equal('r0')
   })
 
-  it('lets an ejected runner back by one probe, then by a growing share', () => {
+  it('sends an ejected runner nothing, then a single probe after the ejection', () => {
     const router = productRouter(runners(4))
     failAll(router, ['r0'], 1_000)
     const tries = (ms: number, prefix: string): number =>
@@ -215,7 +215,7 @@
 })
 
 describe('RunnerRouter ties', () => {
-  it('idle and equal runners get even parts, so that VMs do not meet on the same one', () => {
+  it('equal idle runners get fair shares, so that VMs do not converge on the same one', () => {
     const names = play(4_000, (i, random) => serve(productRouter(views), request({ requestId: `q${i}` }), 1_000, random, () => healthy))
     for (const { runner } of views) expect(shareOf(names, runner)).to.be.within(0.22, 0.28)
   })
@@ -230,11 +230,11 @@
   const cases = [
     { name: 'no runner', prepare: () => {}, req: { model: 'other' }, code: 'noRunner', least: 250 },
     { name: 'all excluded', prepare: () => {}, req: { exclude: views.map(view => view.runner) }, code: 'noRunner', least: 250 },
-    { name: 'all full', prepare: full, req: {}, code: 'overloaded', least: 250 },
+    { name: 'all runners at capacity', prepare: full, req: {}, code: 'overloaded', least: 250 },
     { name: 'deadline out of reach even when idle', prepare: slowly, req: { deadline: at(3_000) }, code: 'deadlineOutOfReach', least: 60_000 }
   ]
   for (const { name, prepare, req, code, least } of cases) {
-    it(`${name}: ${code}, not run, with a time to come back`, () => {
+    it(`${name}: ${code}, not run, with a retry delay`, () => {
       const router = productRouter(views)
       prepare(router)
       const decision = router.route(request(req), at(2_000), seeded(1))
@@ -244,13 +244,13 @@
     })
   }
 
-  it('does not refuse by figures that are long out of date, so that bad ones are replaced', () => {
+  it('does not refuse by outdated measurements, so that new requests can replace them', () => {
     const router = productRouter(views)
     slowly(router)
     expect(outcome(router.route(request({ deadline: at(21_000) }), at(20_000), seeded(1)))).to.match(/^r\d$/)
   })
 
-  it('a router without the check takes a request that must come late', () => {
+  it('a router without the check accepts a request that must miss its deadline', () => {
     const weak = new LowestScore(views, count)
     slowly(weak)
     expect(outcome(weak.route(request({ deadline: at(3_000) })))).to.match(/^r\d$/)
@@ -259,7 +259,7 @@
 
 describe('subset of runners', () => {
   for (const { total, size } of [{ total: 12, size: 12 }, { total: 32, size: 32 }, { total: 600, size: 32 }]) {
-    it(`${total} runners: watches ${size}, over at least two domains, and every runner is watched by some VM`, () => {
+    it(`${total} runners: each VM watches ${size} in at least two domains, and every runner is watched by some VM`, () => {
       const all = runners(total)
       const seen = new Set<string>()
       for (let vm = 0; vm < 360; vm++) {
--- a/packages/decisions/src/routing/runnerRouter.ts
+++ b/packages/decisions/src/routing/runnerRouter.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses a runner for each request. Plain requests: the better of two random candidates and the
- * one believed to hold the prompt's prefix, by predicted time, provided it has room and the
- * cautious prediction meets the deadline; all candidates are looked at before a refusal. Keyed
- * requests: the first in the common order that will do.
+ * Chooses a runner for each request. An unkeyed request goes to the eligible runner with the lowest
+ * predicted cost among two random candidates and those believed to cache part of its prompt; all
+ * candidates are evaluated before a refusal. A keyed request goes to the first eligible runner in
+ * the order that all VMs share.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { boundEjections } from './ejectionBound.js'
@@ -14,32 +14,30 @@
 import { ENGINE_QUEUE_SHARE, type Demand, type Judgement, type RunnerState } from './runnerState.js'
 import type { RouteDecider, RouteDecision, RouteEvent, RouteRequest, RunnerStanding, RunnerView } from './routingTypes.js'
 
-/** Times the mean load at which a keyed request goes past a runner. */
+/** A keyed request skips a runner whose load exceeds this multiple of the mean. */
 const KEYED_LOAD_FACTOR = 1.25
 
-/** Share of busy slots below which a runner is never past the bound. */
+/** A runner below this share of busy slots is never skipped. */
 const KEYED_FREE_SHARE = 0.75
 
-/** Share of busy slots up to which a first token surely did not wait for a slot, reports lagging as they do. */
+/** Share of busy slots up to which a first token certainly did not wait for a slot, although reports lag. */
 const UNQUEUED_SHARE = 0.75
 
-/** One request on its way through a decision. */
 interface RouteCase {
   readonly req: RouteRequest
   readonly now: Instant
   readonly usable: readonly RunnerState[]
   readonly demand: Demand
-  /** Requests for each slot, own and others', over the usable runners. */
+  /** Requests of all VMs per slot, over the usable runners. */
   readonly meanPerSlot: number
 }
 
-/** Routes requests of one VM. */
 export class RunnerRouter implements RouteDecider {
   private readonly view: FleetView
 
   /**
    * @param vm - name of this VM
-   * @param domain - its failure domain
+   * @param domain - failure domain of this VM
    */
   constructor (vm: string, domain: string) {
     this.view = new FleetView(vm, domain)
@@ -53,25 +51,19 @@
     return this.view.find(runner)?.load.count ?? 0
   }
 
-  /**
-   * How this VM stands to each runner, for people; it changes nothing.
-   * @param now - both clocks
-   */
+  /** State of each runner as this VM sees it, for operators. */
   states (now: Instant): readonly RunnerStanding[] {
     return this.view.all().map(state => state.standing(now.mono))
   }
 
-  /** Runners whose load reports and cache events this VM should ask for. */
+  /** Runners whose load reports and cache events this VM should poll. */
   watched (): readonly RunnerView[] {
     return this.view.watchedRunners()
   }
 
   /**
-   * Cautious prediction for a request on a busy runner, for the queue before this router, in milliseconds.
-   * @param promptTokens - tokens of the prompt
-   * @param answerTokens - tokens of the answer
-   * @param now - both clocks
-   * @returns 0 while too little was measured
+   * Cautious prediction for a request on a busy runner, for the queue in front of this router.
+   * @returns milliseconds; 0 while there are too few recent samples
    */
   serviceMs (promptTokens: number, answerTokens: number, now: Instant): number {
     const { fleet } = this.view
@@ -85,7 +77,7 @@
     const candidates = pool.filter(state => !state.isLeaving && !req.exclude.includes(state.view.runner))
     const { usable, forced } = boundEjections(preferLoaded(candidates, req.model), now.mono)
     const job = this.caseOf(req, now, usable)
-    const note = forced > 0 ? `; ${forced} ejected runners used, too many were out` : ''
+    const note = forced > 0 ? `; ${forced} ejected runners used because too many are ejected` : ''
     return req.keyed ? this.routeKeyed(job, runners.all, note) : this.routePlain(job, note, random)
   }
 
@@ -112,10 +104,10 @@
     if (usable.length === 0) return refuseNoRunner(job.req, [])
     const drawn = draw(job, random).map(state => this.judge(state, job))
     const first = best(drawn)
-    if (first !== undefined) return this.routed(job, first, [], drawn, `best of ${drawn.length} drawn from ${usable.length}${note}`)
+    if (first !== undefined) return this.routed(job, first, [], drawn, `best of ${drawn.length} sampled from ${usable.length}${note}`)
     const judged = usable.map(state => this.judge(state, job))
     const any = best(judged)
-    if (any !== undefined) return this.routed(job, any, [], judged, `best of all ${judged.length}, the drawn ones would not do${note}`)
+    if (any !== undefined) return this.routed(job, any, [], judged, `best of all ${judged.length}, none of the sampled runners was eligible${note}`)
     return this.refuse(job, judged, [])
   }
 
@@ -147,7 +139,7 @@
     return state.judge(demand, this.view.fleet)
   }
 
-  /** Refuses as overloaded if a runner that is full now would be quick enough, so that the request may wait for it. */
+  /** Refuses as overloaded if a runner at capacity would be fast enough, so that the request may wait for it. */
   private refuse ({ req, demand }: RouteCase, judged: readonly Judgement[], lookIn: readonly RunnerView[]): RouteDecision {
     const totalMs = (item: Judgement, load: number): number => item.state.cautious(demand, this.view.fleet, load).totalMs
     const presentMs = Math.min(...judged.map(item => totalMs(item, item.load)))
@@ -175,7 +167,7 @@
   }
 }
 
-/** Two at random, in random order as ties go to the first, and those believed to hold part of the prompt. */
+/** Two random runners, in random order because ties go to the first, and those believed to cache part of the prompt. */
 function draw ({ usable, demand }: RouteCase, random: () => number): readonly RunnerState[] {
   const first = Math.floor(random() * usable.length)
   const second = (first + 1 + Math.floor(random() * (usable.length - 1))) % usable.length
@@ -184,7 +176,7 @@
   return [...drawn].filter(state => state !== undefined)
 }
 
-/** The quickest by prediction of those that will do. */
+/** Eligible runner with the lowest predicted cost. */
 function best (judged: readonly Judgement[]): Judgement | undefined {
   let found: Judgement | undefined
   for (const item of judged) {
@@ -197,13 +189,13 @@
   return states.reduce((sum, state) => sum + state.view.slots, 0)
 }
 
-/** Whether a keyed request may stay at a runner instead of going past it. */
+/** Whether the load of a runner is low enough for a keyed request not to skip it. */
 function isUnderBound (judgement: Judgement, meanPerSlot: number): boolean {
   const share = Math.max(KEYED_FREE_SHARE, KEYED_LOAD_FACTOR * meanPerSlot)
   return judgement.load + 1 <= judgement.state.view.slots * share
 }
 
-/** Runners that have not loaded the model by their own report are used only when all say so. */
+/** Runners that report the model as not loaded are used only when all do, because reports lag. */
 function preferLoaded (candidates: readonly RunnerState[], model: string): readonly RunnerState[] {
   const loaded = candidates.filter(state => !state.lacks(model))
   return loaded.length > 0 ? loaded : candidates
--- a/packages/decisions/src/routing/runnerState.ts
+++ b/packages/decisions/src/routing/runnerState.ts
@@ -1,5 +1,5 @@
 /**
- * Everything one VM knows of one runner, and the judgement of it for one request.
+ * State of one runner as one VM sees it, and its evaluation for a request.
  */
 import { LatencyModel, predict, type Prediction, type Work } from './latencyModel.js'
 import { hashName } from './rendezvous.js'
@@ -7,51 +7,50 @@
 import { RunnerLoad } from './runnerLoad.js'
 import type { RunnerStanding, RunnerView } from './routingTypes.js'
 
-/** Requests that may wait at an engine, as a share of its slots, so that a freed slot finds work. */
+/** Requests that may wait at an engine, as a share of its slots, so that a freed slot is used at once. */
 export const ENGINE_QUEUE_SHARE = 1 / 32
 
-/** The same for a request whose prompt is believed to be cached there: the wait costs less than the prompt. */
+/** The same for a request whose prompt is cached at the runner: waiting costs less than computing the prompt elsewhere. */
 const CACHED_QUEUE_SHARE = 1 / 4
 
-/** Times its even part of the window that one runner may get of this VM's requests. */
+/** Multiple of its fair share of this VM's window that one runner may get. */
 const OWN_SPREAD = 1.25
 
-/** A request as runners are judged for it. */
+/** A request for which runners are evaluated. */
 export interface Demand {
   readonly mono: number
   readonly promptTokens: number
   /** Share of the prompt believed to be cached, 0 to 1, by runner. */
   readonly cached: ReadonlyMap<string, number>
-  /** Bound and expectation of the generated tokens. */
+  /** Upper bound and expected number of generated tokens. */
   readonly boundTokens: number
   readonly expectedTokens: number
   readonly remainingMs: number
-  /** Requests of others for each slot, where no report says better. */
+  /** Load from other VMs per slot, assumed without a recent report. */
   readonly prior: number
-  /** Own requests that one slot may get, from the window of this VM; 0 when the window is full. */
+  /** Requests of this VM allowed per slot by its window; 0 when the window is full. */
   readonly windowPerSlot: number
 }
 
-/** One runner judged for one request. */
+/** Evaluation of one runner for one request. */
 export interface Judgement {
   readonly state: RunnerState
-  /** Requests there now, by estimate. */
+  /** Estimated requests at the runner now, from all VMs. */
   readonly load: number
   readonly uncachedTokens: number
-  /** Whether one more request is allowed there. */
+  /** Whether the runner may get one more request. */
   readonly hasRoom: boolean
-  /** Whether the cautious prediction is before the deadline; false when there is no room. */
+  /** Whether it has capacity and the cautious prediction meets the deadline. */
   readonly fits: boolean
-  /** Expected time in milliseconds, with what the request costs the others there; infinite when it would not do. */
+  /** Expected time plus the delay that the request causes to others at the runner; infinite when not eligible. */
   readonly costMs: number
 }
 
-/** One runner. */
 export class RunnerState {
   readonly nameHash: number
   readonly load = new RunnerLoad()
   readonly health = new TargetHealth()
-  /** Models it is configured for, each with the wall milliseconds since which it serves it, when known. */
+  /** Configured models, each with the wall time in milliseconds when it was added, if known. */
   readonly models = new Map<string, number | undefined>()
   latency = new LatencyModel()
   private loaded: ReadonlySet<string> | undefined
@@ -68,10 +67,7 @@
     return this.leavingByConfig || this.leavingByReport || this.leavingByRunnerAt !== undefined
   }
 
-  /**
-   * State of the runner for people; it changes nothing.
-   * @param mono - present time
-   */
+  /** State of the runner for operators. */
   standing (mono: number): RunnerStanding {
     const reportAgeMs = this.load.reportAgeMs(mono)
     return {
@@ -83,8 +79,8 @@
   }
 
   private stateAndReason (): Pick<RunnerStanding, 'state' | 'reason'> {
-    if (this.leavingByConfig) return { state: 'leaving', reason: 'the configuration says so' }
-    if (this.isLeaving) return { state: 'leaving', reason: 'the runner says so' }
+    if (this.leavingByConfig) return { state: 'leaving', reason: 'marked as leaving in the configuration' }
+    if (this.isLeaving) return { state: 'leaving', reason: 'reported by the runner' }
     if (this.health.isOut) return { state: 'ejected', reason: this.health.reason }
     const missing = [...this.models.keys()].filter(model => this.lacks(model))
     if (missing.length === 0) return { state: 'active', reason: 'healthy' }
@@ -97,18 +93,11 @@
     if (view.leaving !== undefined) this.leavingByConfig = view.leaving
   }
 
-  /**
-   * Takes what a report says of loaded models.
-   * @param models - their names
-   */
   reportedModels (models: readonly string[]): void {
     this.loaded = new Set(models)
   }
 
-  /**
-   * Whether the runner itself says that it has not loaded a model.
-   * @param model - name of the model
-   */
+  /** Whether the runner reports that a model is not loaded; false before its first report. */
   lacks (model: string): boolean {
     return this.loaded !== undefined && !this.loaded.has(model)
   }
@@ -119,20 +108,14 @@
   }
 
   /**
-   * Takes what a report says of leaving.
-   * @param leaving - what it says
-   * @param at - monotonic milliseconds when it held
+   * Applies the leaving flag of a load report.
+   * @param at - monotonic time in milliseconds to which the report refers
    */
   reportedLeaving (leaving: boolean, at: number): void {
     this.leavingByReport = leaving
     if (!leaving && this.leavingByRunnerAt !== undefined && at > this.leavingByRunnerAt) this.leavingByRunnerAt = undefined
   }
 
-  /**
-   * Judges the runner for one request.
-   * @param demand - the request
-   * @param fleet - measured speed of all runners
-   */
   judge (demand: Demand, fleet: LatencyModel): Judgement {
     const slots = this.slots(demand.mono)
     const load = this.load.estimate(demand.mono, demand.prior * this.view.slots)
@@ -146,12 +129,7 @@
     return { state: this, load, uncachedTokens, hasRoom, fits, costMs }
   }
 
-  /**
-   * Cautious prediction for a request.
-   * @param demand - the request
-   * @param fleet - measured speed of all runners
-   * @param load - requests assumed there
-   */
+  /** Cautious prediction for a request at an assumed load. */
   cautious (demand: Demand, fleet: LatencyModel, load: number): Prediction {
     const uncachedTokens = demand.promptTokens * (1 - (demand.cached.get(this.view.runner) ?? 0))
     const work = { uncachedTokens, load, slots: this.view.slots, answerTokens: demand.boundTokens }
@@ -164,19 +142,19 @@
     return cautious.totalMs <= demand.remainingMs
   }
 
-  /** Computing a prompt holds up every request in the batch; a silent runner will keep this request waiting as well. */
+  /** Computing a prompt delays every request in the batch; an unresponsive runner will make this request wait as well. */
   private costMs (work: Omit<Work, 'answerTokens'>, demand: Demand, fleet: LatencyModel): number {
     const expected = predict(this.latency, fleet, { ...work, answerTokens: demand.expectedTokens }, false)
     const silenceMs = Math.max(0, this.load.oldestWaitMs(demand.mono) - expected.firstTokenMs)
     return expected.totalMs + silenceMs + expected.prefillMs * Math.min(work.load, work.slots)
   }
 
-  /** All VMs see a free slot late and at once; a bound on the own part keeps each from filling it alone. */
+  /** All VMs see a free slot late and at the same time; a bound on the local share keeps each from filling it alone. */
   private ownLimit (slots: number, demand: Demand): number {
     return demand.windowPerSlot === 0 ? 0 : Math.max(1, slots * OWN_SPREAD * demand.windowPerSlot)
   }
 
-  /** Slots that may be used now; fewer while the runner comes back from an ejection. */
+  /** Slots that may be used now; fewer while the runner ramps up after an ejection. */
   private slots (mono: number): number {
     return Math.max(1, this.view.slots * this.health.share(mono, this.load.count))
   }
--- a/packages/decisions/src/routing/runnerSubset.ts
+++ b/packages/decisions/src/routing/runnerSubset.ts
@@ -1,21 +1,20 @@
 /**
- * Which runners of a model one VM watches and chooses from. Small models are watched whole;
- * beyond the limit each VM takes its own rendezvous subset, mostly from its failure domain but
- * always with some of another, so that the loss of the own domain leaves runners to go to.
+ * Subset of a model's runners that one VM watches and chooses from. Up to the limit it is all of
+ * them; beyond it each VM selects a subset by rendezvous hashing, mostly from its own failure domain
+ * but always with some from others, so that it has runners left when its domain fails.
  */
 import { hashName, pairWeight } from './rendezvous.js'
 import type { RunnerView } from './routingTypes.js'
 
-/** Runners that one VM watches for one model at most. */
+/** Runners that one VM watches per model. */
 const SUBSET_LIMIT = 32
 
-/** How many of them are taken from other domains when both kinds suffice. */
+/** Runners from other domains, if there are enough of both kinds. */
 const REMOTE_PLACES = 8
 
 /**
- * The subset of one VM.
  * @param vm - name of the VM
- * @param domain - its failure domain
+ * @param domain - failure domain of the VM
  * @param runners - all runners of the model
  */
 export function subsetOf (vm: string, domain: string, runners: readonly RunnerView[]): readonly RunnerView[] {
--- a/packages/decisions/src/routing/targetHealth.ts
+++ b/packages/decisions/src/routing/targetHealth.ts
@@ -1,28 +1,27 @@
 /**
- * Circuit breaker and outlier ejection of one runner, as one VM sees it. Consecutive failures, a
- * high error rate or first tokens far slower than the median eject it for a time that doubles
- * with each ejection. It returns slowly: one probe first, then a share that grows.
+ * Circuit breaker and outlier ejection for one runner, as one VM sees it. Consecutive failures, a
+ * high error rate or first tokens far slower than the median eject it for a time that doubles with
+ * each ejection. Afterwards it gets a single probe, then a growing share of its usual load.
  */
 import { Ewma } from './ewma.js'
 
-/** Failures in a row that eject. */
 const CONSECUTIVE_LIMIT = 3
 
-/** Error rate that ejects, and the outcomes needed to judge it. */
+/** Error rate that ejects, and the number of outcomes required to evaluate it. */
 const ERROR_RATE_LIMIT = 0.5
 const ERROR_RATE_SAMPLES = 10
 
-/** First ejection in milliseconds, doubled for each further one. */
+/** Duration of the first ejection; doubled for each further one up to the maximum. */
 const EJECT_BASE_MS = 2_000
 const EJECT_MAX_MS = 60_000
 
-/** Milliseconds over which a returned runner gets back to its full share. */
+/** Time over which a returned runner ramps up to its full share. */
 const RETURN_MS = 10_000
 
-/** Milliseconds of good service after which past ejections are forgotten. */
+/** Time without an ejection after which the ejection time starts again at its base. */
 const FORGIVE_MS = 60_000
 
-/** Health of one runner. Times are monotonic milliseconds. */
+/** Times are monotonic milliseconds. */
 export class TargetHealth {
   private consecutive = 0
   private errors = new Ewma()
@@ -35,7 +34,7 @@
     return this.reasonText
   }
 
-  /** End of the present or last ejection. */
+  /** End of the current or last ejection. */
   get until (): number {
     return this.ejectedUntil
   }
@@ -47,10 +46,7 @@
     if (mono - this.ejectedUntil > FORGIVE_MS) this.ejections = 0
   }
 
-  /**
-   * A first token came: an answer to a probe ends the probing.
-   * @param mono - present time
-   */
+  /** Records a first token, which ends probing. */
   responded (mono: number): void {
     if (!this.probing || this.isEjected(mono)) return
     this.probing = false
@@ -75,7 +71,7 @@
     this.reasonText = reason
   }
 
-  /** Whether it was ejected and has not answered a probe since. */
+  /** Whether it was ejected and has not responded to a probe since. */
   get isOut (): boolean {
     return this.probing
   }
@@ -85,9 +81,8 @@
   }
 
   /**
-   * Share of its usual work that the runner may get: 0 while ejected, 1 when it is fully back.
-   * @param mono - present time
-   * @param inFlight - own requests there; while probing only one is allowed
+   * Share of its usual load that the runner may get: 0 while ejected, 1 after the ramp-up.
+   * @param inFlight - requests of this VM at the runner; while probing only one is allowed
    */
   share (mono: number, inFlight: number): number {
     if (this.isEjected(mono)) return 0
