--- a/packages/decisions/src/routing/retryBudget.spec.ts
+++ b/packages/decisions/src/routing/retryBudget.spec.ts
@@ -51,7 +51,7 @@
     })
   }
 
-  it('limits the additional load when every request fails; retrying always triples the load', () => {
+  it('adds at most a tenth of the requests plus the credit per second when every request fails; retrying always triples the load', () => {
     expect(storm(new RetryBudget())).to.be.within(1_100, 1_121)
     expect(storm(new RetryAlways())).to.equal(3_000)
   })
