--- a/packages/decisions/src/budget/demandRate.ts
+++ b/packages/decisions/src/budget/demandRate.ts
@@ -1,14 +1,14 @@
 /**
  * Demand of one budget at one holder, as an exponentially weighted rate.
  */
-import { FadingSum } from '../clock/fadingSum.js'
+import { DecayingSum } from '../clock/fadingSum.js'
 
 /** Part of the window that counts as filled at the least: the first requests are no rate yet. */
 const LEAST_PART = 0.25
 
 /** Tokens a millisecond, averaged over a window that fades out. */
 export class DemandRate {
-  private readonly used: FadingSum
+  private readonly used: DecayingSum
   private since: number | undefined
 
   /**
@@ -16,7 +16,7 @@
    * @param isEarly - whether a past shorter than the window counts as all there is
    */
   constructor (private readonly windowMs: number, private readonly isEarly = false) {
-    this.used = new FadingSum(windowMs)
+    this.used = new DecayingSum(windowMs)
   }
 
   /**
--- a/packages/decisions/src/clock/fadingSum.ts
+++ b/packages/decisions/src/clock/fadingSum.ts
@@ -3,12 +3,12 @@
  */
 
 /** Times are monotonic milliseconds. */
-export class FadingSum {
+export class DecayingSum {
   private sum = 0
   private addedAt = 0
 
   /** @param timeConstantMs - time in which a value decays to 1/e */
-  constructor (private readonly fadeMs: number) {}
+  constructor (private readonly timeConstantMs: number) {}
 
   add (value: number, mono: number): void {
     this.sum = this.at(mono) + value
@@ -17,6 +17,6 @@
 
   /** The decayed sum at the given time. */
   at (mono: number): number {
-    return this.sum * Math.exp(-Math.max(0, mono - this.addedAt) / this.fadeMs)
+    return this.sum * Math.exp(-Math.max(0, mono - this.addedAt) / this.timeConstantMs)
   }
 }
--- a/packages/decisions/src/gateway/targetBalancer.ts
+++ b/packages/decisions/src/gateway/targetBalancer.ts
@@ -162,8 +162,8 @@
   ended (id: string, end: 'good' | 'failed' | 'unreachable' | 'none', mono: number): void {
     const state = this.stateOf(id)
     state.open = Math.max(0, state.open - 1)
-    if (end === 'good') state.health.succeeded(mono)
-    if (end === 'failed') state.health.failed(mono)
+    if (end === 'good') state.health.recordSuccess(mono)
+    if (end === 'failed') state.health.recordFailure(mono)
     if (end === 'unreachable' && !state.health.isEjected(mono)) state.health.eject('unreachable', mono)
   }
 
--- a/packages/decisions/src/lease/leaseCalls.ts
+++ b/packages/decisions/src/lease/leaseCalls.ts
@@ -13,7 +13,7 @@
 }
 
 /** The write in progress. */
-export interface LeaseAttempt {
+export interface LeaseWriteAttempt {
   readonly row: LeaseRow
   /** Null when the write replaces the fence row, whose new version is not known before the response. */
   readonly fenceVersion: number | null
@@ -21,11 +21,11 @@
 }
 
 export class LeaseCalls {
-  private busy = false
+  private callInProgress = false
   private lastCallAt: Instant | undefined
   private lastFailed = false
   private renewal = 0
-  private attempt: LeaseAttempt | undefined
+  private attempt: LeaseWriteAttempt | undefined
   /** Start times of writes with an unknown outcome, by renewal number. */
   private readonly unresolved = new Map<number, Instant>()
 
@@ -34,11 +34,11 @@
 
   /** Whether no call may start: one is in progress, or the last one failed less than the retry delay ago. */
   mustWait (now: Instant): boolean {
-    return this.busy || (this.lastFailed && !this.isPast(this.limits.retryMs, now))
+    return this.callInProgress || (this.lastFailed && !this.isPeriodOver(this.limits.retryMs, now))
   }
 
   /** Whether the last call started at least a period ago. */
-  isPast (periodMs: number, now: Instant): boolean {
+  isPeriodOver (periodMs: number, now: Instant): boolean {
     return this.lastCallAt === undefined || elapsedMs(this.lastCallAt, now) >= periodMs
   }
 
@@ -63,26 +63,26 @@
    * @param fencing - new fencing number
    * @param versions - versions that the rows must have
    */
-  take (fencing: number, versions: LeaseVersions, now: Instant): readonly LeaseAction[] {
+  acquire (fencing: number, versions: LeaseVersions, now: Instant): readonly LeaseAction[] {
     const fence: LeaseRowWrite = { table: FENCE_TABLE, key: this.role, value: { role: this.role, holder: this.self, fencing } }
     return this.write(this.rowOf(fencing, false), versions, [fence], now)
   }
 
   readDone (): void {
-    this.busy = false
+    this.callInProgress = false
     this.lastFailed = false
   }
 
   /** Records a failed read, or one that returned outdated rows. */
   readFailed (): void {
-    this.busy = false
+    this.callInProgress = false
     this.lastFailed = true
   }
 
   /** Records the outcome of a write; returns the write, if one was in progress. */
-  writeDone (outcome: LeaseWriteOutcome): LeaseAttempt | undefined {
+  writeDone (outcome: LeaseWriteOutcome): LeaseWriteAttempt | undefined {
     const attempt = this.attempt
-    this.busy = false
+    this.callInProgress = false
     this.attempt = undefined
     this.lastFailed = outcome.kind === 'unavailable' || outcome.kind === 'conflict'
     if (outcome.kind === 'unavailable' && attempt !== undefined) this.unresolved.delete(attempt.row.renewal)
@@ -95,12 +95,12 @@
   }
 
   /** Called once a later write is known to have taken effect. */
-  forgetUnresolved (): void {
+  clearUnresolved (): void {
     this.unresolved.clear()
   }
 
   private begin (now: Instant): void {
-    this.busy = true
+    this.callInProgress = true
     this.lastCallAt = now
   }
 
@@ -109,20 +109,20 @@
     return { role: this.role, holder: this.self, fencing, durationMs: this.limits.durationMs, renewal: this.renewal, released }
   }
 
-  private write (row: LeaseRow, { lease, fence }: LeaseVersions, more: readonly LeaseRowWrite[], now: Instant): readonly LeaseAction[] {
+  private write (row: LeaseRow, { lease, fence }: LeaseVersions, moreWrites: readonly LeaseRowWrite[], now: Instant): readonly LeaseAction[] {
     this.begin(now)
-    this.attempt = { row, fenceVersion: more.length === 0 ? fence : null, startedAt: now }
-    this.forgetOldWrites(now)
+    this.attempt = { row, fenceVersion: moreWrites.length === 0 ? fence : null, startedAt: now }
+    this.dropExpiredWrites(now)
     this.unresolved.set(row.renewal, now)
     const checks = [
       { table: LEASE_TABLE, key: this.role, version: lease },
       { table: FENCE_TABLE, key: this.role, version: fence }
     ]
-    return [{ kind: 'write', checks, writes: [{ table: LEASE_TABLE, key: this.role, value: row }, ...more] }]
+    return [{ kind: 'write', checks, writes: [{ table: LEASE_TABLE, key: this.role, value: row }, ...moreWrites] }]
   }
 
   /** A lease from a write older than its duration has expired, so such writes are no longer tracked. */
-  private forgetOldWrites (now: Instant): void {
+  private dropExpiredWrites (now: Instant): void {
     for (const [renewal, startedAt] of this.unresolved) {
       if (elapsedMs(startedAt, now) >= this.limits.durationMs) this.unresolved.delete(renewal)
     }
--- a/packages/decisions/src/lease/leaseWorld.fixture.ts
+++ b/packages/decisions/src/lease/leaseHarness.fixture.ts
@@ -3,26 +3,26 @@
  * lost calls and process pauses follow from numbers that the test supplies.
  */
 import type { Instant } from '../clock/clockTypes.js'
-import type { LeaseKeeper } from './leaseKeeper.js'
+import type { LeaseManager } from './leaseManager.js'
 import { FENCE_TABLE, LEASE_TABLE, type FenceRow, type LeaseAction, type LeaseEvent, type LeaseRow, type LeaseRowCheck, type LeaseWriteOutcome, type ReadLease } from './leaseTypes.js'
 
 const STEP_MS = 50
 /** Random values from here on are used as delays in milliseconds; smaller ones are divided by ten. */
-const SLOW_FROM = 800
+const MIN_SLOW_DELAY_MS = 800
 
-interface Stored {
+interface StoredRow {
   readonly value: LeaseRow | FenceRow
   readonly version: number
   readonly updatedAt: number
 }
 
-interface Pending {
+interface PendingEvent {
   readonly at: number
   readonly run: () => void
 }
 
 /** A fault of one node. */
-export interface Trouble {
+export interface LeaseFault {
   readonly atMs: number
   readonly node: number
   /** `cut` disconnects the node from the table; `wallBack` affects only nodes whose wall clock is the faulty one. */
@@ -45,14 +45,14 @@
   /** Responses delivered at the next step, or after a pause. */
   readonly inbox: LeaseEvent[] = []
 
-  constructor (readonly name: string, readonly keeper: LeaseKeeper, private readonly world: LeaseWorld) {}
+  constructor (readonly name: string, readonly manager: LeaseManager, private readonly harness: LeaseHarness) {}
 
   now (): Instant {
     return { mono: this.mono, wall: this.wall }
   }
 
   mayAct (): boolean {
-    return this.keeper.mayAct(this.now())
+    return this.manager.mayAct(this.now())
   }
 
   count (kind: LeaseAction['kind']): number {
@@ -60,9 +60,9 @@
   }
 
   feed (event: LeaseEvent): void {
-    const actions = this.keeper.handle(event, this.now())
+    const actions = this.manager.handle(event, this.now())
     this.actions.push(...actions)
-    for (const action of actions) this.world.carryOut(this, action)
+    for (const action of actions) this.harness.execute(this, action)
   }
 
   step (): void {
@@ -74,38 +74,38 @@
   }
 }
 
-export class LeaseWorld {
+export class LeaseHarness {
   readonly nodes: LeaseNode[]
   down = false
   /** Number of write responses to drop after the write took effect. */
   loseAnswers = 0
-  mostActing = 0
+  maxActing = 0
   private time = 0
   private tableClock = 5_000_000
   private tableRate = 1
   private nextVersion = 0
-  private readonly rows = new Map<string, Stored>()
-  private pending: Pending[] = []
-  private tape: readonly number[] = []
-  private tapeAt = 0
+  private readonly rows = new Map<string, StoredRow>()
+  private pending: PendingEvent[] = []
+  private randomValues: readonly number[] = []
+  private randomIndex = 0
 
-  constructor (count: number, makeKeeper: (name: string) => LeaseKeeper) {
-    this.nodes = Array.from({ length: count }, (_, i) => new LeaseNode(`n${i}~1`, makeKeeper(`n${i}~1`), this))
+  constructor (count: number, makeManager: (name: string) => LeaseManager) {
+    this.nodes = Array.from({ length: count }, (_, i) => new LeaseNode(`n${i}~1`, makeManager(`n${i}~1`), this))
     for (const node of this.nodes) node.feed({ kind: 'candidate', wanted: true })
   }
 
   /** Sets clock drift, and the random values, 0 to 999, that determine delays and losses. */
-  disturb (rates: readonly number[], faulty: readonly ('mono' | 'wall')[], tableRate: number, tape: readonly number[]): void {
+  setConditions (rates: readonly number[], faulty: readonly ('mono' | 'wall')[], tableRate: number, randomValues: readonly number[]): void {
     this.nodes.forEach((node, i) => { Object.assign(node, { rate: rates[i], faulty: faulty[i] }) })
     this.tableRate = tableRate
-    this.tape = tape
+    this.randomValues = randomValues
   }
 
   acting (): readonly LeaseNode[] {
     return this.nodes.filter(node => !node.paused && node.mayAct())
   }
 
-  fits (check: LeaseRowCheck): boolean {
+  holds (check: LeaseRowCheck): boolean {
     return (this.rows.get(check.table)?.version ?? null) === check.version
   }
 
@@ -113,28 +113,28 @@
     for (const end = this.time + ms; this.time < end;) this.step()
   }
 
-  play (troubles: readonly Trouble[], totalMs: number): void {
-    const ends = troubles.flatMap(({ atMs, node, kind, forMs }) => [
-      { at: atMs, run: () => this.begin(this.nodes[node]!, kind, forMs) },
+  runWithFaults (faults: readonly LeaseFault[], totalMs: number): void {
+    const ends = faults.flatMap(({ atMs, node, kind, forMs }) => [
+      { at: atMs, run: () => this.startFault(this.nodes[node]!, kind, forMs) },
       { at: atMs + forMs, run: () => Object.assign(this.nodes[node]!, { paused: false, cut: false, monoRuns: true, wallRuns: true }) }
     ])
     this.pending.push(...ends)
     this.run(totalMs)
   }
 
-  carryOut (node: LeaseNode, action: LeaseAction): void {
+  execute (node: LeaseNode, action: LeaseAction): void {
     if (action.kind !== 'read' && action.kind !== 'write') return
     const lostAnswer: LeaseEvent = action.kind === 'read' ? { kind: 'readFailed' } : { kind: 'writeAnswered', outcome: { kind: 'unknown' } }
-    const fate = this.draw()
-    if (fate >= 950 || node.cut) return this.later(2_000, () => node.inbox.push(lostAnswer))
+    const outcome = this.draw()
+    if (outcome >= 950 || node.cut) return this.later(2_000, () => node.inbox.push(lostAnswer))
     this.later(this.delay(), () => {
       const answer = this.serve(action)
-      const isLost = (fate >= 900 || node.cut || this.takeLoss(answer)) && !this.down
+      const isLost = (outcome >= 900 || node.cut || this.consumeLoss(answer)) && !this.down
       this.later(isLost ? 2_000 : this.delay(), () => node.inbox.push(isLost ? lostAnswer : answer))
     })
   }
 
-  private begin (node: LeaseNode, kind: Trouble['kind'], ms: number): void {
+  private startFault (node: LeaseNode, kind: LeaseFault['kind'], ms: number): void {
     if (kind === 'cut') node.cut = true
     else if (kind === 'pause') Object.assign(node, { paused: true, monoRuns: node.faulty !== 'mono', wallRuns: node.faulty !== 'wall' })
     else if (node.faulty === 'wall') node.wall -= ms
@@ -148,7 +148,7 @@
     for (const { run } of due) run()
     for (const node of this.nodes) {
       node.step()
-      this.mostActing = Math.max(this.mostActing, this.acting().length)
+      this.maxActing = Math.max(this.maxActing, this.acting().length)
     }
   }
 
@@ -167,22 +167,22 @@
   }
 
   private write ({ checks, writes }: Extract<LeaseAction, { kind: 'write' }>): LeaseWriteOutcome {
-    if (!checks.every(check => this.fits(check))) return { kind: 'conflict' }
+    if (!checks.every(check => this.holds(check))) return { kind: 'conflict' }
     this.nextVersion += 1
     for (const { table, value } of writes) this.rows.set(table, { value, version: this.nextVersion, updatedAt: this.tableClock })
     return { kind: 'written', version: this.nextVersion }
   }
 
-  private takeLoss (answer: LeaseEvent): boolean {
+  private consumeLoss (answer: LeaseEvent): boolean {
     if (this.loseAnswers === 0 || answer.kind !== 'writeAnswered' || answer.outcome.kind !== 'written') return false
     this.loseAnswers -= 1
     return true
   }
 
   private delay (): number {
-    if (this.tape.length === 0) return STEP_MS
-    const drawn = this.draw()
-    return drawn < SLOW_FROM ? drawn / 10 : drawn
+    if (this.randomValues.length === 0) return STEP_MS
+    const value = this.draw()
+    return value < MIN_SLOW_DELAY_MS ? value / 10 : value
   }
 
   private later (ms: number, run: () => void): void {
@@ -190,8 +190,8 @@
   }
 
   private draw (): number {
-    if (this.tape.length === 0) return 0
-    this.tapeAt += 1
-    return this.tape[this.tapeAt % this.tape.length]!
+    if (this.randomValues.length === 0) return 0
+    this.randomIndex += 1
+    return this.randomValues[this.randomIndex % this.randomValues.length]!
   }
 }
--- a/packages/decisions/src/lease/leaseKeeper.ts
+++ b/packages/decisions/src/lease/leaseManager.ts
@@ -7,8 +7,8 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { HolderId } from '../names/nameTypes.js'
-import { LeaseCalls, versionsOf, type LeaseAttempt, type LeaseVersions } from './leaseCalls.js'
-import { isFree, isHeldBy } from './leaseRules.js'
+import { LeaseCalls, versionsOf, type LeaseWriteAttempt, type LeaseVersions } from './leaseCalls.js'
+import { isAvailable, isHeldBy } from './leaseRules.js'
 import { defaultLeaseLimits, FENCE_TABLE, type LeaseAction, type LeaseDecider, type LeaseEvent, type LeaseLimits, type LeaseRow, type LeaseRowCheck, type LeaseWriteOutcome, type ReadLease } from './leaseTypes.js'
 
 interface HeldLease {
@@ -18,17 +18,17 @@
   readonly validFrom: Instant
 }
 
-export class LeaseKeeper implements LeaseDecider {
+export class LeaseManager implements LeaseDecider {
   private readonly calls: LeaseCalls
   private held: HeldLease | undefined
   private wanted = false
   private releasingSince: Instant | undefined
   private done = false
   /** Stays set once expiry was seen, even if a clock is set back later. */
-  private lapsed = false
-  private wantsRead = false
+  private expired = false
+  private needsRead = false
   /** Highest version of the lease row seen; a replica that returns a lower one lags. */
-  private seenVersion = 0
+  private highestVersion = 0
 
   /** @param self - holder id of this process */
   constructor (private readonly role: string, private readonly self: HolderId, private readonly limits: LeaseLimits = defaultLeaseLimits) {
@@ -38,19 +38,19 @@
   handle (event: LeaseEvent, now: Instant): readonly LeaseAction[] {
     switch (event.kind) {
       case 'tick': return this.next(now)
-      case 'candidate': return this.want(event.wanted)
-      case 'doubt': return this.doubt(now)
+      case 'candidate': return this.setCandidate(event.wanted)
+      case 'recheck': return this.recheck(now)
       case 'release': return this.release(now)
       case 'readAnswered': return this.readAnswered(event.read, now)
-      case 'readFailed': return this.failed()
+      case 'readFailed': return this.recordReadFailure()
       case 'writeAnswered': return this.writeAnswered(event.outcome, now)
     }
   }
 
   mayAct (now: Instant): boolean {
-    if (this.held === undefined || this.releasingSince !== undefined || this.lapsed) return false
-    this.lapsed = elapsedMs(this.held.validFrom, now) >= this.limits.durationMs - this.limits.marginMs
-    return !this.lapsed
+    if (this.held === undefined || this.releasingSince !== undefined || this.expired) return false
+    this.expired = elapsedMs(this.held.validFrom, now) >= this.limits.durationMs - this.limits.marginMs
+    return !this.expired
   }
 
   fencing (): number | undefined {
@@ -66,13 +66,13 @@
     return this.self
   }
 
-  private want (wanted: boolean): readonly LeaseAction[] {
+  private setCandidate (wanted: boolean): readonly LeaseAction[] {
     this.wanted = wanted
     return []
   }
 
-  private doubt (now: Instant): readonly LeaseAction[] {
-    this.wantsRead = true
+  private recheck (now: Instant): readonly LeaseAction[] {
+    this.needsRead = true
     return this.next(now)
   }
 
@@ -84,29 +84,29 @@
 
   /** Reports an expired lease, then returns the next call to the table, if one is due. */
   private next (now: Instant): readonly LeaseAction[] {
-    const lost = this.noticeLapse(now)
+    const lost = this.detectExpiry(now)
     return [...lost, ...this.nextCall(now)]
   }
 
-  private noticeLapse (now: Instant): readonly LeaseAction[] {
+  private detectExpiry (now: Instant): readonly LeaseAction[] {
     if (this.held === undefined || this.releasingSince !== undefined || this.mayAct(now)) return []
-    this.wantsRead = true
-    return this.forget()
+    this.needsRead = true
+    return this.dropLease()
   }
 
   private nextCall (now: Instant): readonly LeaseAction[] {
     if (this.done) return []
-    if (this.hasGivenUp(now)) return this.finish()
+    if (this.hasReleaseTimedOut(now)) return this.finish()
     if (this.calls.mustWait(now)) return []
     const isInvolved = this.wanted || this.releasingSince !== undefined || this.held !== undefined
-    if (this.wantsRead && isInvolved) return this.calls.read(now)
+    if (this.needsRead && isInvolved) return this.calls.read(now)
     if (this.releasingSince !== undefined) return this.nextRelease(now)
     if (this.held !== undefined) return elapsedMs(this.held.validFrom, now) >= this.limits.renewMs ? this.renew(this.held, now) : []
-    return this.wanted && this.calls.isPast(this.limits.pollMs, now) ? this.calls.read(now) : []
+    return this.wanted && this.calls.isPeriodOver(this.limits.pollMs, now) ? this.calls.read(now) : []
   }
 
   /** Whether a release took so long that the lease has expired meanwhile. */
-  private hasGivenUp (now: Instant): boolean {
+  private hasReleaseTimedOut (now: Instant): boolean {
     return this.releasingSince !== undefined && elapsedMs(this.releasingSince, now) >= this.limits.durationMs
   }
 
@@ -125,7 +125,7 @@
     return this.calls.renew(held.fencing, false, held.versions, now)
   }
 
-  private failed (): readonly LeaseAction[] {
+  private recordReadFailure (): readonly LeaseAction[] {
     this.calls.readFailed()
     return []
   }
@@ -135,12 +135,12 @@
     if (attempt === undefined) return []
     if (outcome.kind === 'written') return this.written(attempt, outcome.version, now)
     if (outcome.kind === 'unavailable') return []
-    this.wantsRead = true
+    this.needsRead = true
     return this.next(now)
   }
 
-  private written (attempt: LeaseAttempt, version: number, now: Instant): readonly LeaseAction[] {
-    this.seenVersion = version
+  private written (attempt: LeaseWriteAttempt, version: number, now: Instant): readonly LeaseAction[] {
+    this.highestVersion = version
     if (attempt.row.released) return this.finish()
     return this.hold({
       fencing: attempt.row.fencing,
@@ -152,29 +152,29 @@
   private hold (held: HeldLease, now: Instant): readonly LeaseAction[] {
     const isNew = this.held === undefined
     this.held = held
-    this.lapsed = false
-    this.calls.forgetUnresolved()
+    this.expired = false
+    this.calls.clearUnresolved()
     if (this.releasingSince !== undefined || !isNew) return this.next(now)
     if (this.mayAct(now)) return [{ kind: 'taken', fencing: held.fencing }, ...this.next(now)]
     // The response arrived after the lease expired; it can be renewed if no one else acquired it since.
     this.held = undefined
-    this.wantsRead = true
+    this.needsRead = true
     return this.next(now)
   }
 
   private readAnswered (read: ReadLease, now: Instant): readonly LeaseAction[] {
-    if (read.lease !== null && read.lease.version < this.seenVersion) return this.failed()
-    this.seenVersion = read.lease?.version ?? this.seenVersion
+    if (read.lease !== null && read.lease.version < this.highestVersion) return this.recordReadFailure()
+    this.highestVersion = read.lease?.version ?? this.highestVersion
     this.calls.readDone()
-    this.wantsRead = false
+    this.needsRead = false
     const { lease, fence } = read
     if (lease !== null && fence !== null && isHeldBy(lease.row, fence.row, this.self)) {
       return this.adopt(lease.row, { lease: lease.version, fence: fence.version }, now)
     }
     if (this.releasingSince !== undefined) return this.finish()
-    const lost = this.forget()
-    if (!this.wanted || !isFree(read, this.limits.marginMs)) return lost
-    return [...lost, ...this.calls.take((lease?.row.fencing ?? 0) + 1, versionsOf(read), now)]
+    const lost = this.dropLease()
+    if (!this.wanted || !isAvailable(read, this.limits.marginMs)) return lost
+    return [...lost, ...this.calls.acquire((lease?.row.fencing ?? 0) + 1, versionsOf(read), now)]
   }
 
   /** The rows name this process, through a tracked write or through one too old to rely on, which is renewed first. */
@@ -187,7 +187,7 @@
     return this.next(now)
   }
 
-  private forget (): readonly LeaseAction[] {
+  private dropLease (): readonly LeaseAction[] {
     if (this.held === undefined) return []
     const { fencing } = this.held
     this.held = undefined
--- a/packages/decisions/src/lease/leaseRules.ts
+++ b/packages/decisions/src/lease/leaseRules.ts
@@ -11,7 +11,7 @@
  * Whether the lease can be acquired: it was never held, was released, or has expired by the table's clock.
  * @param marginMs - additional time after expiry
  */
-export function isFree (read: ReadLease, marginMs: number): boolean {
+export function isAvailable (read: ReadLease, marginMs: number): boolean {
   if (read.lease === null || read.lease.row.released) return true
   return read.lease.ageMs > read.lease.row.durationMs + marginMs
 }
--- a/packages/decisions/src/lease/leaseTypes.ts
+++ b/packages/decisions/src/lease/leaseTypes.ts
@@ -66,7 +66,7 @@
   | { readonly kind: 'readFailed' }
   | { readonly kind: 'writeAnswered', readonly outcome: LeaseWriteOutcome }
   /** A write under the lease failed, for example with a conflict, so the rows have to be read again. */
-  | { readonly kind: 'doubt' }
+  | { readonly kind: 'recheck' }
   /** Release the role permanently; the action `released` follows. */
   | { readonly kind: 'release' }
 
--- a/packages/decisions/src/quarantine/quarantineTypes.ts
+++ b/packages/decisions/src/quarantine/quarantineTypes.ts
@@ -8,18 +8,18 @@
 export const QUARANTINE_TABLE = 'quarantine'
 
 /** Digests per row: more than a target has open calls from one VM, and 12 KB of the 64 KB that a row may have. */
-export const MOST_DIGESTS = 500
+export const MAX_DIGESTS = 500
 /** Ends per row, and therefore also per request. */
-export const MOST_ENDS = 50
-const MOST_CHARACTERS = 200
+export const MAX_ENDS = 50
+const MAX_CHARACTERS = 200
 
-const digestSchema = z.string().min(1).max(MOST_CHARACTERS)
+const digestSchema = z.string().min(1).max(MAX_CHARACTERS)
 
 /** The termination of one process of a target. */
 export const targetEndSchema = z.object({
-  target: z.string().max(MOST_CHARACTERS),
+  target: z.string().max(MAX_CHARACTERS),
   /** Failure domain of the target. */
-  domain: z.string().max(MOST_CHARACTERS),
+  domain: z.string().max(MAX_CHARACTERS),
   /** Start of the process in Unix milliseconds, which distinguishes processes with the same id; absent when unknown. */
   startedAt: z.number().optional(),
   /** Wall time in milliseconds at which its calls broke off. */
@@ -30,8 +30,8 @@
 /** A VM saw targets terminate while requests were in progress there. */
 export const endReportSchema = z.object({
   kind: z.literal('ended'),
-  ends: z.array(targetEndSchema).min(1).max(MOST_ENDS),
-  digests: z.array(digestSchema).max(MOST_DIGESTS)
+  ends: z.array(targetEndSchema).min(1).max(MAX_ENDS),
+  digests: z.array(digestSchema).max(MAX_DIGESTS)
 })
 export type EndReport = z.infer<typeof endReportSchema>
 
@@ -39,7 +39,7 @@
 export const verdictSchema = z.object({
   kind: z.literal('quarantined'),
   digest: digestSchema,
-  ends: z.array(targetEndSchema).max(MOST_ENDS),
+  ends: z.array(targetEndSchema).max(MAX_ENDS),
   /** How often it has been quarantined, including this time. */
   level: z.number().int().positive()
 })
@@ -50,20 +50,20 @@
   kind: z.literal('cleared'),
   digest: digestSchema,
   /** Process keys, see {@link processKey}. */
-  processes: z.array(z.string()).max(MOST_ENDS)
+  processes: z.array(z.string()).max(MAX_ENDS)
 })
 export type Clearance = z.infer<typeof clearanceSchema>
 
-export const quarantineNewsSchema = z.discriminatedUnion('kind', [endReportSchema, verdictSchema, clearanceSchema])
-export type QuarantineNews = z.infer<typeof quarantineNewsSchema>
+export const quarantineUpdateSchema = z.discriminatedUnion('kind', [endReportSchema, verdictSchema, clearanceSchema])
+export type QuarantineUpdate = z.infer<typeof quarantineUpdateSchema>
 
 /** `suspected` once a target terminated during the request, `quarantined` when it is no longer forwarded. */
-export type Standing = 'clear' | 'suspected' | 'quarantined'
+export type RequestStanding = 'clear' | 'suspected' | 'quarantined'
 
 /** A request under suspicion, as shown to operators. */
 export interface SuspectView {
   readonly digest: string
-  readonly standing: Standing
+  readonly standing: RequestStanding
   readonly ends: readonly TargetEnd[]
   readonly level: number
   /** Milliseconds until the quarantine expires; absent when there is none. */
@@ -71,6 +71,6 @@
 }
 
 /** Key that identifies a terminated process of a target. */
-export function processOf ({ target, startedAt }: Pick<TargetEnd, 'target' | 'startedAt'>): string {
+export function processKey ({ target, startedAt }: Pick<TargetEnd, 'target' | 'startedAt'>): string {
   return `${target}@${startedAt ?? ''}`
 }
--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -4,28 +4,28 @@
  * ones, in any order and more than once, reaches the same standing.
  */
 import {
-  type Clearance, type EndReport, type QuarantineNews, type Standing, type SuspectView, type Verdict
+  type Clearance, type EndReport, type QuarantineUpdate, type RequestStanding, type SuspectView, type Verdict
 } from './quarantineTypes.js'
 import { SuspectRequest } from './suspectRequest.js'
 
 /** Time after the last end for which a request stays suspected; callers retry within seconds or minutes. */
-export const SUSPECT_MS = 600_000
+export const SUSPICION_MS = 600_000
 /** At some 660 bytes each this is 13 MB; 100 targets that terminate at once with 64 calls each leave 6,400 suspects. */
-const MOST_SUSPECTS = 20_000
+const MAX_SUSPECTS = 20_000
 /** Time between two expiry passes over all suspects. */
-const EXPIRE_EVERY_MS = 1_000
+const EXPIRY_INTERVAL_MS = 1_000
 
 /** Requests during which targets terminated, as known to one VM. Times are monotonic milliseconds. */
 export class RequestQuarantine {
   private readonly suspects = new Map<string, SuspectRequest>()
-  private expiredAt = 0
+  private lastExpiryAt = 0
 
   /** False while any request is stored, also one whose ends were all cleared. */
   get isEmpty (): boolean {
     return this.suspects.size === 0
   }
 
-  standing (digest: string, mono: number): Standing {
+  standing (digest: string, mono: number): RequestStanding {
     const suspect = this.suspects.get(digest)
     if (suspect === undefined) return 'clear'
     if (suspect.isQuarantined(mono)) return 'quarantined'
@@ -34,15 +34,15 @@
 
   /** Failure domains of the targets whose termination counts against a request. */
   domainsOf (digest: string): readonly string[] {
-    return this.suspects.get(digest)?.counted.map(({ domain }) => domain) ?? []
+    return this.suspects.get(digest)?.countedEnds.map(({ domain }) => domain) ?? []
   }
 
   /** Applies an update from this VM or another; returns verdicts on the requests that it quarantines. */
-  take (news: QuarantineNews, mono: number): readonly Verdict[] {
-    switch (news.kind) {
-      case 'ended': return this.takeEnds(news, mono)
-      case 'quarantined': return this.judge(news.digest, news, mono)
-      case 'cleared': return this.takeClearance(news, mono)
+  apply (update: QuarantineUpdate, mono: number): readonly Verdict[] {
+    switch (update.kind) {
+      case 'ended': return this.applyEnds(update, mono)
+      case 'quarantined': return this.applyToRequest(update.digest, update, mono)
+      case 'cleared': return this.applyClearance(update, mono)
     }
   }
 
@@ -65,14 +65,14 @@
 
   /** Releases expired quarantines and removes expired suspects; to be called several times a second. */
   tick (mono: number): void {
-    if (mono - this.expiredAt < EXPIRE_EVERY_MS) return
-    this.expiredAt = mono
+    if (mono - this.lastExpiryAt < EXPIRY_INTERVAL_MS) return
+    this.lastExpiryAt = mono
     for (const [digest, suspect] of this.suspects) {
       if (suspect.isQuarantined(mono)) continue
-      if (suspect.isOver(mono)) {
+      if (suspect.hasExpired(mono)) {
         suspect.release()
-        suspect.touchedAt = mono
-      } else if (mono - suspect.touchedAt > SUSPECT_MS) this.suspects.delete(digest)
+        suspect.lastUpdatedAt = mono
+      } else if (mono - suspect.lastUpdatedAt > SUSPICION_MS) this.suspects.delete(digest)
     }
   }
 
@@ -82,44 +82,44 @@
       .filter(([, suspect]) => suspect.isSuspected)
       .map(([digest, suspect]) => {
         const leftMs = suspect.leftMs(mono)
-        return { digest, standing: this.standing(digest, mono), ends: suspect.counted, level: suspect.level, ...(leftMs > 0 ? { leftMs } : {}) }
+        return { digest, standing: this.standing(digest, mono), ends: suspect.countedEnds, level: suspect.level, ...(leftMs > 0 ? { leftMs } : {}) }
       })
   }
 
-  private takeEnds ({ ends, digests }: EndReport, mono: number): readonly Verdict[] {
-    return digests.flatMap(digest => this.judge(digest, { ends, level: 1 }, mono))
+  private applyEnds ({ ends, digests }: EndReport, mono: number): readonly Verdict[] {
+    return digests.flatMap(digest => this.applyToRequest(digest, { ends, level: 1 }, mono))
   }
 
-  private takeClearance ({ digest, processes }: Clearance, mono: number): readonly Verdict[] {
-    this.suspectOf(digest, mono).clear(processes)
+  private applyClearance ({ digest, processes }: Clearance, mono: number): readonly Verdict[] {
+    this.getOrCreateSuspect(digest, mono).clear(processes)
     return []
   }
 
-  private judge (digest: string, { ends, level }: Pick<Verdict, 'ends' | 'level'>, mono: number): readonly Verdict[] {
-    const suspect = this.suspectOf(digest, mono)
+  private applyToRequest (digest: string, { ends, level }: Pick<Verdict, 'ends' | 'level'>, mono: number): readonly Verdict[] {
+    const suspect = this.getOrCreateSuspect(digest, mono)
     suspect.add(ends)
-    if (!suspect.judge(mono, level)) return []
-    return [{ kind: 'quarantined', digest, ends: [...suspect.counted], level: suspect.level }]
+    if (!suspect.quarantineIfDue(mono, level)) return []
+    return [{ kind: 'quarantined', digest, ends: [...suspect.countedEnds], level: suspect.level }]
   }
 
   private clearanceOf (digest: string, suspect: SuspectRequest, mono: number): Clearance {
     const processes = [...suspect.processes]
     suspect.clear(processes)
-    suspect.touchedAt = mono
+    suspect.lastUpdatedAt = mono
     return { kind: 'cleared', digest, processes }
   }
 
-  private suspectOf (digest: string, mono: number): SuspectRequest {
+  private getOrCreateSuspect (digest: string, mono: number): SuspectRequest {
     const suspect = this.suspects.get(digest) ?? new SuspectRequest()
     // Keeps the map in order of the last update, so that the first entry is the oldest.
     this.suspects.delete(digest)
     this.suspects.set(digest, suspect)
-    suspect.touchedAt = mono
-    if (this.suspects.size > MOST_SUSPECTS) this.forgetOldest(mono)
+    suspect.lastUpdatedAt = mono
+    if (this.suspects.size > MAX_SUSPECTS) this.dropOldestSuspect(mono)
     return suspect
   }
 
-  private forgetOldest (mono: number): void {
+  private dropOldestSuspect (mono: number): void {
     for (const [digest, suspect] of this.suspects) {
       if (suspect.isQuarantined(mono)) continue
       this.suspects.delete(digest)
--- a/packages/decisions/src/routing/ejectionBound.ts
+++ b/packages/decisions/src/routing/ejectionBound.ts
@@ -5,12 +5,12 @@
 import type { RunnerState } from './runnerState.js'
 
 /** Of two or more candidates, one may always be ejected. */
-const EJECTED_SHARE = 1 / 3
+const MAX_EJECTED_SHARE = 1 / 3
 
 export interface BoundedCandidates {
   readonly usable: readonly RunnerState[]
   /** Number of usable runners that are still ejected. */
-  readonly forced: number
+  readonly forcedCount: number
 }
 
 /**
@@ -19,14 +19,14 @@
  * @param mono - current monotonic time in milliseconds
  */
 export function boundEjections (candidates: readonly RunnerState[], mono: number): BoundedCandidates {
-  const ejected = candidates.filter(state => isOut(state, mono))
-  if (ejected.length === 0) return { usable: candidates, forced: 0 }
-  const allowed = candidates.length < 2 ? 0 : Math.max(1, Math.floor(candidates.length * EJECTED_SHARE))
-  const forced = Math.max(0, ejected.length - allowed)
-  const back = new Set(ejected.sort((a, b) => a.health.until - b.health.until).slice(0, forced))
-  return { usable: candidates.filter(state => back.has(state) || !isOut(state, mono)), forced }
+  const ejected = candidates.filter(state => isUnavailable(state, mono))
+  if (ejected.length === 0) return { usable: candidates, forcedCount: 0 }
+  const maxEjected = candidates.length < 2 ? 0 : Math.max(1, Math.floor(candidates.length * MAX_EJECTED_SHARE))
+  const forcedCount = Math.max(0, ejected.length - maxEjected)
+  const readmitted = new Set(ejected.sort((a, b) => a.health.until - b.health.until).slice(0, forcedCount))
+  return { usable: candidates.filter(state => readmitted.has(state) || !isUnavailable(state, mono)), forcedCount }
 }
 
-function isOut (state: RunnerState, mono: number): boolean {
+function isUnavailable (state: RunnerState, mono: number): boolean {
   return state.health.share(mono, state.load.count) === 0
 }
--- a/packages/decisions/src/routing/ewma.ts
+++ b/packages/decisions/src/routing/ewma.ts
@@ -6,14 +6,14 @@
 /** Samples are clipped at this multiple of the mean, so that one stalled request does not distort the estimate. */
 const CLIP_FACTOR = 4
 
-const CLIP_AFTER = 5
+const CLIP_AFTER_SAMPLES = 5
 
 /** Weight of a new sample; the first samples weigh more. */
-const GAIN = 0.1
+const MIN_GAIN = 0.1
 
 export class Ewma {
   private meanValue = 0
-  private deviation = 0
+  private meanDeviation = 0
   private samples = 0
 
   /** @param clipFactor - multiple of the mean at which samples are clipped */
@@ -22,11 +22,11 @@
   /** Adds a sample in any unit. Early samples weigh more, so that the first estimate is their arithmetic mean. */
   add (value: number): void {
     this.samples += 1
-    const gain = Math.max(GAIN, 1 / this.samples)
-    const clipped = this.samples > CLIP_AFTER ? Math.min(value, this.clipFactor * this.meanValue) : value
+    const gain = Math.max(MIN_GAIN, 1 / this.samples)
+    const clipped = this.samples > CLIP_AFTER_SAMPLES ? Math.min(value, this.clipFactor * this.meanValue) : value
     const error = clipped - this.meanValue
     this.meanValue += gain * error
-    if (this.samples > 1) this.deviation += gain * (Math.abs(error) - this.deviation)
+    if (this.samples > 1) this.meanDeviation += gain * (Math.abs(error) - this.meanDeviation)
   }
 
   get count (): number {
@@ -38,7 +38,7 @@
   }
 
   /** Upper estimate: the mean plus the given number of mean deviations. */
-  above (deviations: number): number {
-    return this.meanValue + deviations * this.deviation
+  upperEstimate (deviations: number): number {
+    return this.meanValue + deviations * this.meanDeviation
   }
 }
--- a/packages/decisions/src/routing/fairQueue.spec.ts
+++ b/packages/decisions/src/routing/fairQueue.spec.ts
@@ -15,7 +15,7 @@
 }
 
 /** Serves one request at a time; returns the teams in the order served. */
-function served (queue: Pick<FairQueue<number>, 'pop' | 'done'>, turns: number): readonly string[] {
+function serveTeams (queue: Pick<FairQueue<number>, 'pop' | 'done'>, turns: number): readonly string[] {
   return Array.from({ length: turns }, () => {
     const next = queue.pop()
     if (next === undefined) return 'none'
@@ -25,14 +25,14 @@
 }
 
 /** Faulty: first in, first out, without fairness or deadlines. */
-class FirstCome {
+class FifoQueue {
   private readonly items: Item[] = []
   offer (one: Item): void { this.items.push(one) }
   pop (): Item | undefined { return this.items.shift() }
   done (): void {}
 }
 
-const times = (teams: readonly string[], team: string): number => teams.filter(name => name === team).length
+const countOf = (teams: readonly string[], team: string): number => teams.filter(name => name === team).length
 
 describe('FairQueue', () => {
   const shares = [
@@ -43,15 +43,15 @@
   for (const { name, teams, turns, small, firstCome } of shares) {
     it(`${name}: the other team gets its ${small} of ${turns} turns, and fewer from a FIFO queue`, () => {
       const queue = new FairQueue<number>(1)
-      const weak = new FirstCome()
+      const weak = new FifoQueue()
       for (const [team, { count, ...rest }] of Object.entries(teams)) {
         for (let i = 0; i < count; i++) {
           queue.offer(item(team, rest), at(0))
           weak.offer(item(team, rest))
         }
       }
-      expect(times(served(queue, turns), 'small')).to.be.within(small - 1, small + 1)
-      expect(times(served(weak, Math.min(turns, 20)), 'small')).to.equal(firstCome)
+      expect(countOf(serveTeams(queue, turns), 'small')).to.be.within(small - 1, small + 1)
+      expect(countOf(serveTeams(weak, Math.min(turns, 20)), 'small')).to.equal(firstCome)
     })
   }
 
@@ -96,7 +96,7 @@
     expect(queue.expire(at(2_000))).to.deep.equal([])
     expect(queue.expire(at(2_001)).map(({ item: gone, failure }) => [gone, failure.code])).to.deep.equal([[late, 'deadlineOutOfReach']])
     expect(queue.waiting).to.equal(0)
-    const weak = new FirstCome()
+    const weak = new FifoQueue()
     weak.offer(late)
     expect(weak.pop()).to.equal(late)
   })
--- a/packages/decisions/src/routing/fairQueue.ts
+++ b/packages/decisions/src/routing/fairQueue.ts
@@ -8,12 +8,12 @@
 import type { Instant } from '../clock/clockTypes.js'
 import type { Failure } from '../codes/failure.js'
 import { Ewma } from './ewma.js'
-import { isLate, outOfReach, refusalOf, type QueueState } from './queueRefusal.js'
+import { wouldMissDeadline, deadlineFailure, admissionFailure, type QueueState } from './queueRefusal.js'
 import type { ExpiredItem, QueueItem, RequestQueue } from './queueTypes.js'
-import { headStart, insert, nextTeam, startsUpTo, type TeamQueue } from './teamQueue.js'
+import { headStart, insertByPriority, nextTeam, countStartsBefore, type TeamQueue } from './teamQueue.js'
 
 /** Waiting requests over all teams. */
-const DEFAULT_CAPACITY = 1_024
+const DEFAULT_MAX_WAITING = 1_024
 
 /** Fair queue of one VM for one model; see {@link RequestQueue}. */
 export class FairQueue<T> implements RequestQueue<T> {
@@ -27,7 +27,7 @@
    * @param concurrency - requests that may run at once
    * @param capacity - requests that may wait
    */
-  constructor (private concurrency: number, private readonly capacity = DEFAULT_CAPACITY) {}
+  constructor (private concurrency: number, private readonly capacity = DEFAULT_MAX_WAITING) {}
 
   get waiting (): number {
     return this.waitingCount
@@ -42,14 +42,14 @@
   }
 
   offer (item: QueueItem<T>, now: Instant): Either<Failure, void> {
-    const team = this.teamOf(item)
-    const failure = refusalOf(item, this.stateFor(team, item), now)
+    const team = this.getOrCreateTeam(item)
+    const failure = admissionFailure(item, this.queueStateFor(team, item), now)
     if (failure !== undefined) {
-      this.dropIdle(item.team, team)
+      this.deleteIfIdle(item.team, team)
       return Left(failure)
     }
     if (team.items.length === 0) team.tag = Math.max(team.tag, this.virtualTime)
-    insert(team.items, item)
+    insertByPriority(team.items, item)
     this.waitingCount += 1
     return Right(undefined)
   }
@@ -68,7 +68,7 @@
   }
 
   putBack (item: QueueItem<T>): void {
-    const team = this.teamOf(item)
+    const team = this.getOrCreateTeam(item)
     team.tag -= item.tokens / item.weight
     team.items.unshift(item)
     this.stopped(team)
@@ -76,20 +76,20 @@
   }
 
   abandoned (item: QueueItem<T>): void {
-    const team = this.teamOf(item)
+    const team = this.getOrCreateTeam(item)
     team.tag -= item.tokens / item.weight
     this.stopped(team)
-    this.dropIdle(item.team, team)
+    this.deleteIfIdle(item.team, team)
   }
 
   expire (now: Instant): readonly ExpiredItem<T>[] {
     const expired: ExpiredItem<T>[] = []
     for (const [name, team] of this.teams) {
-      const late = team.items.filter(item => isLate(item, now))
+      const late = team.items.filter(item => wouldMissDeadline(item, now))
       if (late.length === 0) continue
-      for (const item of late) expired.push({ item, failure: outOfReach('waited in the queue until its deadline came out of reach', this.turnMs(team)) })
-      this.take(team, late)
-      this.dropIdle(name, team)
+      for (const item of late) expired.push({ item, failure: deadlineFailure('waited in the queue until its deadline came out of reach', this.teamStartIntervalMs(team)) })
+      this.removeItems(team, late)
+      this.deleteIfIdle(name, team)
     }
     return expired
   }
@@ -98,66 +98,66 @@
     for (const [name, team] of this.teams) {
       const found = team.items.filter(item => item.id === id)
       if (found.length === 0) continue
-      this.take(team, found)
-      this.dropIdle(name, team)
+      this.removeItems(team, found)
+      this.deleteIfIdle(name, team)
       return true
     }
     return false
   }
 
   done (item: QueueItem<T>, usedTokens: number, ranMs: number): void {
-    const team = this.teamOf(item)
+    const team = this.getOrCreateTeam(item)
     team.tag -= (item.tokens - Math.min(usedTokens, item.tokens)) / item.weight
     this.stopped(team)
     this.serviceMs.add(ranMs)
-    this.dropIdle(item.team, team)
+    this.deleteIfIdle(item.team, team)
   }
 
-  private stateFor (team: TeamQueue<T>, item: QueueItem<T>): QueueState {
+  private queueStateFor (team: TeamQueue<T>, item: QueueItem<T>): QueueState {
     return {
       teamInFlight: team.items.length + team.running,
       waiting: this.waitingCount,
       capacity: this.capacity,
       waitMs: this.waitMs(team, item),
-      turnMs: this.turnMs(team)
+      teamStartIntervalMs: this.teamStartIntervalMs(team)
     }
   }
 
   /** Predicted wait: the number of requests that would start earlier, times the current start interval. */
   private waitMs (team: TeamQueue<T>, item: QueueItem<T>): number {
     if (this.waitingCount === 0 && this.runningCount < this.concurrency) return 0
-    return (this.startsBefore(team, item) + 0.5) * this.startGapMs(item.serviceMs)
+    return (this.countStartsBefore(team, item) + 0.5) * this.startIntervalMs(item.serviceMs)
   }
 
   /** Waiting requests that would start before a new one. */
-  private startsBefore (team: TeamQueue<T>, item: QueueItem<T>): number {
+  private countStartsBefore (team: TeamQueue<T>, item: QueueItem<T>): number {
     const ahead = team.items.filter(other => other.priority >= item.priority)
     const tokensAhead = ahead.reduce((sum, other) => sum + other.tokens, 0)
     const tag = Math.max(team.tag, this.virtualTime) + tokensAhead / team.weight - headStart(item)
     let count = ahead.length
-    for (const other of this.teams.values()) if (other !== team) count += startsUpTo(other, tag)
+    for (const other of this.teams.values()) if (other !== team) count += countStartsBefore(other, tag)
     return count
   }
 
   /** Milliseconds between two starts of a team, as long as all waiting teams have requests. */
-  private turnMs (team: TeamQueue<T>): number {
+  private teamStartIntervalMs (team: TeamQueue<T>): number {
     let weights = team.items.length === 0 ? team.weight : 0
     for (const other of this.teams.values()) if (other.items.length > 0) weights += other.weight
-    return this.startGapMs(0) * weights / team.weight
+    return this.startIntervalMs(0) * weights / team.weight
   }
 
   /** Milliseconds between two starts over all teams. */
-  private startGapMs (fallbackMs: number): number {
+  private startIntervalMs (fallbackMs: number): number {
     const serviceMs = this.serviceMs.count > 0 ? this.serviceMs.mean : fallbackMs
-    const atOnce = this.waitingCount > 0 ? this.runningCount : this.concurrency
-    return serviceMs / Math.max(1, atOnce)
+    const concurrent = this.waitingCount > 0 ? this.runningCount : this.concurrency
+    return serviceMs / Math.max(1, concurrent)
   }
 
-  private teamOf (item: QueueItem<T>): TeamQueue<T> {
-    const known = this.teams.get(item.team)
-    if (known !== undefined) {
-      known.weight = item.weight
-      return known
+  private getOrCreateTeam (item: QueueItem<T>): TeamQueue<T> {
+    const existing = this.teams.get(item.team)
+    if (existing !== undefined) {
+      existing.weight = item.weight
+      return existing
     }
     const team: TeamQueue<T> = { weight: item.weight, tag: this.virtualTime, running: 0, items: [] }
     this.teams.set(item.team, team)
@@ -169,14 +169,14 @@
     this.runningCount = Math.max(0, this.runningCount - 1)
   }
 
-  private take (team: TeamQueue<T>, gone: readonly QueueItem<T>[]): void {
-    const rest = team.items.filter(item => !gone.includes(item))
-    this.waitingCount -= team.items.length - rest.length
-    team.items.splice(0, team.items.length, ...rest)
+  private removeItems (team: TeamQueue<T>, removed: readonly QueueItem<T>[]): void {
+    const remaining = team.items.filter(item => !removed.includes(item))
+    this.waitingCount -= team.items.length - remaining.length
+    team.items.splice(0, team.items.length, ...remaining)
   }
 
   /** A team whose tag is ahead of the virtual time stays, or it would lose what it was charged. */
-  private dropIdle (name: string, team: TeamQueue<T>): void {
+  private deleteIfIdle (name: string, team: TeamQueue<T>): void {
     if (team.items.length === 0 && team.running === 0 && team.tag <= this.virtualTime) this.teams.delete(name)
   }
 }
--- a/packages/decisions/src/routing/fleetView.ts
+++ b/packages/decisions/src/routing/fleetView.ts
@@ -11,25 +11,25 @@
 import type { RouteEvent, RunnerView } from './routingTypes.js'
 
 /** Routed requests that are stored until their `dispatched` event. */
-const ROUTED_LIMIT = 4_096
+const MAX_ROUTED_REQUESTS = 4_096
 
 /** A runner is ejected when its prefill time per token exceeds this multiple of the median. */
 const SLOW_FACTOR = 3
 
 /** First tokens of a runner between two comparisons with the median of its peers. */
-const SLOW_CHECK_EVERY = 8
+const SLOW_CHECK_INTERVAL_SAMPLES = 8
 
 /** Samples are clipped at this multiple of the mean, so that one slow runner does not make the whole fleet look slow. */
 const FLEET_CLIP_FACTOR = 1.5
 
 /** With fewer peers a median says too little to eject a runner. */
-const MEDIAN_RUNNERS = 3
+const MIN_MEDIAN_PEERS = 3
 
 /** Details of a routing decision, used when the request is dispatched. */
-export interface RoutedWork {
+export interface RoutedRequest {
   readonly maxTokens: number
   readonly uncachedTokens: number
-  readonly unqueued: boolean
+  readonly hadFreeSlot: boolean
   readonly prefixHashes: readonly string[]
 }
 
@@ -46,8 +46,8 @@
   readonly fleet = new LatencyModel(FLEET_CLIP_FACTOR)
   private readonly runners = new Map<string, RunnerState>()
   private readonly models = new Map<string, ModelRunners>()
-  private readonly routed = new Map<string, RoutedWork>()
-  private readonly othersPerSlot = new Ewma()
+  private readonly routed = new Map<string, RoutedRequest>()
+  private readonly remotePerSlotMean = new Ewma()
 
   /**
    * @param vm - name of this VM
@@ -56,8 +56,8 @@
   constructor (private readonly vm: string, private readonly domain: string) {}
 
   /** Average number of requests from other VMs per slot, over all runners that report. */
-  get prior (): number {
-    return this.othersPerSlot.mean
+  get remotePerSlot (): number {
+    return this.remotePerSlotMean.mean
   }
 
   runnersOf (model: string): ModelRunners {
@@ -78,10 +78,10 @@
     return this.runners.get(runner)
   }
 
-  remember (requestId: string, work: RoutedWork): void {
+  recordRouted (requestId: string, request: RoutedRequest): void {
     this.routed.delete(requestId)
-    this.routed.set(requestId, work)
-    if (this.routed.size <= ROUTED_LIMIT) return
+    this.routed.set(requestId, request)
+    if (this.routed.size <= MAX_ROUTED_REQUESTS) return
     const oldest = this.routed.keys().next()
     if (oldest.done !== true) this.routed.delete(oldest.value)
   }
@@ -109,11 +109,11 @@
   private configured (event: EventOf<'configured'>): void {
     for (const state of this.runnersOf(event.model).all) state.models.delete(event.model)
     const all = event.runners.map(view => this.configuredRunner(view, event.model))
-    const chosen = new Set(subsetOf(this.vm, this.domain, event.runners).map(view => view.runner))
-    const watched = all.filter(state => chosen.has(state.view.runner))
+    const subset = new Set(subsetOf(this.vm, this.domain, event.runners).map(view => view.runner))
+    const watched = all.filter(state => subset.has(state.view.runner))
     if (all.length === 0) this.models.delete(event.model)
     else this.models.set(event.model, { all, watched })
-    for (const state of this.runners.values()) this.dropUnused(state)
+    for (const state of this.runners.values()) this.deleteIfUnused(state)
   }
 
   private configuredRunner (view: RunnerView, model: string): RunnerState {
@@ -124,51 +124,51 @@
     return state
   }
 
-  private dropUnused (state: RunnerState): void {
+  private deleteIfUnused (state: RunnerState): void {
     if (state.models.size === 0 && state.load.count === 0) this.runners.delete(state.view.runner)
   }
 
   private dispatched (state: RunnerState, event: EventOf<'dispatched'>, mono: number): void {
-    const work = this.routed.get(event.requestId)
+    const routed = this.routed.get(event.requestId)
     this.routed.delete(event.requestId)
     state.load.dispatched(event.requestId, {
       atMono: mono,
       tokens: event.tokens,
-      maxTokens: work?.maxTokens ?? 0,
-      uncachedTokens: work?.uncachedTokens ?? event.tokens,
-      unqueued: work?.unqueued ?? false
+      maxTokens: routed?.maxTokens ?? 0,
+      uncachedTokens: routed?.uncachedTokens ?? event.tokens,
+      hadFreeSlot: routed?.hadFreeSlot ?? false
     })
-    for (const hash of work?.prefixHashes ?? []) this.prefixes.stored(hash, state.view.runner, mono)
+    for (const hash of routed?.prefixHashes ?? []) this.prefixes.stored(hash, state.view.runner, mono)
   }
 
   private firstToken (state: RunnerState, event: EventOf<'firstToken'>, mono: number): void {
     const request = state.load.firstToken(event.requestId, event.afterMs)
-    state.health.responded(mono)
-    if (request?.unqueued !== true) return
-    state.latency.sawFirstToken(event.afterMs, request.uncachedTokens)
-    this.fleet.sawFirstToken(event.afterMs, request.uncachedTokens)
-    if (state.latency.firstTokenMs.count % SLOW_CHECK_EVERY === 0) this.ejectIfSlow(state, mono)
+    state.health.recordResponse(mono)
+    if (request?.hadFreeSlot !== true) return
+    state.latency.recordFirstToken(event.afterMs, request.uncachedTokens)
+    this.fleet.recordFirstToken(event.afterMs, request.uncachedTokens)
+    if (state.latency.firstTokenMs.count % SLOW_CHECK_INTERVAL_SAMPLES === 0) this.ejectIfSlow(state, mono)
   }
 
   private ended (state: RunnerState, event: EventOf<'ended'>, mono: number): void {
     const request = state.load.ended(event.requestId, mono)
-    if (event.ok) state.health.succeeded(mono)
-    else state.health.failed(mono)
+    if (event.ok) state.health.recordSuccess(mono)
+    else state.health.recordFailure(mono)
     if (event.ok && request?.firstTokenMs !== undefined) {
-      const busy = Math.min(1, state.load.estimate(mono, this.prior * state.view.slots) / state.view.slots)
+      const busyShare = Math.min(1, state.load.estimate(mono, this.remotePerSlot * state.view.slots) / state.view.slots)
       const decodeMs = event.totalMs - request.firstTokenMs
-      state.latency.sawAnswer(decodeMs, event.tokens, busy, mono)
-      this.fleet.sawAnswer(decodeMs, event.tokens, busy, mono)
+      state.latency.recordCompletion(decodeMs, event.tokens, busyShare, mono)
+      this.fleet.recordCompletion(decodeMs, event.tokens, busyShare, mono)
     }
-    this.dropUnused(state)
+    this.deleteIfUnused(state)
   }
 
   private loadReported (state: RunnerState, event: EventOf<'loadReported'>, mono: number): void {
-    const at = mono - Math.max(0, event.reportAgeMs)
-    const others = state.load.reported(event.running + event.waiting, at)
-    if (others === undefined) return
-    this.othersPerSlot.add(others / state.view.slots)
-    state.reportedLeaving(event.leaving, at)
+    const reportedAt = mono - Math.max(0, event.reportAgeMs)
+    const remote = state.load.reported(event.running + event.waiting, reportedAt)
+    if (remote === undefined) return
+    this.remotePerSlotMean.add(remote / state.view.slots)
+    state.reportedLeaving(event.leaving, reportedAt)
     if (event.models !== undefined) state.reportedModels(event.models)
   }
 
@@ -180,10 +180,10 @@
   private ejectIfSlow (state: RunnerState, mono: number): void {
     const [model] = state.models.keys()
     const peers = this.runnersOf(model ?? '').watched.filter(peer => peer !== state && peer.latency.isTrusted(mono))
-    if (peers.length < MEDIAN_RUNNERS) return
-    const figures = peers.map(peer => peer.latency.unitMs(0)).sort((a, b) => a - b)
-    const median = figures[Math.floor(figures.length / 2)] ?? Infinity
-    if (state.latency.unitMs(0) <= SLOW_FACTOR * median) return
+    if (peers.length < MIN_MEDIAN_PEERS) return
+    const prefillTimes = peers.map(peer => peer.latency.prefillTokenMs(0)).sort((a, b) => a - b)
+    const median = prefillTimes[Math.floor(prefillTimes.length / 2)] ?? Infinity
+    if (state.latency.prefillTokenMs(0) <= SLOW_FACTOR * median) return
     state.health.eject('slow first tokens', mono)
     state.latency = new LatencyModel()
   }
--- a/packages/decisions/src/routing/keyedOrder.ts
+++ b/packages/decisions/src/routing/keyedOrder.ts
@@ -7,10 +7,10 @@
 import type { RunnerState } from './runnerState.js'
 
 /** How long engines store the record of a run. */
-const RECORD_KEEP_MS = 7_200_000
+const RECORD_RETENTION_MS = 7_200_000
 
 /** Exceeds every weight, so that recently added runners come after all others. */
-const RECENT_PENALTY = 2 ** 32
+const RECENTLY_ADDED_PENALTY = 2 ** 32
 
 /**
  * Yields the runners in the order of one request. Runners added within the record retention time
@@ -20,13 +20,13 @@
  */
 export function * keyedOrder (requestId: string, model: string, states: readonly RunnerState[], wall: number): Generator<RunnerState, void> {
   const key = hashName(requestId)
-  const rest = [...states]
-  const weights = rest.map(state => weightOf(key, state, model, wall))
-  while (rest.length > 0) {
-    const best = indexOfBest(rest, weights)
-    const state = rest[best]
+  const remaining = [...states]
+  const weights = remaining.map(state => weightOf(key, state, model, wall))
+  while (remaining.length > 0) {
+    const best = indexOfBest(remaining, weights)
+    const state = remaining[best]
     if (state !== undefined) yield state
-    removeAt(rest, best)
+    removeAt(remaining, best)
     removeAt(weights, best)
   }
 }
@@ -45,8 +45,8 @@
 }
 
 function rankOf (key: number, nameHash: number, addedAt: number | undefined, wall: number): number {
-  const recent = addedAt !== undefined && wall - addedAt < RECORD_KEEP_MS
-  return pairWeight(key, nameHash) - (recent ? RECENT_PENALTY : 0)
+  const isRecent = addedAt !== undefined && wall - addedAt < RECORD_RETENTION_MS
+  return pairWeight(key, nameHash) - (isRecent ? RECENTLY_ADDED_PENALTY : 0)
 }
 
 function indexOfBest (states: readonly RunnerState[], weights: readonly number[]): number {
--- a/packages/decisions/src/routing/latencyModel.ts
+++ b/packages/decisions/src/routing/latencyModel.ts
@@ -5,30 +5,30 @@
 import { Ewma } from './ewma.js'
 
 /** Fixed cost of a first token, in equivalent prompt tokens. */
-const FIRST_TOKEN_OVERHEAD = 200
+const FIRST_TOKEN_OVERHEAD_TOKENS = 200
 
 /** Relative increase of the time per token from an idle to a fully busy runner. */
 const BUSY_SLOWDOWN = 1
 
 /** With fewer samples a measured value is not used. */
-const TRUSTED_SAMPLES = 5
+const MIN_TRUSTED_SAMPLES = 5
 
 /** A first token later than this multiple of the expected time probably waited in a queue, so its sample is clipped there. */
-const QUEUED_FACTOR = 1.5
+const FIRST_TOKEN_CLIP_FACTOR = 1.5
 
 /** Older measurements justify no refusal: a model that refuses all requests would never get new samples. */
 const STALE_MS = 10_000
 
 /** Mean deviations added in a cautious prediction. */
-const CAUTION = 1
+const CAUTIOUS_DEVIATIONS = 1
 
 /** Assumed until the first measurement. */
-const DEFAULT_UNIT_MS = 0.5
-const DEFAULT_TOKEN_MS = 20
-const DEFAULT_TOKENS = 200
+const DEFAULT_PREFILL_TOKEN_MS = 0.5
+const DEFAULT_DECODE_TOKEN_MS = 20
+const DEFAULT_ANSWER_TOKENS = 200
 
 /** Input of a prediction: the request and the runner that would serve it. */
-export interface Work {
+export interface PredictionInput {
   readonly uncachedTokens: number
   readonly answerTokens: number
   /** Requests at the runner, without this one. */
@@ -49,13 +49,13 @@
 export class LatencyModel {
   readonly firstTokenMs = new Ewma()
   readonly promptTokens = new Ewma()
-  readonly tokenMs: Ewma
+  readonly decodeTokenMs: Ewma
   readonly answerTokens = new Ewma()
-  private answeredAt = -Infinity
+  private lastCompletedAt = -Infinity
 
   /** @param clipFactor - multiple of the mean at which samples of the time per output token are clipped */
   constructor (clipFactor?: number) {
-    this.tokenMs = new Ewma(clipFactor)
+    this.decodeTokenMs = new Ewma(clipFactor)
   }
 
   /**
@@ -63,14 +63,14 @@
    * @param mono - current monotonic time in milliseconds
    */
   isTrusted (mono: number): boolean {
-    return this.tokenMs.count >= TRUSTED_SAMPLES && mono - this.answeredAt <= STALE_MS
+    return this.decodeTokenMs.count >= MIN_TRUSTED_SAMPLES && mono - this.lastCompletedAt <= STALE_MS
   }
 
-  sawFirstToken (afterMs: number, uncachedTokens: number): void {
-    const expectedMs = this.unitMs(0) * (uncachedTokens + FIRST_TOKEN_OVERHEAD)
-    const queuedMs = this.firstTokenMs.count < TRUSTED_SAMPLES ? Infinity : QUEUED_FACTOR * expectedMs
-    this.firstTokenMs.add(Math.min(afterMs, queuedMs))
-    this.promptTokens.add(uncachedTokens + FIRST_TOKEN_OVERHEAD)
+  recordFirstToken (afterMs: number, uncachedTokens: number): void {
+    const expectedMs = this.prefillTokenMs(0) * (uncachedTokens + FIRST_TOKEN_OVERHEAD_TOKENS)
+    const maxSampleMs = this.firstTokenMs.count < MIN_TRUSTED_SAMPLES ? Infinity : FIRST_TOKEN_CLIP_FACTOR * expectedMs
+    this.firstTokenMs.add(Math.min(afterMs, maxSampleMs))
+    this.promptTokens.add(uncachedTokens + FIRST_TOKEN_OVERHEAD_TOKENS)
   }
 
   /**
@@ -78,8 +78,8 @@
    * dominated by short prompts that wait for an engine step to end.
    * @param deviations - mean deviations added to the first-token time
    */
-  unitMs (deviations: number): number {
-    return this.firstTokenMs.above(deviations) / Math.max(1, this.promptTokens.mean)
+  prefillTokenMs (deviations: number): number {
+    return this.firstTokenMs.upperEstimate(deviations) / Math.max(1, this.promptTokens.mean)
   }
 
   /**
@@ -89,10 +89,10 @@
    * @param busyShare - share of busy slots, 0 to 1
    * @param mono - current monotonic time in milliseconds
    */
-  sawAnswer (decodeMs: number, tokens: number, busy: number, mono: number): void {
-    this.answeredAt = mono
+  recordCompletion (decodeMs: number, tokens: number, busyShare: number, mono: number): void {
+    this.lastCompletedAt = mono
     this.answerTokens.add(tokens)
-    if (tokens > 1) this.tokenMs.add(decodeMs / (tokens - 1) / slowdown(busy))
+    if (tokens > 1) this.decodeTokenMs.add(decodeMs / (tokens - 1) / slowdown(busyShare))
   }
 }
 
@@ -103,30 +103,30 @@
  * @param input - the request and the load
  * @param cautious - true for an upper bound that most requests meet, false for the expected times
  */
-export function predict (own: LatencyModel, fleet: LatencyModel, work: Work, cautious: boolean): Prediction {
-  const deviations = cautious ? CAUTION : 0
-  const unitMs = unitFigure(own, fleet, deviations)
-  const tokenMs = tokenFigure(own, fleet, deviations)
-  const perTokenMs = tokenMs * slowdown(Math.min(1, (work.load + 1) / work.slots))
-  const prefillMs = unitMs * (work.uncachedTokens + FIRST_TOKEN_OVERHEAD)
-  const typicalTokens = fleet.answerTokens.count > 0 ? fleet.answerTokens.mean : DEFAULT_TOKENS
-  const slotMs = prefillMs + typicalTokens * perTokenMs
-  const waitMs = Math.max(0, work.load + 1 - work.slots) * slotMs / work.slots
+export function predict (runner: LatencyModel, fleet: LatencyModel, input: PredictionInput, cautious: boolean): Prediction {
+  const deviations = cautious ? CAUTIOUS_DEVIATIONS : 0
+  const prefillTokenMs = effectivePrefillTokenMs(runner, fleet, deviations)
+  const decodeTokenMs = effectiveDecodeTokenMs(runner, fleet, deviations)
+  const loadedTokenMs = decodeTokenMs * slowdown(Math.min(1, (input.load + 1) / input.slots))
+  const prefillMs = prefillTokenMs * (input.uncachedTokens + FIRST_TOKEN_OVERHEAD_TOKENS)
+  const typicalTokens = fleet.answerTokens.count > 0 ? fleet.answerTokens.mean : DEFAULT_ANSWER_TOKENS
+  const slotMs = prefillMs + typicalTokens * loadedTokenMs
+  const waitMs = Math.max(0, input.load + 1 - input.slots) * slotMs / input.slots
   const firstTokenMs = waitMs + prefillMs
-  const totalMs = firstTokenMs + work.answerTokens * perTokenMs
+  const totalMs = firstTokenMs + input.answerTokens * loadedTokenMs
   return { waitMs, prefillMs, firstTokenMs, totalMs, slotMs }
 }
 
-function slowdown (busy: number): number {
-  return 1 + BUSY_SLOWDOWN * busy
+function slowdown (busyShare: number): number {
+  return 1 + BUSY_SLOWDOWN * busyShare
 }
 
-function unitFigure (own: LatencyModel, fleet: LatencyModel, deviations: number): number {
-  if (own.firstTokenMs.count >= TRUSTED_SAMPLES) return own.unitMs(deviations)
-  return fleet.firstTokenMs.count > 0 ? fleet.unitMs(deviations) : DEFAULT_UNIT_MS
+function effectivePrefillTokenMs (runner: LatencyModel, fleet: LatencyModel, deviations: number): number {
+  if (runner.firstTokenMs.count >= MIN_TRUSTED_SAMPLES) return runner.prefillTokenMs(deviations)
+  return fleet.firstTokenMs.count > 0 ? fleet.prefillTokenMs(deviations) : DEFAULT_PREFILL_TOKEN_MS
 }
 
-function tokenFigure (own: LatencyModel, fleet: LatencyModel, deviations: number): number {
-  if (own.tokenMs.count >= TRUSTED_SAMPLES) return own.tokenMs.above(deviations)
-  return fleet.tokenMs.count > 0 ? fleet.tokenMs.above(deviations) : DEFAULT_TOKEN_MS
+function effectiveDecodeTokenMs (runner: LatencyModel, fleet: LatencyModel, deviations: number): number {
+  if (runner.decodeTokenMs.count >= MIN_TRUSTED_SAMPLES) return runner.decodeTokenMs.upperEstimate(deviations)
+  return fleet.decodeTokenMs.count > 0 ? fleet.decodeTokenMs.upperEstimate(deviations) : DEFAULT_DECODE_TOKEN_MS
 }
--- a/packages/decisions/src/routing/ownWindow.ts
+++ b/packages/decisions/src/routing/ownWindow.ts
@@ -13,17 +13,17 @@
  * @param queueShare - requests that may wait at a runner, as a share of its slots
  * @returns total requests in flight allowed; infinite when no load is reported
  */
-export function ownWindow (usable: readonly RunnerState[], queueShare: number): number {
+export function localWindow (usable: readonly RunnerState[], queueShare: number): number {
   let total = 0
-  let own = 0
+  let local = 0
   let limit = 0
   for (const { load, view } of usable) {
     const report = load.lastReport
     if (report === undefined) continue
     total += report.total
-    own += report.own
+    local += report.local
     limit += view.slots * (1 + queueShare)
   }
   if (total === 0) return Infinity
-  return own * limit / total + PROBE_PER_RUNNER * usable.length
+  return local * limit / total + PROBE_PER_RUNNER * usable.length
 }
--- a/packages/decisions/src/routing/pollSchedule.spec.ts
+++ b/packages/decisions/src/routing/pollSchedule.spec.ts
@@ -7,12 +7,12 @@
 const TICK_MS = 250
 
 /** Simulates the schedule; returns the number of calls to each runner. */
-function play (runners: number, vms: number, seconds: number, used: readonly string[] = []): Map<string, number> {
+function simulateCalls (runners: number, vms: number, seconds: number, used: readonly string[] = []): Map<string, number> {
   const schedule = new PollSchedule(500)
   const watched = Array.from({ length: runners }, (_, index) => `r${index}`)
   const calls = new Map(watched.map(runner => [runner, 0]))
   for (let mono = 0; mono <= seconds * 1_000; mono += TICK_MS) {
-    used.forEach(runner => { schedule.use(runner) })
+    used.forEach(runner => { schedule.markUsed(runner) })
     for (const { runner } of schedule.due(watched, vms, mono)) calls.set(runner, (calls.get(runner) ?? 0) + 1)
   }
   return calls
@@ -29,17 +29,17 @@
 describe('PollSchedule', () => {
   for (const { name, runners, vms, most } of bounds) {
     it(`bounds the calls in 100 seconds with ${name}`, () => {
-      expect(total(play(runners, vms, 100))).to.be.within(1, most)
+      expect(total(simulateCalls(runners, vms, 100))).to.be.within(1, most)
     })
   }
 
   it('polls all runners equally often', () => {
-    const calls = [...play(12, 6, 100).values()]
+    const calls = [...simulateCalls(12, 6, 100).values()]
     expect(Math.max(...calls) - Math.min(...calls)).to.be.at.most(1)
   })
 
   it('polls a runner in use more often, but still polls the others', () => {
-    const calls = play(12, 6, 100, ['r3'])
+    const calls = simulateCalls(12, 6, 100, ['r3'])
     expect(calls.get('r3')).to.be.above(3 * (calls.get('r4') ?? 0))
     expect(Math.min(...calls.values())).to.be.above(0)
   })
--- a/packages/decisions/src/routing/pollSchedule.ts
+++ b/packages/decisions/src/routing/pollSchedule.ts
@@ -6,10 +6,10 @@
 
 /** Load calls of the whole fleet, unless the minimum rate per VM adds up to more. */
 const FLEET_CALLS_PER_SECOND = 12
-const MOST_CALLS_PER_SECOND = 2
-const LEAST_CALLS_PER_SECOND = 0.25
+const MAX_CALLS_PER_SECOND = 2
+const MIN_CALLS_PER_SECOND = 0.25
 /** Factor on the report age of a runner in use. */
-const USED_WEIGHT = 8
+const USED_RUNNER_WEIGHT = 8
 const SECOND_MS = 1_000
 
 export interface DueRunner {
@@ -23,11 +23,11 @@
  * @param vms - number of VMs in the fleet
  */
 export function callsPerSecond (vms: number): number {
-  return Math.min(MOST_CALLS_PER_SECOND, Math.max(LEAST_CALLS_PER_SECOND, FLEET_CALLS_PER_SECOND / Math.max(1, vms)))
+  return Math.min(MAX_CALLS_PER_SECOND, Math.max(MIN_CALLS_PER_SECOND, FLEET_CALLS_PER_SECOND / Math.max(1, vms)))
 }
 
 export class PollSchedule {
-  private readonly askedAt = new Map<string, number>()
+  private readonly polledAt = new Map<string, number>()
   private readonly used = new Set<string>()
   private credit = 1
   private lastMono: number | undefined
@@ -35,10 +35,10 @@
   /**
    * @param minIntervalMs - minimum time between two calls to one runner
    */
-  constructor (private readonly leastMs: number) {}
+  constructor (private readonly minIntervalMs: number) {}
 
   /** Records that a request was sent to a runner. */
-  use (runner: string): void {
+  markUsed (runner: string): void {
     this.used.add(runner)
   }
 
@@ -49,41 +49,41 @@
    * @param mono - current monotonic time in milliseconds
    */
   due (watched: readonly string[], vms: number, mono: number): readonly DueRunner[] {
-    this.earn(vms, mono)
-    this.forget(watched)
+    this.refillCredit(vms, mono)
+    this.dropUnwatched(watched)
     if (this.credit < 1) return []
     const ranked = watched
-      .filter(runner => this.ageMs(runner, mono) >= this.leastMs)
+      .filter(runner => this.ageMs(runner, mono) >= this.minIntervalMs)
       .sort((a, b) => this.urgency(b, mono) - this.urgency(a, mono))
     const calls = Math.min(ranked.length, Math.floor(this.credit))
     this.credit -= calls
     return ranked.slice(0, calls).map(runner => this.ask(runner, mono))
   }
 
-  private earn (vms: number, mono: number): void {
-    const passedMs = mono - (this.lastMono ?? mono)
+  private refillCredit (vms: number, mono: number): void {
+    const elapsedMs = mono - (this.lastMono ?? mono)
     this.lastMono = mono
-    this.credit = Math.min(MOST_CALLS_PER_SECOND, this.credit + callsPerSecond(vms) * passedMs / SECOND_MS)
+    this.credit = Math.min(MAX_CALLS_PER_SECOND, this.credit + callsPerSecond(vms) * elapsedMs / SECOND_MS)
   }
 
   private ask (runner: string, mono: number): DueRunner {
     const isUsed = this.used.delete(runner)
-    this.askedAt.set(runner, mono)
+    this.polledAt.set(runner, mono)
     return { runner, isUsed }
   }
 
   private urgency (runner: string, mono: number): number {
-    return this.ageMs(runner, mono) * (this.used.has(runner) ? USED_WEIGHT : 1)
+    return this.ageMs(runner, mono) * (this.used.has(runner) ? USED_RUNNER_WEIGHT : 1)
   }
 
   /** A runner that was never polled counts as older than any other. */
   private ageMs (runner: string, mono: number): number {
-    return mono - (this.askedAt.get(runner) ?? -Number.MAX_SAFE_INTEGER)
+    return mono - (this.polledAt.get(runner) ?? -Number.MAX_SAFE_INTEGER)
   }
 
-  private forget (watched: readonly string[]): void {
-    if (this.askedAt.size <= watched.length) return
-    const known = new Set(watched)
-    for (const runner of this.askedAt.keys()) if (!known.has(runner)) this.askedAt.delete(runner)
+  private dropUnwatched (watched: readonly string[]): void {
+    if (this.polledAt.size <= watched.length) return
+    const current = new Set(watched)
+    for (const runner of this.polledAt.keys()) if (!current.has(runner)) this.polledAt.delete(runner)
   }
 }
--- a/packages/decisions/src/routing/prefixIndex.ts
+++ b/packages/decisions/src/routing/prefixIndex.ts
@@ -4,37 +4,37 @@
  * entries is bounded, and the oldest are dropped first.
  */
 
-const PREFIX_LIMIT = 16_384
+const MAX_PREFIXES = 16_384
 
-const PREFIX_KEEP_MS = 30_000
+const PREFIX_TTL_MS = 30_000
 
-const RUNNERS_PER_PREFIX = 4
+const MAX_RUNNERS_PER_PREFIX = 4
 
-interface Holding {
+interface CachedPrefix {
   readonly runner: string
   readonly until: number
 }
 
 /** Times are monotonic milliseconds. */
 export class PrefixIndex {
-  private readonly holdings = new Map<string, Holding[]>()
+  private readonly entries = new Map<string, CachedPrefix[]>()
 
   get size (): number {
-    return this.holdings.size
+    return this.entries.size
   }
 
   stored (hash: string, runner: string, mono: number): void {
-    const others = (this.holdings.get(hash) ?? []).filter(item => item.runner !== runner && item.until > mono)
-    const kept = others.slice(-(RUNNERS_PER_PREFIX - 1))
-    this.holdings.delete(hash)
-    this.holdings.set(hash, [...kept, { runner, until: mono + PREFIX_KEEP_MS }])
-    if (this.holdings.size > PREFIX_LIMIT) this.dropOldest()
+    const others = (this.entries.get(hash) ?? []).filter(item => item.runner !== runner && item.until > mono)
+    const recent = others.slice(-(MAX_RUNNERS_PER_PREFIX - 1))
+    this.entries.delete(hash)
+    this.entries.set(hash, [...recent, { runner, until: mono + PREFIX_TTL_MS }])
+    if (this.entries.size > MAX_PREFIXES) this.dropOldest()
   }
 
   evicted (hash: string, runner: string): void {
-    const rest = (this.holdings.get(hash) ?? []).filter(item => item.runner !== runner)
-    if (rest.length === 0) this.holdings.delete(hash)
-    else this.holdings.set(hash, rest)
+    const remaining = (this.entries.get(hash) ?? []).filter(item => item.runner !== runner)
+    if (remaining.length === 0) this.entries.delete(hash)
+    else this.entries.set(hash, remaining)
   }
 
   /**
@@ -42,10 +42,10 @@
    * @param hashes - hashes of the prompt's prefixes, longest last
    * @param mono - current time
    */
-  shares (hashes: readonly string[], mono: number): ReadonlyMap<string, number> {
+  cachedShares (hashes: readonly string[], mono: number): ReadonlyMap<string, number> {
     const found = new Map<string, number>()
     for (let i = hashes.length - 1; i >= 0; i--) {
-      for (const { runner, until } of this.holdings.get(hashes[i] ?? '') ?? []) {
+      for (const { runner, until } of this.entries.get(hashes[i] ?? '') ?? []) {
         if (until > mono && !found.has(runner)) found.set(runner, (i + 1) / hashes.length)
       }
     }
@@ -53,7 +53,7 @@
   }
 
   private dropOldest (): void {
-    const oldest = this.holdings.keys().next()
-    if (oldest.done !== true) this.holdings.delete(oldest.value)
+    const oldest = this.entries.keys().next()
+    if (oldest.done !== true) this.entries.delete(oldest.value)
   }
 }
--- a/packages/decisions/src/routing/queueRefusal.ts
+++ b/packages/decisions/src/routing/queueRefusal.ts
@@ -4,9 +4,9 @@
 import type { QueueItem } from './queueTypes.js'
 
 /** Share of an item's slack that its predicted wait may use up; the rest covers prediction errors. */
-const WAIT_SHARE = 0.9
+const MAX_WAIT_SHARE = 0.9
 
-const RETRY_LEAST_MS = 250
+const MIN_RETRY_AFTER_MS = 250
 
 /** State of the queue that a refusal depends on. */
 export interface QueueState {
@@ -19,34 +19,34 @@
   /** Predicted milliseconds until the request would start. */
   readonly waitMs: number
   /** Milliseconds between two starts of this team. */
-  readonly turnMs: number
+  readonly teamStartIntervalMs: number
 }
 
 /**
  * Returns why a new item is refused, or undefined when it is admitted.
  * @param state - the queue without the item
  */
-export function refusalOf<T> (item: QueueItem<T>, state: QueueState, now: Instant): Failure | undefined {
-  const { teamInFlight, waiting, capacity, waitMs, turnMs } = state
+export function admissionFailure<T> (item: QueueItem<T>, state: QueueState, now: Instant): Failure | undefined {
+  const { teamInFlight, waiting, capacity, waitMs, teamStartIntervalMs: turnMs } = state
   if (teamInFlight >= item.maxInFlight) {
-    return new Failure('queueFull', `team ${item.team} has ${item.maxInFlight} requests waiting or running, which is its limit`, notRun(turnMs))
+    return new Failure('queueFull', `team ${item.team} has ${item.maxInFlight} requests waiting or running, which is its limit`, notRunExtras(turnMs))
   }
-  if (waiting >= capacity) return new Failure('overloaded', `queue is full: ${capacity} requests are waiting`, notRun(turnMs))
+  if (waiting >= capacity) return new Failure('overloaded', `queue is full: ${capacity} requests are waiting`, notRunExtras(turnMs))
   const slackMs = item.deadline.mono - now.mono - item.serviceMs
-  if (slackMs < 0) return outOfReach('predicted service time exceeds the time left', -slackMs)
-  if (waitMs <= slackMs * WAIT_SHARE) return undefined
-  return outOfReach(`predicted wait ${Math.round(waitMs)} ms`, waitMs - slackMs * WAIT_SHARE)
+  if (slackMs < 0) return deadlineFailure('predicted service time exceeds the time left', -slackMs)
+  if (waitMs <= slackMs * MAX_WAIT_SHARE) return undefined
+  return deadlineFailure(`predicted wait ${Math.round(waitMs)} ms`, waitMs - slackMs * MAX_WAIT_SHARE)
 }
 
-export function isLate<T> (item: QueueItem<T>, now: Instant): boolean {
+export function wouldMissDeadline<T> (item: QueueItem<T>, now: Instant): boolean {
   return now.mono + item.serviceMs > item.deadline.mono
 }
 
 /** Failure of a request that cannot complete before its deadline; `retryMs` is the delay suggested to the caller. */
-export function outOfReach (detail: string, retryMs: number): Failure {
-  return new Failure('deadlineOutOfReach', detail, notRun(retryMs))
+export function deadlineFailure (detail: string, retryMs: number): Failure {
+  return new Failure('deadlineOutOfReach', detail, notRunExtras(retryMs))
 }
 
-function notRun (retryMs: number): { ran: 'no', retryAfterMs: number } {
-  return { ran: 'no', retryAfterMs: Math.ceil(Math.max(RETRY_LEAST_MS, retryMs)) }
+function notRunExtras (retryMs: number): { ran: 'no', retryAfterMs: number } {
+  return { ran: 'no', retryAfterMs: Math.ceil(Math.max(MIN_RETRY_AFTER_MS, retryMs)) }
 }
--- a/packages/decisions/src/routing/rendezvous.ts
+++ b/packages/decisions/src/routing/rendezvous.ts
@@ -10,21 +10,21 @@
 const FNV_PRIME = 0x01000193
 
 /** 32-bit FNV-1a hash of a name, finalized by {@link mix}. */
-export function hashName (text: string): number {
+export function hashName (name: string): number {
   let hash = FNV_OFFSET
-  for (let i = 0; i < text.length; i++) {
-    hash = Math.imul(hash ^ text.charCodeAt(i), FNV_PRIME)
+  for (let i = 0; i < name.length; i++) {
+    hash = Math.imul(hash ^ name.charCodeAt(i), FNV_PRIME)
   }
   return mix(hash)
 }
 
 /**
  * Weight of a pair of hashed names, 0 to 2^32 - 1.
- * @param left - hash of the key
- * @param right - hash of the candidate
+ * @param keyHash - hash of the key
+ * @param candidateHash - hash of the candidate
  */
-export function pairWeight (left: number, right: number): number {
-  return mix(Math.imul(left, 0x9e3779b1) ^ right)
+export function pairWeight (keyHash: number, candidateHash: number): number {
+  return mix(Math.imul(keyHash, 0x9e3779b1) ^ candidateHash)
 }
 
 /** Finalizer of MurmurHash3: each input bit changes about half of the output bits. */
--- a/packages/decisions/src/routing/retryBudget.ts
+++ b/packages/decisions/src/routing/retryBudget.ts
@@ -28,7 +28,7 @@
   readonly repeatable: boolean
   readonly deadline: Instant
   /** Predicted duration of another attempt. */
-  readonly needMs: number
+  readonly predictedMs: number
   /** Delay requested by whoever refused the attempt. */
   readonly retryAfterMs?: number
 }
@@ -39,7 +39,7 @@
 
 /** Decides on retries from one budget for all requests of a VM. */
 export interface RetryDecider {
-  attempted (now: Instant): void
+  recordFirstAttempt (now: Instant): void
   /**
    * Decides on a failed attempt; an allowed retry is charged to the budget.
    * @param random - returns a number in [0, 1)
@@ -50,31 +50,31 @@
 /** Token bucket that is refilled by first attempts and by time. */
 export class RetryBudget implements RetryDecider {
   private tokens: number
-  private filledAt: number | undefined
-  private readonly policyNow: () => RetryPolicy
+  private lastRefillAt: number | undefined
+  private readonly currentPolicy: () => RetryPolicy
 
   /**
    * @param policy - the limits, or a function that returns them where they change with the number of VMs
    */
   constructor (policy: RetryPolicy | (() => RetryPolicy) = defaultRetryPolicy) {
-    this.policyNow = typeof policy === 'function' ? policy : () => policy
+    this.currentPolicy = typeof policy === 'function' ? policy : () => policy
     this.tokens = this.policy.burst
   }
 
   private get policy (): RetryPolicy {
-    return this.policyNow()
+    return this.currentPolicy()
   }
 
-  attempted (now: Instant): void {
+  recordFirstAttempt (now: Instant): void {
     this.refill(now)
-    this.earn(this.policy.share)
+    this.addTokens(this.policy.share)
   }
 
   decide (attempt: FailedAttempt, now: Instant, random: () => number): RetryDecision {
     if (!attempt.repeatable) return { retry: false, reason: 'notRepeatable' }
     if (attempt.attempts >= this.policy.attempts) return { retry: false, reason: 'attemptsSpent' }
     const delayMs = this.delayMs(attempt, random)
-    if (now.mono + delayMs + attempt.needMs > attempt.deadline.mono) return { retry: false, reason: 'deadline' }
+    if (now.mono + delayMs + attempt.predictedMs > attempt.deadline.mono) return { retry: false, reason: 'deadline' }
     this.refill(now)
     if (this.tokens < 1) return { retry: false, reason: 'budgetSpent' }
     this.tokens -= 1
@@ -89,12 +89,12 @@
   }
 
   private refill (now: Instant): void {
-    const sinceMs = Math.max(0, now.mono - (this.filledAt ?? now.mono))
-    this.filledAt = now.mono
-    this.earn(this.policy.perSecond * sinceMs / 1_000)
+    const sinceMs = Math.max(0, now.mono - (this.lastRefillAt ?? now.mono))
+    this.lastRefillAt = now.mono
+    this.addTokens(this.policy.perSecond * sinceMs / 1_000)
   }
 
-  private earn (tokens: number): void {
+  private addTokens (tokens: number): void {
     this.tokens = Math.min(this.policy.burst, this.tokens + tokens)
   }
 }
--- a/packages/decisions/src/routing/routing.fixture.ts
+++ b/packages/decisions/src/routing/routing.fixture.ts
@@ -30,20 +30,20 @@
   }
 }
 
-export function productRouter (views: readonly RunnerView[], vm = 'vm1', domain = 'a'): RunnerRouter {
+export function configuredRouter (views: readonly RunnerView[], vm = 'vm1', domain = 'a'): RunnerRouter {
   const router = new RunnerRouter(vm, domain)
   router.observe({ kind: 'configured', model: MODEL, runners: views }, at(0))
   return router
 }
 
 /** Faulty router: observes the same events as {@link RunnerRouter} but always chooses the runner with the lowest score. */
-export class LowestScore implements RouteDecider {
+export class LowestScoreRouter implements RouteDecider {
   readonly counts = new Map<string, number>()
   readonly reports = new Map<string, number>()
   readonly holders = new Map<string, string>()
   readonly left = new Set<string>()
 
-  constructor (readonly views: readonly RunnerView[], private readonly score: (weak: LowestScore, runner: string, req: RouteRequest) => number) {}
+  constructor (readonly views: readonly RunnerView[], private readonly score: (weak: LowestScoreRouter, runner: string, req: RouteRequest) => number) {}
 
   observe (event: RouteEvent): void {
     if (event.kind === 'dispatched') this.counts.set(event.runner, this.inFlight(event.runner) + 1)
@@ -58,7 +58,7 @@
     const scored = [...names].sort((a, b) => this.score(this, a.runner, req) - this.score(this, b.runner, req))
     const [choice] = scored
     if (choice === undefined) throw new Error('no runner')
-    return { kind: 'routed', choice, before: [], candidates: names.map(view => view.runner), reason: 'lowest score' }
+    return { kind: 'routed', choice, runnersToSeal: [], candidates: names.map(view => view.runner), reason: 'lowest score' }
   }
 
   inFlight (runner: string): number {
@@ -88,5 +88,5 @@
 }
 
 export function shareOf (names: readonly string[], name: string): number {
-  return names.filter(item => item === name).length / names.length
+  return names.filter(other => other === name).length / names.length
 }
--- a/packages/decisions/src/routing/routingTypes.ts
+++ b/packages/decisions/src/routing/routingTypes.ts
@@ -21,7 +21,7 @@
  * State of a runner as one VM sees it: `leaving` gets no new work, `ejected` gets none but a probe, `notLoaded` reports
  * that it has loaded none of its models.
  */
-export interface RunnerStanding {
+export interface RunnerStatus {
   readonly runner: string
   readonly state: 'active' | 'leaving' | 'ejected' | 'notLoaded'
   readonly reason: string
@@ -52,7 +52,7 @@
   | {
     readonly kind: 'routed'
     readonly choice: RunnerView
-    readonly before: readonly RunnerView[]
+    readonly runnersToSeal: readonly RunnerView[]
     readonly candidates: readonly string[]
     readonly reason: string
   }
@@ -65,7 +65,7 @@
      * Set for keyed requests, whose failure says `ran: unknown`: the runners where an earlier run of the id may be found,
      * in this order. The first of them without a record of the id proves that it did not run.
      */
-    readonly lookIn?: readonly RunnerView[]
+    readonly lookupRunners?: readonly RunnerView[]
   }
 
 /**
--- a/packages/decisions/src/routing/runnerLoad.ts
+++ b/packages/decisions/src/routing/runnerLoad.ts
@@ -15,13 +15,13 @@
  * Weight of a report with less remote load than estimated. All VMs see a freed slot at about the
  * same time; following it only in part keeps them from all filling it.
  */
-const FREED_GAIN = 0.25
+const DECREASE_GAIN = 0.25
 
 /** Changes of the local count that are stored, to look up its value at report time. */
-const HISTORY = 64
+const HISTORY_LENGTH = 64
 
 /** Age after which a request without an `ended` event no longer counts. */
-const FORGET_MS = 3_600_000
+const MAX_REQUEST_AGE_MS = 3_600_000
 
 /** A request of this VM in flight at the runner. */
 export interface OpenRequest {
@@ -33,11 +33,11 @@
   /** Estimated prompt tokens that the runner has to compute. */
   readonly uncachedTokens: number
   /** Whether the runner was estimated to have a free slot at dispatch. */
-  readonly unqueued: boolean
+  readonly hadFreeSlot: boolean
   firstTokenMs?: number
 }
 
-interface Sample {
+interface CountSample {
   readonly at: number
   readonly count: number
 }
@@ -45,12 +45,12 @@
 /** Times are monotonic milliseconds. */
 export class RunnerLoad {
   private readonly open = new Map<string, OpenRequest>()
-  private readonly awaiting = new Map<string, number>()
-  private history: Sample[] = []
+  private readonly awaitingFirstToken = new Map<string, number>()
+  private history: CountSample[] = []
   private tokenSum = 0
   private reportAt = -Infinity
-  private othersAtReport = 0
-  private ownAtReport = 0
+  private remoteAtReport = 0
+  private localAtReport = 0
   private totalAtReport = 0
 
   get count (): number {
@@ -63,8 +63,8 @@
   }
 
   /** Total load in the last report and the local load at that time; undefined before the first report. */
-  get lastReport (): { readonly total: number, readonly own: number } | undefined {
-    return this.reportAt === -Infinity ? undefined : { total: this.totalAtReport, own: this.ownAtReport }
+  get lastReport (): { readonly total: number, readonly local: number } | undefined {
+    return this.reportAt === -Infinity ? undefined : { total: this.totalAtReport, local: this.localAtReport }
   }
 
   /** Age of the last report; undefined before the first. */
@@ -75,13 +75,13 @@
   dispatched (requestId: string, request: OpenRequest): void {
     this.ended(requestId, request.atMono)
     this.open.set(requestId, request)
-    this.awaiting.set(requestId, request.atMono)
+    this.awaitingFirstToken.set(requestId, request.atMono)
     this.tokenSum += request.tokens
-    this.remember(request.atMono)
+    this.recordCount(request.atMono)
   }
 
   firstToken (requestId: string, afterMs: number): OpenRequest | undefined {
-    this.awaiting.delete(requestId)
+    this.awaitingFirstToken.delete(requestId)
     const request = this.open.get(requestId)
     if (request !== undefined) request.firstTokenMs = afterMs
     return request
@@ -91,9 +91,9 @@
     const request = this.open.get(requestId)
     if (request === undefined) return undefined
     this.open.delete(requestId)
-    this.awaiting.delete(requestId)
+    this.awaitingFirstToken.delete(requestId)
     this.tokenSum -= request.tokens
-    this.remember(mono)
+    this.recordCount(mono)
     return request
   }
 
@@ -107,11 +107,11 @@
     if (at <= this.reportAt) return undefined
     this.reportAt = at
     this.totalAtReport = total
-    this.ownAtReport = this.ownAt(at)
-    const others = Math.max(0, total - this.ownAtReport)
-    const gain = others < this.othersAtReport ? FREED_GAIN : 1
-    this.othersAtReport += gain * (others - this.othersAtReport)
-    return this.othersAtReport
+    this.localAtReport = this.localCountAt(at)
+    const remote = Math.max(0, total - this.localAtReport)
+    const gain = remote < this.remoteAtReport ? DECREASE_GAIN : 1
+    this.remoteAtReport += gain * (remote - this.remoteAtReport)
+    return this.remoteAtReport
   }
 
   /**
@@ -119,21 +119,21 @@
    * @param mono - current time
    * @param defaultRemote - load from other VMs assumed without a recent report
    */
-  estimate (mono: number, prior: number): number {
-    this.forget(mono)
+  estimate (mono: number, defaultRemote: number): number {
+    this.expireOldest(mono)
     const weight = this.reportWeight(mono)
-    return this.open.size + weight * this.othersAtReport + (1 - weight) * prior
+    return this.open.size + weight * this.remoteAtReport + (1 - weight) * defaultRemote
   }
 
   /** How long the oldest local request without a first token has been waiting for it. */
   oldestWaitMs (mono: number): number {
-    const oldest = this.awaiting.values().next()
+    const oldest = this.awaitingFirstToken.values().next()
     return oldest.done === true ? 0 : Math.max(0, mono - oldest.value)
   }
 
   /** Load certain enough to call the runner full: local requests, and reported remote ones weighted by freshness. */
-  known (mono: number): number {
-    return this.open.size + this.reportWeight(mono) * this.othersAtReport
+  confirmedLoad (mono: number): number {
+    return this.open.size + this.reportWeight(mono) * this.remoteAtReport
   }
 
   /** Whether the last report is recent enough to conclude that a slot is free. */
@@ -146,23 +146,23 @@
     return age <= FRESH_MS ? 1 : Math.exp((FRESH_MS - age) / STALE_TAU_MS)
   }
 
-  private remember (at: number): void {
+  private recordCount (at: number): void {
     this.history.push({ at, count: this.open.size })
-    if (this.history.length > 2 * HISTORY) this.history = this.history.slice(-HISTORY)
+    if (this.history.length > 2 * HISTORY_LENGTH) this.history = this.history.slice(-HISTORY_LENGTH)
   }
 
-  private ownAt (at: number): number {
+  private localCountAt (at: number): number {
     for (let i = this.history.length - 1; i >= 0; i--) {
       const sample = this.history[i]
       if (sample !== undefined && sample.at <= at) return sample.count
     }
-    return this.history.length >= HISTORY ? this.open.size : 0
+    return this.history.length >= HISTORY_LENGTH ? this.open.size : 0
   }
 
-  private forget (mono: number): void {
+  private expireOldest (mono: number): void {
     const oldest = this.open.entries().next()
     if (oldest.done === true) return
     const [requestId, request] = oldest.value
-    if (mono - request.atMono > FORGET_MS) this.ended(requestId, mono)
+    if (mono - request.atMono > MAX_REQUEST_AGE_MS) this.ended(requestId, mono)
   }
 }
--- a/packages/decisions/src/routing/runnerRouter.spec.ts
+++ b/packages/decisions/src/routing/runnerRouter.spec.ts
@@ -2,13 +2,13 @@
  * Runner choice under faults, compared with faulty routers that violate the same expectation.
  */
 import { expect } from 'chai'
-import { at, dispatch, LowestScore, MODEL, outcome, productRouter, request, runners, seeded, serve, shareOf } from './routing.fixture.js'
+import { at, dispatch, LowestScoreRouter, MODEL, outcome, configuredRouter, request, runners, seeded, serve, shareOf } from './routing.fixture.js'
 import { subsetOf } from './runnerSubset.js'
 import type { RouteDecider, RouteEvent } from './routingTypes.js'
 
 interface FaultCase {
   readonly fault: string
-  readonly weaker: string
+  readonly faultyName: string
   readonly weak: () => RouteDecider
   /** Simulates the fault; returns whether the expectation holds. */
   readonly holds: (router: RouteDecider) => boolean
@@ -18,36 +18,36 @@
 const report = (runner: string, running: number, ageMs = 0, leaving = false): RouteEvent =>
   ({ kind: 'loadReported', runner, running, waiting: 0, reportAgeMs: ageMs, leaving })
 
-function play (count: number, act: (i: number, random: () => number) => string): readonly string[] {
+function repeat (count: number, action: (i: number, random: () => number) => string): readonly string[] {
   const random = seeded(7)
-  return Array.from({ length: count }, (_, i) => act(i, random))
+  return Array.from({ length: count }, (_, i) => action(i, random))
 }
 
-function warm (router: RouteDecider): void {
-  play(60, (i, random) => serve(router, request({ requestId: `w${i}` }), i * 20, random, () => healthy))
+function warmUp (router: RouteDecider): void {
+  repeat(60, (i, random) => serve(router, request({ requestId: `w${i}` }), i * 20, random, () => healthy))
 }
 
 function staleReports (router: RouteDecider): boolean {
   for (let i = 0; i < 4; i++) router.observe(report(`r${i}`, i === 0 ? 0 : 3), at(1_000))
-  const names = play(16, (i, random) => dispatch(router, request({ requestId: `q${i}` }), 1_001 + i, random))
+  const names = repeat(16, (i, random) => dispatch(router, request({ requestId: `q${i}` }), 1_001 + i, random))
   return shareOf(names, 'r0') <= 0.5
 }
 
 function slowRunner (router: RouteDecider): boolean {
-  const names = play(400, (i, random) =>
+  const names = repeat(400, (i, random) =>
     serve(router, request({ requestId: `q${i}` }), i * 50, random, name => name === 'r0' ? { firstMs: 250, totalMs: 5_000 } : healthy))
   return shareOf(names.slice(100), 'r0') < 0.1
 }
 
 function failingRunner (router: RouteDecider): boolean {
-  const names = play(200, (i, random) =>
+  const names = repeat(200, (i, random) =>
     serve(router, request({ requestId: `q${i}` }), i * 50, random, name => ({ ...healthy, ok: name !== 'r0' })))
   return shareOf(names.slice(20), 'r0') < 0.05
 }
 
-function silentRunner (router: RouteDecider): boolean {
-  warm(router)
-  const names = play(100, (i, random) => {
+function unresponsiveRunner (router: RouteDecider): boolean {
+  warmUp(router)
+  const names = repeat(100, (i, random) => {
     const req = request({ requestId: `q${i}` })
     const name = dispatch(router, req, 2_000 + i * 50, random)
     if (name !== 'r0') router.observe({ kind: 'ended', runner: name, requestId: req.requestId, ok: true, tokens: 50, totalMs: 1_000 }, at(2_010 + i * 50))
@@ -57,27 +57,27 @@
 }
 
 function lostEvictions (router: RouteDecider): boolean {
-  warm(router)
+  warmUp(router)
   router.observe({ kind: 'cacheReported', runner: 'r0', stored: ['hot'], evicted: [] }, at(2_000))
-  const names = play(20, (i, random) => dispatch(router, request({ requestId: `q${i}`, prefixHashes: ['hot'] }), 2_001 + i, random))
+  const names = repeat(20, (i, random) => dispatch(router, request({ requestId: `q${i}`, prefixHashes: ['hot'] }), 2_001 + i, random))
   return shareOf(names, 'r0') <= 0.6
 }
 
-const count = (weak: LowestScore, runner: string): number => weak.inFlight(runner)
+const count = (weak: LowestScoreRouter, runner: string): number => weak.inFlight(runner)
 const views = runners(4)
 
 const faults: readonly FaultCase[] = [
-  { fault: 'a stale report shows an idle runner', weaker: 'a router that uses raw reports', weak: () => new LowestScore(views, (weak, name) => weak.reports.get(name) ?? 0), holds: staleReports },
-  { fault: 'one runner is slow', weaker: 'a least-in-flight router', weak: () => new LowestScore(views, count), holds: slowRunner },
-  { fault: 'one runner fails quickly', weaker: 'a least-in-flight router', weak: () => new LowestScore(views, count), holds: failingRunner },
-  { fault: 'one runner becomes unresponsive', weaker: 'a round-robin router', weak: () => new LowestScore(views, (weak, name, req) => (Number(name.slice(1)) - Number(req.requestId.slice(1)) + 400) % 4), holds: silentRunner },
-  { fault: 'an eviction event is lost', weaker: 'a router that always prefers the prefix holder', weak: () => new LowestScore(views, (weak, name, req) => weak.holders.get(req.prefixHashes[0] ?? '') === name ? -1 : weak.inFlight(name)), holds: lostEvictions }
+  { fault: 'a stale report shows an idle runner', faultyName: 'a router that uses raw reports', weak: () => new LowestScoreRouter(views, (weak, name) => weak.reports.get(name) ?? 0), holds: staleReports },
+  { fault: 'one runner is slow', faultyName: 'a least-in-flight router', weak: () => new LowestScoreRouter(views, count), holds: slowRunner },
+  { fault: 'one runner fails quickly', faultyName: 'a least-in-flight router', weak: () => new LowestScoreRouter(views, count), holds: failingRunner },
+  { fault: 'one runner becomes unresponsive', faultyName: 'a round-robin router', weak: () => new LowestScoreRouter(views, (weak, name, req) => (Number(name.slice(1)) - Number(req.requestId.slice(1)) + 400) % 4), holds: unresponsiveRunner },
+  { fault: 'an eviction event is lost', faultyName: 'a router that always prefers the prefix holder', weak: () => new LowestScoreRouter(views, (weak, name, req) => weak.holders.get(req.prefixHashes[0] ?? '') === name ? -1 : weak.inFlight(name)), holds: lostEvictions }
 ]
 
 describe('RunnerRouter under faults', () => {
-  for (const { fault, weaker, weak, holds } of faults) {
+  for (const { fault, faultyName: weaker, weak, holds } of faults) {
     it(`${fault}: limits the requests to that runner, ${weaker} does not`, () => {
-      expect(holds(productRouter(views))).to.equal(true)
+      expect(holds(configuredRouter(views))).to.equal(true)
       expect(holds(weak())).to.equal(false)
     })
   }
@@ -91,12 +91,12 @@
   for (const { name, lacking, allowed } of cases) {
     for (const keyed of [false, true]) {
       it(`${name}${keyed ? ', for keyed requests too' : ''}`, () => {
-        const router = productRouter(runners(4))
+        const router = configuredRouter(runners(4))
         for (let i = 0; i < 4; i++) {
           const models = lacking.includes(`r${i}`) ? [] : [MODEL]
           router.observe({ kind: 'loadReported', runner: `r${i}`, running: 0, waiting: 0, reportAgeMs: 0, leaving: false, models }, at(1))
         }
-        const names = play(100, (i, random) => outcome(router.route(request({ requestId: `q${i}`, keyed }), at(2), random)))
+        const names = repeat(100, (i, random) => outcome(router.route(request({ requestId: `q${i}`, keyed }), at(2), random)))
         expect(new Set(names)).to.have.all.keys(allowed)
       })
     }
@@ -125,7 +125,7 @@
   ]
   for (const { name, events, then, state } of cases) {
     it(`after ${name}`, () => {
-      const router = productRouter(views)
+      const router = configuredRouter(views)
       events.forEach(event => { router.observe(event, at(1)) })
       if (then !== undefined) router.observe(then, at(60_000))
       const standing = router.states(at(60_001)).find(({ runner }) => runner === 'r0')
@@ -134,7 +134,7 @@
   }
 
   it('include the local requests and the report age, which is absent without a report', () => {
-    const router = productRouter(runners(2))
+    const router = configuredRouter(runners(2))
     router.observe(report('r0', 3, 200), at(1_000))
     router.observe({ kind: 'dispatched', runner: 'r0', requestId: 'q', tokens: 10 }, at(1_100))
     expect(router.states(at(1_500))).to.deep.equal([
@@ -151,20 +151,20 @@
     { source: 'its response', event: { kind: 'leaving', runner: 'r0', source: 'runner' }, weakSees: false },
     { source: 'its load report', event: report('r0', 0, 0, true), weakSees: false }
   ]
-  const got = (router: RouteDecider): boolean =>
-    play(50, (i, random) => serve(router, request({ requestId: `q${i}` }), 1_000 + i, random, () => healthy)).includes('r0')
+  const receivesRequests = (router: RouteDecider): boolean =>
+    repeat(50, (i, random) => serve(router, request({ requestId: `q${i}` }), 1_000 + i, random, () => healthy)).includes('r0')
 
   for (const { source, event, weakSees } of cases) {
     it(`sends nothing after ${source} marks it as leaving; a router that reads only marks sends ${weakSees ? 'nothing either' : 'requests'}`, () => {
-      for (const [router, expected] of [[productRouter(views), false], [new LowestScore(views, () => 0), !weakSees]] as const) {
+      for (const [router, expected] of [[configuredRouter(views), false], [new LowestScoreRouter(views, () => 0), !weakSees]] as const) {
         router.observe(event, at(900))
-        expect(got(router)).to.equal(expected)
+        expect(receivesRequests(router)).to.equal(expected)
       }
     })
   }
 
   it('clears the mark from a runner by its later report only, and never the mark from the configuration', () => {
-    const router = productRouter(views.slice(0, 1))
+    const router = configuredRouter(views.slice(0, 1))
     const now = (): string => outcome(router.route(request(), at(5_000), () => 0))
     router.observe({ kind: 'leaving', runner: 'r0', source: 'runner' }, at(1_000))
     router.observe(report('r0', 0, 600), at(1_500))
@@ -190,52 +190,52 @@
   for (const { out, usable } of [{ out: 1, usable: 5 }, { out: 2, usable: 4 }, { out: 4, usable: 4 }, { out: 6, usable: 4 }]) {
     it(`${out} of 6 runners ejected: ${usable} stay in use`, () => {
       const six = runners(6)
-      const router = productRouter(six)
+      const router = configuredRouter(six)
       failAll(router, six.slice(0, out).map(view => view.runner), 1_000)
-      const names = play(300, (i, random) => outcome(router.route(request(), at(1_100), random)))
+      const names = repeat(300, (i, random) => outcome(router.route(request(), at(1_100), random)))
       expect(new Set(names).size).to.equal(usable)
     })
   }
 
   it('never ejects the only runner', () => {
-    const router = productRouter(runners(1))
+    const router = configuredRouter(runners(1))
     failAll(router, ['r0'], 1_000)
     expect(outcome(router.route(request(), at(1_100), () => 0))).to.equal('r0')
   })
 
   it('sends an ejected runner nothing, then a single probe after the ejection', () => {
-    const router = productRouter(runners(4))
+    const router = configuredRouter(runners(4))
     failAll(router, ['r0'], 1_000)
-    const tries = (ms: number, prefix: string): number =>
-      play(40, (i, random) => dispatch(router, request({ requestId: `${prefix}${i}` }), ms, random)).filter(name => name === 'r0').length
-    expect(tries(1_100, 'a')).to.equal(0)
+    const countProbes = (ms: number, prefix: string): number =>
+      repeat(40, (i, random) => dispatch(router, request({ requestId: `${prefix}${i}` }), ms, random)).filter(name => name === 'r0').length
+    expect(countProbes(1_100, 'a')).to.equal(0)
     for (let i = 0; i < 40; i++) for (let r = 0; r < 4; r++) router.observe({ kind: 'ended', runner: `r${r}`, requestId: `a${i}`, ok: true, tokens: 2, totalMs: 2 }, at(1_200))
-    expect(tries(3_100, 'b')).to.equal(1)
+    expect(countProbes(3_100, 'b')).to.equal(1)
   })
 })
 
 describe('RunnerRouter ties', () => {
   it('equal idle runners get fair shares, so that VMs do not converge on the same one', () => {
-    const names = play(4_000, (i, random) => serve(productRouter(views), request({ requestId: `q${i}` }), 1_000, random, () => healthy))
+    const names = repeat(4_000, (i, random) => serve(configuredRouter(views), request({ requestId: `q${i}` }), 1_000, random, () => healthy))
     for (const { runner } of views) expect(shareOf(names, runner)).to.be.within(0.22, 0.28)
   })
 })
 
 describe('RunnerRouter refusals', () => {
   const slow = { firstMs: 1_000, totalMs: 21_000 }
-  const full = (router: RouteDecider): void => { for (const view of views) router.observe(report(view.runner, 9), at(1_900)) }
-  const slowly = (router: RouteDecider): void => {
-    play(60, (i, random) => serve(router, request({ requestId: `w${i}` }), 1_000 + i * 10, random, () => slow))
+  const reportFull = (router: RouteDecider): void => { for (const view of views) router.observe(report(view.runner, 9), at(1_900)) }
+  const reportSlowRequests = (router: RouteDecider): void => {
+    repeat(60, (i, random) => serve(router, request({ requestId: `w${i}` }), 1_000 + i * 10, random, () => slow))
   }
   const cases = [
     { name: 'no runner', prepare: () => {}, req: { model: 'other' }, code: 'noRunner', least: 250 },
     { name: 'all excluded', prepare: () => {}, req: { exclude: views.map(view => view.runner) }, code: 'noRunner', least: 250 },
-    { name: 'all runners at capacity', prepare: full, req: {}, code: 'overloaded', least: 250 },
-    { name: 'deadline out of reach even when idle', prepare: slowly, req: { deadline: at(3_000) }, code: 'deadlineOutOfReach', least: 60_000 }
+    { name: 'all runners at capacity', prepare: reportFull, req: {}, code: 'overloaded', least: 250 },
+    { name: 'deadline out of reach even when idle', prepare: reportSlowRequests, req: { deadline: at(3_000) }, code: 'deadlineOutOfReach', least: 60_000 }
   ]
   for (const { name, prepare, req, code, least } of cases) {
     it(`${name}: ${code}, not run, with a retry delay`, () => {
-      const router = productRouter(views)
+      const router = configuredRouter(views)
       prepare(router)
       const decision = router.route(request(req), at(2_000), seeded(1))
       if (decision.kind !== 'refused') throw new Error('not refused')
@@ -245,14 +245,14 @@
   }
 
   it('does not refuse by outdated measurements, so that new requests can replace them', () => {
-    const router = productRouter(views)
-    slowly(router)
+    const router = configuredRouter(views)
+    reportSlowRequests(router)
     expect(outcome(router.route(request({ deadline: at(21_000) }), at(20_000), seeded(1)))).to.match(/^r\d$/)
   })
 
   it('a router without the check accepts a request that must miss its deadline', () => {
-    const weak = new LowestScore(views, count)
-    slowly(weak)
+    const weak = new LowestScoreRouter(views, count)
+    reportSlowRequests(weak)
     expect(outcome(weak.route(request({ deadline: at(3_000) })))).to.match(/^r\d$/)
   })
 })
--- a/packages/decisions/src/routing/runnerSubset.ts
+++ b/packages/decisions/src/routing/runnerSubset.ts
@@ -7,10 +7,10 @@
 import type { RunnerView } from './routingTypes.js'
 
 /** Runners that one VM watches per model. */
-const SUBSET_LIMIT = 32
+const MAX_SUBSET_SIZE = 32
 
 /** Runners from other domains, if there are enough of both kinds. */
-const REMOTE_PLACES = 8
+const MIN_REMOTE_RUNNERS = 8
 
 /**
  * @param vm - name of the VM
@@ -18,15 +18,15 @@
  * @param runners - all runners of the model
  */
 export function subsetOf (vm: string, domain: string, runners: readonly RunnerView[]): readonly RunnerView[] {
-  if (runners.length <= SUBSET_LIMIT) return runners
-  const ranked = rankFor(vm, runners)
-  const own = ranked.filter(view => view.domain === domain)
+  if (runners.length <= MAX_SUBSET_SIZE) return runners
+  const ranked = rankRunners(vm, runners)
+  const local = ranked.filter(view => view.domain === domain)
   const remote = ranked.filter(view => view.domain !== domain)
-  const remotePlaces = Math.min(remote.length, Math.max(REMOTE_PLACES, SUBSET_LIMIT - own.length))
-  return [...own.slice(0, SUBSET_LIMIT - remotePlaces), ...remote.slice(0, remotePlaces)]
+  const remoteCount = Math.min(remote.length, Math.max(MIN_REMOTE_RUNNERS, MAX_SUBSET_SIZE - local.length))
+  return [...local.slice(0, MAX_SUBSET_SIZE - remoteCount), ...remote.slice(0, remoteCount)]
 }
 
-function rankFor (vm: string, runners: readonly RunnerView[]): readonly RunnerView[] {
+function rankRunners (vm: string, runners: readonly RunnerView[]): readonly RunnerView[] {
   const key = hashName(vm)
   const weight = (view: RunnerView): number => pairWeight(key, hashName(view.runner))
   return [...runners].sort((a, b) => weight(b) - weight(a) || (a.runner < b.runner ? -1 : 1))
--- a/packages/decisions/src/routing/targetHealth.ts
+++ b/packages/decisions/src/routing/targetHealth.ts
@@ -5,29 +5,29 @@
  */
 import { Ewma } from './ewma.js'
 
-const CONSECUTIVE_LIMIT = 3
+const MAX_CONSECUTIVE_FAILURES = 3
 
 /** Error rate that ejects, and the number of outcomes required to evaluate it. */
-const ERROR_RATE_LIMIT = 0.5
-const ERROR_RATE_SAMPLES = 10
+const MAX_ERROR_RATE = 0.5
+const MIN_ERROR_RATE_SAMPLES = 10
 
 /** Duration of the first ejection; doubled for each further one up to the maximum. */
-const EJECT_BASE_MS = 2_000
-const EJECT_MAX_MS = 60_000
+const BASE_EJECTION_MS = 2_000
+const MAX_EJECTION_MS = 60_000
 
 /** Time over which a returned runner ramps up to its full share. */
-const RETURN_MS = 10_000
+const RAMP_UP_MS = 10_000
 
 /** Time without an ejection after which the ejection time starts again at its base. */
-const FORGIVE_MS = 60_000
+const EJECTION_RESET_MS = 60_000
 
 /** Times are monotonic milliseconds. */
 export class TargetHealth {
-  private consecutive = 0
+  private consecutiveFailures = 0
   private errors = new Ewma()
   private ejections = 0
   private ejectedUntil = -Infinity
-  private probing = false
+  private awaitsProbe = false
   private reasonText = 'healthy'
 
   get reason (): string {
@@ -39,41 +39,41 @@
     return this.ejectedUntil
   }
 
-  succeeded (mono: number): void {
-    this.consecutive = 0
+  recordSuccess (mono: number): void {
+    this.consecutiveFailures = 0
     this.errors.add(0)
-    this.responded(mono)
-    if (mono - this.ejectedUntil > FORGIVE_MS) this.ejections = 0
+    this.recordResponse(mono)
+    if (mono - this.ejectedUntil > EJECTION_RESET_MS) this.ejections = 0
   }
 
   /** Records a first token, which ends probing. */
-  responded (mono: number): void {
-    if (!this.probing || this.isEjected(mono)) return
-    this.probing = false
+  recordResponse (mono: number): void {
+    if (!this.awaitsProbe || this.isEjected(mono)) return
+    this.awaitsProbe = false
     this.ejectedUntil = mono
   }
 
-  failed (mono: number): void {
-    this.consecutive += 1
+  recordFailure (mono: number): void {
+    this.consecutiveFailures += 1
     this.errors.add(1)
     if (this.isEjected(mono)) return
-    if (this.probing) this.eject('probe failed', mono)
-    else if (this.consecutive >= CONSECUTIVE_LIMIT) this.eject('consecutive failures', mono)
-    else if (this.errors.count >= ERROR_RATE_SAMPLES && this.errors.mean >= ERROR_RATE_LIMIT) this.eject('error rate', mono)
+    if (this.awaitsProbe) this.eject('probe failed', mono)
+    else if (this.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) this.eject('consecutive failures', mono)
+    else if (this.errors.count >= MIN_ERROR_RATE_SAMPLES && this.errors.mean >= MAX_ERROR_RATE) this.eject('error rate', mono)
   }
 
   eject (reason: string, mono: number): void {
-    const span = Math.min(EJECT_MAX_MS, EJECT_BASE_MS * 2 ** this.ejections)
+    const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** this.ejections)
     this.ejections += 1
-    this.ejectedUntil = mono + span
-    this.probing = true
+    this.ejectedUntil = mono + ejectionMs
+    this.awaitsProbe = true
     this.errors = new Ewma()
     this.reasonText = reason
   }
 
   /** Whether it was ejected and has not responded to a probe since. */
-  get isOut (): boolean {
-    return this.probing
+  get isAwaitingProbe (): boolean {
+    return this.awaitsProbe
   }
 
   isEjected (mono: number): boolean {
@@ -86,8 +86,8 @@
    */
   share (mono: number, inFlight: number): number {
     if (this.isEjected(mono)) return 0
-    if (this.probing) return inFlight === 0 ? 1 : 0
-    const back = mono - this.ejectedUntil
-    return back >= RETURN_MS ? 1 : Math.max(0.1, back / RETURN_MS)
+    if (this.awaitsProbe) return inFlight === 0 ? 1 : 0
+    const sinceReturnMs = mono - this.ejectedUntil
+    return sinceReturnMs >= RAMP_UP_MS ? 1 : Math.max(0.1, sinceReturnMs / RAMP_UP_MS)
   }
 }
--- a/packages/decisions/src/routing/teamQueue.ts
+++ b/packages/decisions/src/routing/teamQueue.ts
@@ -4,7 +4,7 @@
 import type { QueueItem } from './queueTypes.js'
 
 /** Head start over other teams per priority level, as virtual time (tokens at weight 1). */
-const HEAD_START = 4_000
+const HEAD_START_TOKENS = 4_000
 
 export interface TeamQueue<T> {
   weight: number
@@ -16,23 +16,23 @@
 }
 
 /** Inserts an item after those of the same or a higher priority. */
-export function insert<T> (items: QueueItem<T>[], item: QueueItem<T>): void {
+export function insertByPriority<T> (items: QueueItem<T>[], item: QueueItem<T>): void {
   const index = items.findIndex(other => other.priority < item.priority)
   items.splice(index < 0 ? items.length : index, 0, item)
 }
 
 /** Virtual time by which an item may start ahead of its team's tag. */
 export function headStart<T> (item: QueueItem<T>): number {
-  return item.priority * HEAD_START
+  return item.priority * HEAD_START_TOKENS
 }
 
 /** Number of items of a team that start before the virtual time `tag`. */
-export function startsUpTo<T> (team: TeamQueue<T>, tag: number): number {
-  let next = team.tag
+export function countStartsBefore<T> (team: TeamQueue<T>, tag: number): number {
+  let nextTag = team.tag
   let count = 0
   for (const item of team.items) {
-    if (next - headStart(item) >= tag) break
-    next += item.tokens / item.weight
+    if (nextTag - headStart(item) >= tag) break
+    nextTag += item.tokens / item.weight
     count += 1
   }
   return count
--- a/packages/rosemaryspread/src/admin/adminService.spec.ts
+++ b/packages/rosemaryspread/src/admin/adminService.spec.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 import { Just } from 'purify-ts'
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
-import type { RunnerStanding } from '@rosemaryspread/decisions/routing/routingTypes.js'
+import type { RunnerStatus } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { FleetAdminService, type AdminDeps } from './adminService.js'
 
 const place = { address: '10.0.0.1:1', domain: 'd1' }
@@ -15,8 +15,8 @@
 })
 
 describe('FleetAdminService.runners', () => {
-  const ejected: RunnerStanding = { runner: 'r1', state: 'ejected', reason: 'consecutive failures', inFlight: 2, reportAgeMs: 900 }
-  const cases: ReadonlyArray<{ readonly name: string, readonly standings: readonly RunnerStanding[], readonly shown: object }> = [
+  const ejected: RunnerStatus = { runner: 'r1', state: 'ejected', reason: 'consecutive failures', inFlight: 2, reportAgeMs: 900 }
+  const cases: ReadonlyArray<{ readonly name: string, readonly standings: readonly RunnerStatus[], readonly shown: object }> = [
     { name: 'the state that this VM sees', standings: [ejected], shown: { ...ejected, kind: 'model', ...place } },
     { name: 'the configured state of a runner that the router does not know', standings: [], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } },
     { name: 'no runner that is not configured', standings: [{ ...ejected, runner: 'old' }], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } }
--- a/packages/rosemaryspread/src/admin/adminService.ts
+++ b/packages/rosemaryspread/src/admin/adminService.ts
@@ -4,7 +4,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import type { AdminService, BudgetAnswer, ConfigAnswer, HistoryEntry, OperatorIdentity, PatchAnswer, PatchRequest, RunnerAnswer, TopUpRequest, VmAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { RunnerStanding } from '@rosemaryspread/decisions/routing/routingTypes.js'
+import type { RunnerStatus } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import type { CurrentConfig } from '../completion/completionPorts.js'
 import type { KeyDirectory } from '../directory/keyDirectory.js'
 import type { BudgetReader } from '../directory/callerDirectory.js'
@@ -35,7 +35,7 @@
   readonly vms: () => Promise<Either<Failure, readonly VmAnswer[]>>
   readonly addresses: () => readonly string[]
   /** Model runners as this VM sees them. */
-  readonly runnerStates: () => readonly RunnerStanding[]
+  readonly runnerStates: () => readonly RunnerStatus[]
   readonly serviceInFlight: (runner: string) => number
 }
 
--- a/packages/rosemaryspread/src/gateway/gatewayRetries.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayRetries.ts
@@ -41,7 +41,7 @@
    * @param now - both clocks
    */
   requested (service: string, now: Instant): void {
-    this.of(service).attempted(now)
+    this.of(service).recordFirstAttempt(now)
   }
 
   /**
@@ -51,7 +51,7 @@
    */
   take (service: string, now: Instant): boolean {
     const deadline = { mono: Infinity, wall: Infinity }
-    return this.of(service).decide({ attempts: 1, repeatable: true, deadline, needMs: 0 }, now, () => 0).retry
+    return this.of(service).decide({ attempts: 1, repeatable: true, deadline, predictedMs: 0 }, now, () => 0).retry
   }
 
   private of (service: string): RetryBudget {
--- a/packages/rosemaryspread/src/membership/leaseDriver.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.ts
@@ -6,7 +6,7 @@
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { LeaseKeeper } from '@rosemaryspread/decisions/lease/leaseKeeper.js'
+import { LeaseManager } from '@rosemaryspread/decisions/lease/leaseManager.js'
 import { defaultLeaseLimits, FENCE_TABLE, fenceRowSchema, LEASE_TABLE, leaseRowSchema, type LeaseAction, type LeaseEvent, type LeaseLimits, type LeaseWriteOutcome, type ReadLease } from '@rosemaryspread/decisions/lease/leaseTypes.js'
 import type { HolderId } from '@rosemaryspread/decisions/names/nameTypes.js'
 import type { ReadAnswer, Row, RowCheck, TableStore, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -32,7 +32,7 @@
 
 /** One role's lease at work. */
 export class LeaseDriver {
-  private readonly keeper: LeaseKeeper
+  private readonly keeper: LeaseManager
   private timer: NodeJS.Timeout | undefined
   private ticks = 0
   private resolveReleased: () => void = () => {}
@@ -42,7 +42,7 @@
    * @param options - role and collaborators
    */
   constructor (private readonly options: LeaseDriverOptions) {
-    this.keeper = new LeaseKeeper(options.role, options.holder, options.limits ?? defaultLeaseLimits)
+    this.keeper = new LeaseManager(options.role, options.holder, options.limits ?? defaultLeaseLimits)
   }
 
   /** Begins to look for the role. */
@@ -91,7 +91,7 @@
     if (check.isLeft()) return check
     const checks = [...tx.checks, check.extract() as RowCheck]
     const answer = await this.options.table.transact({ checks, writes: tx.writes })
-    if (answer.isLeft()) this.feed({ kind: 'doubt' }).catch((err: unknown) => this.options.log.write('fault', { err }))
+    if (answer.isLeft()) this.feed({ kind: 'recheck' }).catch((err: unknown) => this.options.log.write('fault', { err }))
     return answer
   }
 
--- a/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
@@ -4,7 +4,7 @@
  * short timeout would never be detected.
  */
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
-import { processOf } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import { processKey } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 
 /**
  * Milliseconds after a call was abandoned in which a termination of its target is attributed to it. Targets terminate
@@ -58,5 +58,5 @@
 }
 
 function processNameOf ({ id, startedAt }: Process): string {
-  return processOf({ target: id, startedAt })
+  return processKey({ target: id, startedAt })
 }
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -6,7 +6,7 @@
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { Suspicion, TargetChoice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
-import type { QuarantineNews, SuspectView, TargetEnd, Verdict } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import type { QuarantineUpdate, SuspectView, TargetEnd, Verdict } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import { RequestQuarantine } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import type { CallGuard } from '../gateway/callTypes.js'
 import type { OpenCall } from '../gateway/callOpen.js'
@@ -73,8 +73,8 @@
   }
 
   /** Handles an update from another VM. */
-  receive (update: QuarantineNews): void {
-    this.applyVerdicts(this.requests.take(update, this.mono), 'another VM')
+  receive (update: QuarantineUpdate): void {
+    this.applyVerdicts(this.requests.apply(update, this.mono), 'another VM')
   }
 
   /** Requests under suspicion, for operators. */
@@ -113,7 +113,7 @@
     metrics.count('requests_suspected')
     log.write('requestSuspected', { request: requestId, digest, runner: end.target, startedAt: end.startedAt })
     share.ended(end, digest)
-    const verdicts = this.requests.take({ kind: 'ended', ends: [end], digests: [digest] }, this.mono)
+    const verdicts = this.requests.apply({ kind: 'ended', ends: [end], digests: [digest] }, this.mono)
     this.applyVerdicts(verdicts, 'this VM')
     for (const verdict of verdicts) share.quarantined(verdict)
   }
--- a/packages/rosemaryspread/src/quarantine/quarantineRows.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineRows.ts
@@ -6,8 +6,8 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { toFailure, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { QUARANTINE_TABLE, quarantineNewsSchema, type QuarantineNews } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
-import { SUSPECT_MS } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
+import { QUARANTINE_TABLE, quarantineUpdateSchema, type QuarantineUpdate } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import { SUSPICION_MS } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import { quarantineMs } from '@rosemaryspread/decisions/quarantine/suspectRequest.js'
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -23,7 +23,7 @@
  * Random delay in milliseconds, up to this bound, before a VM deletes an expired row: the first VM deletes it, and mostly
  * no other VM repeats that.
  */
-const CLEANUP_JITTER_MS = SUSPECT_MS
+const CLEANUP_JITTER_MS = SUSPICION_MS
 
 export interface QuarantineRowsParts {
   readonly table: TableStore
@@ -33,11 +33,11 @@
   /** Uniform in [0, 1). */
   random (): number
   /** Handles an update of another VM. */
-  onUpdate (update: QuarantineNews): void
+  onUpdate (update: QuarantineUpdate): void
 }
 
 /** A row value; null deletes the row. */
-type Row = QuarantineNews | null
+type Row = QuarantineUpdate | null
 
 /** The rows as written and read by one VM. Times are monotonic milliseconds. */
 export class QuarantineRows {
@@ -117,8 +117,8 @@
       this.deleteAt.delete(key)
       return
     }
-    const update = quarantineNewsSchema.safeParse(value)
-    const retainedMs = update.success ? retentionMs(update.data) : SUSPECT_MS
+    const update = quarantineUpdateSchema.safeParse(value)
+    const retainedMs = update.success ? retentionMs(update.data) : SUSPICION_MS
     this.deleteAt.set(key, this.mono + retainedMs + CLEANUP_JITTER_MS * this.parts.random())
     if (update.success) this.parts.onUpdate(update.data)
     else this.fault('badRequest', `row ${key} does not match the schema of a quarantine update`)
@@ -144,7 +144,7 @@
 }
 
 /** Milliseconds for which a row is retained; a clearance outlives the terminations that it clears. */
-function retentionMs (update: QuarantineNews): number {
+function retentionMs (update: QuarantineUpdate): number {
   if (update.kind === 'quarantined') return quarantineMs(update.level)
-  return update.kind === 'cleared' ? SUSPECT_MS + 2 * CLEANUP_JITTER_MS : SUSPECT_MS
+  return update.kind === 'cleared' ? SUSPICION_MS + 2 * CLEANUP_JITTER_MS : SUSPICION_MS
 }
--- a/packages/rosemaryspread/src/quarantine/quarantineSync.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.spec.ts
@@ -6,8 +6,8 @@
 import { expect } from 'chai'
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { QuarantineNews, TargetEnd } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
-import { SUSPECT_MS } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
+import type { QuarantineUpdate, TargetEnd } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import { SUSPICION_MS } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import type { FeedHandler, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { RowWrite, TableStore, TransactAnswer } from '@rosemaryspread/infra/table/tableTypes.js'
 import { QuarantineSync } from './quarantineSync.js'
@@ -20,7 +20,7 @@
   isDown = false
   readonly written: RowWrite[] = []
   readonly notified: string[] = []
-  readonly news: QuarantineNews[] = []
+  readonly news: QuarantineUpdate[] = []
   handler: FeedHandler | undefined
 
   constructor (private readonly peers: number) {}
@@ -60,8 +60,8 @@
 }
 
 const end: TargetEnd = { target: 't1', domain: 'd', at: 0, startedAt: 7 }
-const ended = (...digests: readonly string[]): QuarantineNews => ({ kind: 'ended', ends: [end], digests: [...digests] })
-const verdict: QuarantineNews = { kind: 'quarantined', digest: 'a', ends: [end], level: 1 }
+const ended = (...digests: readonly string[]): QuarantineUpdate => ({ kind: 'ended', ends: [end], digests: [...digests] })
+const verdict: QuarantineUpdate = { kind: 'quarantined', digest: 'a', ends: [end], level: 1 }
 
 describe('QuarantineSync', () => {
   it('publishes all requests on one terminated target in one row and one message to each VM', async () => {
@@ -121,10 +121,10 @@
     share.stop()
   })
 
-  const ages: ReadonlyArray<{ readonly name: string, readonly row: QuarantineNews, readonly afterMs: number, readonly isDeleted: boolean }> = [
-    { name: 'a termination still under suspicion', row: ended('a'), afterMs: SUSPECT_MS - 1, isDeleted: false },
-    { name: 'an expired termination', row: ended('a'), afterMs: SUSPECT_MS, isDeleted: true },
-    { name: 'a verdict within its hour', row: verdict, afterMs: SUSPECT_MS, isDeleted: false },
+  const ages: ReadonlyArray<{ readonly name: string, readonly row: QuarantineUpdate, readonly afterMs: number, readonly isDeleted: boolean }> = [
+    { name: 'a termination still under suspicion', row: ended('a'), afterMs: SUSPICION_MS - 1, isDeleted: false },
+    { name: 'an expired termination', row: ended('a'), afterMs: SUSPICION_MS, isDeleted: true },
+    { name: 'a verdict within its hour', row: verdict, afterMs: SUSPICION_MS, isDeleted: false },
     { name: 'a verdict after its hour', row: verdict, afterMs: 3_600_000, isDeleted: true }
   ]
   for (const { name, row, afterMs, isDeleted } of ages) {
--- a/packages/rosemaryspread/src/quarantine/quarantineSync.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.ts
@@ -4,7 +4,7 @@
  * or sent before a target has terminated.
  */
 import {
-  MOST_DIGESTS, processOf, quarantineNewsSchema, type Clearance, type QuarantineNews, type TargetEnd, type Verdict
+  MAX_DIGESTS, processKey, quarantineUpdateSchema, type Clearance, type QuarantineUpdate, type TargetEnd, type Verdict
 } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
 import { MOST_TOLD } from '../presence/fleetLinks.js'
@@ -67,7 +67,7 @@
 
   /** Peer method that receives updates of other VMs. */
   method (): PeerMethod {
-    return async params => { this.parts.onUpdate(quarantineNewsSchema.parse(params)) }
+    return async params => { this.parts.onUpdate(quarantineUpdateSchema.parse(params)) }
   }
 
   /**
@@ -75,7 +75,7 @@
    * @param digest - digest of the request
    */
   ended (end: TargetEnd, digest: string): void {
-    const name = processOf(end)
+    const name = processKey(end)
     const open = this.reports.get(name) ?? { end, digests: new Set<string>(), since: this.mono, isPublished: true }
     open.digests.add(digest)
     open.isPublished = false
@@ -102,13 +102,13 @@
   private publishBatch (): void {
     this.batchTimer = undefined
     for (const [name, open] of this.reports) {
-      if (!open.isPublished) this.publish(`ended/${name}/${this.parts.vm}`, { kind: 'ended', ends: [open.end], digests: [...open.digests].slice(0, MOST_DIGESTS) })
+      if (!open.isPublished) this.publish(`ended/${name}/${this.parts.vm}`, { kind: 'ended', ends: [open.end], digests: [...open.digests].slice(0, MAX_DIGESTS) })
       open.isPublished = true
       if (this.mono - open.since > REPORT_RETENTION_MS) this.reports.delete(name)
     }
   }
 
-  private publish (key: string, update: QuarantineNews): void {
+  private publish (key: string, update: QuarantineUpdate): void {
     const peers = this.parts.peers()
     if (peers.length <= MOST_TOLD) for (const { address } of peers) this.parts.notify(address, QUARANTINE_METHOD, update)
     this.rows.put(key, update)
--- a/packages/rosemaryspread/src/quarantine/targetEndDetector.ts
+++ b/packages/rosemaryspread/src/quarantine/targetEndDetector.ts
@@ -4,7 +4,7 @@
  * is accepted or hangs.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
-import { processOf } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import { processKey } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 import type { TargetProbe } from '../gateway/callTypes.js'
 
@@ -34,7 +34,7 @@
   check (target: Pick<TargetView, 'id' | 'address' | 'startedAt'>): BrokenProcess {
     const now = this.parts.clock.now().mono
     this.evictExpired(now)
-    const name = processOf({ target: target.id, startedAt: target.startedAt })
+    const name = processKey({ target: target.id, startedAt: target.startedAt })
     const cached = this.results.get(name)
     if (cached !== undefined) return cached
     const fresh = { isEnded: this.parts.probe.isRefused(target.address, PROBE_TIMEOUT_MS), since: now }
--- a/packages/rosemaryspread/src/routing/routingService.ts
+++ b/packages/rosemaryspread/src/routing/routingService.ts
@@ -9,7 +9,7 @@
 import type { PollSchedule } from '@rosemaryspread/decisions/routing/pollSchedule.js'
 import type { RetryDecider } from '@rosemaryspread/decisions/routing/retryBudget.js'
 import type { RunnerRouter } from '@rosemaryspread/decisions/routing/runnerRouter.js'
-import type { RouteDecider, RouteDecision, RunnerStanding, RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
+import type { RouteDecider, RouteDecision, RunnerStatus, RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import type { StreamLoad } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 import type { RandomSource } from '../completion/completionPorts.js'
@@ -60,7 +60,7 @@
 
   async route (admitted: AdmittedCompletion, exclude: readonly string[], gone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>> {
     if (exclude.length === 0) {
-      this.deps.retries.attempted(this.deps.clock.now())
+      this.deps.retries.recordFirstAttempt(this.deps.clock.now())
       return await this.queues.route(admitted, gone)
     }
     const tried = this.tryRoute(admitted, exclude)
@@ -83,14 +83,14 @@
   private tryRoute (admitted: AdmittedCompletion, exclude: readonly string[]): RouteTry {
     const decision = this.decide(admitted, exclude)
     if (decision.kind === 'refused') {
-      const refusal = { failure: decision.failure, lookIn: decision.lookIn ?? [] }
+      const refusal = { failure: decision.failure, lookIn: decision.lookupRunners ?? [] }
       if (decision.failure.code === 'overloaded') return { kind: 'full', refusal }
       this.logRefusal(admitted, refusal)
       return { kind: 'refused', refusal }
     }
     const { choice, candidates, reason } = decision
     this.deps.log.write('routed', { request: admitted.requestId, model: admitted.model, candidates, choice: choice.runner, reason })
-    const before = decision.before.filter(({ runner }) => !exclude.includes(runner))
+    const before = decision.runnersToSeal.filter(({ runner }) => !exclude.includes(runner))
     return { kind: 'routed', routed: { choice, before, run: this.dispatched(choice.runner, admitted) } }
   }
 
@@ -117,7 +117,7 @@
   private dispatched (runner: string, admitted: AdmittedCompletion): DispatchedRun {
     const { requestId } = admitted
     const startedAt = this.deps.clock.now()
-    this.deps.polls.use(runner)
+    this.deps.polls.markUsed(runner)
     const tokens = admitted.promptTokens + admitted.maxTokens
     this.deps.decider.observe({ kind: 'dispatched', runner, requestId, tokens }, startedAt)
     return {
@@ -137,7 +137,7 @@
   }
 
   retryDelay (admitted: AdmittedCompletion, attempts: number): Maybe<number> {
-    const attempt = { attempts, repeatable: true, deadline: admitted.deadline, needMs: 0 }
+    const attempt = { attempts, repeatable: true, deadline: admitted.deadline, predictedMs: 0 }
     const decision = this.deps.retries.decide(attempt, this.deps.clock.now(), () => this.deps.random.next())
     return decision.retry ? Just(decision.delayMs) : Nothing
   }
@@ -149,7 +149,7 @@
   }
 
   /** How this VM stands to each model runner. */
-  states (): readonly RunnerStanding[] {
+  states (): readonly RunnerStatus[] {
     return this.deps.decider.states(this.deps.clock.now())
   }
 
--- a/packages/rosemaryspread/src/routing/runnerStateLog.spec.ts
+++ b/packages/rosemaryspread/src/routing/runnerStateLog.spec.ts
@@ -2,10 +2,10 @@
  * Lines on changes of runners: one for each change, none while nothing changes.
  */
 import { expect } from 'chai'
-import type { RunnerStanding } from '@rosemaryspread/decisions/routing/routingTypes.js'
+import type { RunnerStatus } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { RunnerStateLog } from './runnerStateLog.js'
 
-type State = RunnerStanding['state'] | 'gone'
+type State = RunnerStatus['state'] | 'gone'
 
 describe('RunnerStateLog', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly states: readonly State[], readonly lines: readonly string[] }> = [
@@ -20,7 +20,7 @@
     it(`writes the changes of ${name}`, () => {
       const seen: unknown[] = []
       const log = new RunnerStateLog({ write: (event, { runner, state, reason }) => { seen.push([event, runner, state, reason]) } })
-      const other: RunnerStanding = { runner: 'other', state: 'active', reason: 'healthy', inFlight: 0 }
+      const other: RunnerStatus = { runner: 'other', state: 'active', reason: 'healthy', inFlight: 0 }
       for (const state of states) log.check(state === 'gone' ? [other] : [other, { runner: 'r0', state, reason: `so ${state}`, inFlight: 0 }])
       expect(seen).to.deep.equal(lines.map(state => ['runnerState', 'r0', state, `so ${state}`]))
     })
--- a/packages/rosemaryspread/src/service/serviceRoute.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.ts
@@ -45,8 +45,8 @@
   ended (runner: string, reached: boolean, mono: number): void {
     const health = this.health.get(runner) ?? new TargetHealth()
     this.health.set(runner, health)
-    if (reached) health.succeeded(mono)
-    else health.failed(mono)
+    if (reached) health.recordSuccess(mono)
+    else health.recordFailure(mono)
   }
 
   /**
--- a/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
@@ -30,7 +30,7 @@
 function memoryRows (suspects: number): readonly MeasureRow[] {
   const requests = new RequestQuarantine()
   const before = heapBytes()
-  const take = perRun(Math.max(1, suspects), index => { requests.take(reportOf([digestOf(index)], `t${index % TARGETS}`), 0) })
+  const take = perRun(Math.max(1, suspects), index => { requests.apply(reportOf([digestOf(index)], `t${index % TARGETS}`), 0) })
   const heap = heapBytes() - before
   const lookUp = perRun(TIMES, index => { requests.standing(digestOf(index), 1) })
   return [
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -5,7 +5,7 @@
 import seedrandom from 'seedrandom'
 import { TargetBalancer } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
-import type { QuarantineNews, TargetEnd } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
+import type { QuarantineUpdate, TargetEnd } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import { RequestQuarantine } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import { AnsweredRequests } from 'rosemaryspread/quarantine/answeredRequests.js'
 import { VirtualTime } from '../../time/virtualTime.js'
@@ -222,16 +222,16 @@
 
   private told (vm: Vm, digest: string, end: TargetEnd): void {
     if (vm.answers.has(digest, this.time.mono)) return
-    const news: QuarantineNews = { kind: 'ended', ends: [end], digests: [digest] }
+    const news: QuarantineUpdate = { kind: 'ended', ends: [end], digests: [digest] }
     this.take(vm, news)
     this.spread(vm, news)
   }
 
-  private take (vm: Vm, news: QuarantineNews): void {
-    for (const { digest } of vm.quarantine.take(news, this.time.mono)) for (const breakOff of vm.open.get(digest) ?? []) breakOff()
+  private take (vm: Vm, news: QuarantineUpdate): void {
+    for (const { digest } of vm.quarantine.apply(news, this.time.mono)) for (const breakOff of vm.open.get(digest) ?? []) breakOff()
   }
 
-  private spread (from: Vm, news: QuarantineNews): void {
+  private spread (from: Vm, news: QuarantineUpdate): void {
     for (const vm of this.vms) {
       if (vm !== from) this.time.after(this.shape.newsMs * this.random(), () => { this.take(vm, news) })
     }
--- a/packages/stand-ins/src/measure/routingPolicies.ts
+++ b/packages/stand-ins/src/measure/routingPolicies.ts
@@ -125,7 +125,7 @@
   private start (req: SimRequest, decision: Extract<RouteDecision, { kind: 'routed' }>, at: number): PolicyAnswer {
     const { runner } = decision.choice
     this.observe({ kind: 'dispatched', runner, requestId: req.id, tokens: req.promptTokens + req.maxTokens }, at)
-    return { kind: 'start', req, runner, sealed: decision.before.length }
+    return { kind: 'start', req, runner, sealed: decision.runnersToSeal.length }
   }
 
   private itemOf (req: SimRequest, exclude: readonly string[], at: number): QueueItem<Waiting> {
--- a/packages/stand-ins/src/measure/routingSimulation.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.ts
@@ -105,7 +105,7 @@
   private arrive (req: SimRequest, at: number): void {
     this.statistics.offered(req)
     this.ongoing.set(req.id, { req, attempts: 0, tried: [] })
-    this.retries[req.vm]?.attempted(instantOf(at))
+    this.retries[req.vm]?.recordFirstAttempt(instantOf(at))
     this.time.schedule(req.deadline, late => this.deadline(req, late))
     this.act(this.policies[req.vm]?.arrive(req, [], at) ?? [], at)
   }
@@ -181,7 +181,7 @@
       this.giveUp(req, at)
       return
     }
-    const failure = { attempts: going.attempts, repeatable: true, deadline: instantOf(req.deadline), needMs: 0 }
+    const failure = { attempts: going.attempts, repeatable: true, deadline: instantOf(req.deadline), predictedMs: 0 }
     const decision = this.retries[req.vm]?.decide(failure, instantOf(at), this.setup.random)
     if (decision?.retry === true) {
       this.time.schedule(at + decision.delayMs, later => this.again(going, later))
