--- a/packages/decisions/src/budget/demandRate.ts
+++ b/packages/decisions/src/budget/demandRate.ts
@@ -1,7 +1,7 @@
 /**
  * Demand of one budget at one holder, as an exponentially weighted rate.
  */
-import { DecayingSum } from '../clock/fadingSum.js'
+import { DecayingSum } from '../clock/decayingSum.js'
 
 /** Part of the window that counts as filled at the least: the first requests are no rate yet. */
 const LEAST_PART = 0.25
