--- a/packages/decisions/src/config/configCheck.ts
+++ b/packages/decisions/src/config/configCheck.ts
@@ -1,8 +1,7 @@
 /**
- * Checks a configuration document: the schema of every entry, then what no schema can say
- * (references between entries, addresses and keys used once). Every mistake is named by its
- * path. Checked entries are frozen and remembered, so that checking the next version costs only
- * the entries its patch touched.
+ * Validates a configuration document: each entry by its schema, then references between entries. Every error is
+ * reported with its path. Checked entries are frozen and cached, so that checking the next version costs only the
+ * entries that its patch changed.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { z } from 'zod'
@@ -12,9 +11,9 @@
 import { crossErrors } from './configReferences.js'
 import type { ConfigDocument } from './configRows.js'
 
-/** Mistakes named in one failure; more are only counted. */
+/** Errors listed in one failure; any more are only counted. */
 const MAX_ERRORS = 50
-/** Ids that every JavaScript object answers to. */
+/** Ids that resolve to members of the object prototype. */
 const reservedIds = new Set(['__proto__', 'constructor', 'prototype'])
 
 const shape = fleetConfigSchema.shape
@@ -26,19 +25,18 @@
   operators: shape.operators.unwrap()
 } as const
 
-/** An entry that was found right under an id. */
+/** A valid entry and the id that it was checked under. */
 interface CheckedEntry {
   readonly id: string
   readonly checked: unknown
 }
 
-/** Checked entries by the schema that checked them. */
+/** Checked entries by schema and source object. */
 const checkedEntries = new WeakMap<z.ZodType, WeakMap<object, CheckedEntry>>()
 
 /**
- * Checks a document that an operator wants accepted: its schema and what it refers to.
- * @param document - the document
- * @returns as {@link readConfig}
+ * Validates a patched document: its schema and the references between its entries.
+ * @returns as {@link parseConfig}
  */
 export function checkConfig (document: ConfigDocument): Either<Failure, FleetConfig> {
   return readConfig(document).chain(config => {
@@ -48,10 +46,9 @@
 }
 
 /**
- * Gives the configuration that a document stands for, with all defaults filled in. An accepted
- * document passes here even when later checks of references would refuse it as a new one.
- * Entries that need no default are the document's own, now frozen. Collections have no prototype.
- * @param document - the document
+ * Parses a document into a configuration with all defaults filled in. It does not check references, so that an
+ * accepted document still parses after those checks became stricter. Entries that need no default are the
+ * document's own objects, now frozen. Collections have no prototype.
  * @returns the configuration, or `configInvalid` with every error as `/path: message`
  */
 export function readConfig (document: ConfigDocument): Either<Failure, FleetConfig> {
@@ -113,7 +110,7 @@
 
 function invalid (errors: readonly string[]): Failure {
   const named = errors.slice(0, MAX_ERRORS)
-  const detail = errors.length > named.length ? `${errors.length} errors, the first ${MAX_ERRORS} named` : `${errors.length} error(s): ${named[0]}`
+  const detail = errors.length > named.length ? `${errors.length} errors, the first ${MAX_ERRORS} are listed` : `${errors.length} error(s): ${named[0]}`
   return new Failure('configInvalid', detail, { errors: named })
 }
 
@@ -123,10 +120,7 @@
   return Object.freeze(value)
 }
 
-/**
- * Escapes one part of a JSON pointer.
- * @param part - member name
- */
+/** Escapes one segment of a JSON pointer. */
 export function escapePointer (part: string): string {
   return part.replaceAll('~', '~0').replaceAll('/', '~1')
 }
--- a/packages/decisions/src/config/configDecider.spec.ts
+++ b/packages/decisions/src/config/configDecider.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * The version in force never decreases and always matches its digest, whatever order versions arrive in.
+ */
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { ConfigHolder, type ConfigAction, type ConfigDecider, type ConfigEvent, type ConfigSource, type ConfigStatus } from './configDecider.js'
@@ -22,7 +25,7 @@
 const whole = (version: number, last = version): ConfigEvent => ({ kind: 'delivered', source: 'snapshot', candidate: { whole: wholeOf(version), rows: rows.slice(version, last) } })
 const accepted = (version: number): ConfigEvent => ({ kind: 'accepted', source: 'patch', held: versions[version]! })
 
-/** Counter-example: whatever was delivered last is in force, as a plain cache of the newest answer would do. */
+/** Counter-example: applies the latest delivery, as a plain cache of the newest response would. */
 class LastAnswerHolder implements ConfigDecider {
   inForce: HeldConfig | undefined
 
@@ -54,14 +57,14 @@
     { name: 'an older delivery after a pause', events: [rowsOf(1, 4), rowsOf(1, 2)], applied: [4] },
     { name: 'an older snapshot', events: [rowsOf(1, 4), whole(3)], applied: [4] },
     { name: 'a snapshot and rows', events: [whole(3, 5)], applied: [5] },
-    { name: 'rows that begin too late', events: [rowsOf(3, 4), rowsOf(1, 1)], applied: [1] },
+    { name: 'rows after a gap', events: [rowsOf(3, 4), rowsOf(1, 1)], applied: [1] },
     { name: 'the same version twice', events: [accepted(1), accepted(1), rowsOf(1, 1)], applied: [1] },
-    { name: 'own acceptance after a higher one', events: [whole(4), accepted(2)], applied: [4] },
+    { name: 'local acceptance after a higher version', events: [whole(4), accepted(2)], applied: [4] },
     { name: 'nothing accepted yet', events: [{ kind: 'delivered', source: 'table', candidate: { rows: [] } }], applied: [0] },
-    { name: 'a damaged whole', events: [{ kind: 'delivered', source: 'peer', candidate: { whole: { ...wholeOf(3), digest: 'f'.repeat(64) }, rows: [] } }, whole(2)], applied: [2] }
+    { name: 'a snapshot with a wrong digest', events: [{ kind: 'delivered', source: 'peer', candidate: { whole: { ...wholeOf(3), digest: 'f'.repeat(64) }, rows: [] } }, whole(2)], applied: [2] }
   ]
   for (const { name, events, applied: expected } of cases) {
-    it(`in force after ${name}: ${expected.join(', ')}`, () => {
+    it(`applies after ${name}: ${expected.join(', ')}`, () => {
       expect(applied(new ConfigHolder(origin), events)).to.deep.equal(expected)
     })
   }
@@ -70,11 +73,11 @@
     { name: 'a higher version', before: [rowsOf(1, 2)], event: heard(4), actions: ['fetch'], behind: true },
     { name: 'the same version', before: [rowsOf(1, 2)], event: heard(2), actions: [], behind: false },
     { name: 'a lower version', before: [rowsOf(1, 2)], event: heard(1), actions: [], behind: false },
-    { name: 'another content for the version in force', before: [rowsOf(1, 2)], event: { kind: 'heard', source: 'peer', mark: { version: 2, digest: 'e'.repeat(64) } }, actions: ['reject'], behind: false },
+    { name: 'a different digest for the version in force', before: [rowsOf(1, 2)], event: { kind: 'heard', source: 'peer', mark: { version: 2, digest: 'e'.repeat(64) } }, actions: ['reject'], behind: false },
     { name: 'a version that came into force since', before: [heard(3), rowsOf(1, 3)], event: heard(3), actions: [], behind: false }
   ]
   for (const { name, before, event, actions, behind } of hearings) {
-    it(`hears of ${name}: ${actions.join() || 'nothing to do'}`, () => {
+    it(`receives an advertisement of ${name}: ${actions.join() || 'no action'}`, () => {
       const holder = new ConfigHolder(origin)
       for (const earlier of before) holder.decide(earlier, now)
       expect(holder.decide(event, now).map(action => action.kind)).to.deep.equal(actions)
@@ -98,8 +101,8 @@
     }), { seed: 11, numRuns: 300 })
   }
 
-  it('only rises, whatever arrives in whatever order', () => { neverFalls(() => new ConfigHolder(origin)) })
-  it('is told from a holder that takes the last answer', () => {
+  it('never lowers the version in force, whatever arrives in whatever order', () => { neverFalls(() => new ConfigHolder(origin)) })
+  it('differs from a decider that applies the latest delivery (counter-example)', () => {
     expect(() => { neverFalls(() => new LastAnswerHolder()) }).to.throw('Property failed')
   })
 })
--- a/packages/decisions/src/config/configDecider.ts
+++ b/packages/decisions/src/config/configDecider.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which configuration version is in force on a VM. Whatever arrives, in whatever order
- * and however late (a stale read, a push repeated, an older snapshot, a fetch that began before
- * a pause), the version in force only rises, and only by versions whose digest was verified.
+ * Decides which configuration version is in force on a VM. Inputs may be late or out of order (a stale read, a
+ * repeated push, an older snapshot, a fetch that began before a pause); the version in force only increases, and
+ * only to versions whose digest was verified.
  */
 import type { Either } from 'purify-ts'
 import type { Instant } from '../clock/clockTypes.js'
@@ -9,50 +9,50 @@
 import { holdDocument, replayRows, type HeldConfig } from './configPatch.js'
 import type { VersionMark, VersionRow, WholeConfig } from './configRows.js'
 
-/** Where a version was heard of or came from. */
+/** Where a version was advertised or delivered from. */
 export type ConfigSource = 'table' | 'peer' | 'snapshot' | 'patch'
 
-/** What a source delivered: rows that follow each other, or a whole version, with rows after it. */
+/** Delivered versions: consecutive rows, or a full version with the rows after it. */
 export interface ConfigCandidate {
   readonly whole?: WholeConfig
   readonly rows: readonly VersionRow[]
 }
 
-/** What the holder is told. */
+/** Inputs of the decider. */
 export type ConfigEvent =
-  /** A source names its newest version. */
+  /** A source advertises its newest version. */
   | { readonly kind: 'heard', readonly source: ConfigSource, readonly mark: VersionMark }
   | { readonly kind: 'delivered', readonly source: ConfigSource, readonly candidate: ConfigCandidate }
-  /** A version that this process has verified itself. */
+  /** A version that this process verified itself. */
   | { readonly kind: 'accepted', readonly source: ConfigSource, readonly held: HeldConfig }
 
-/** What the shell has to do. */
+/** Actions for the caller to carry out. */
 export type ConfigAction =
-  /** Get everything from `after` to `target`. */
+  /** Fetch all versions after `after`, up to `target`. */
   | { readonly kind: 'fetch', readonly after: number, readonly target: VersionMark }
-  /** The version is in force from now on: tell listeners. */
+  /** The version is now in force: notify listeners. */
   | { readonly kind: 'apply', readonly source: ConfigSource, readonly held: HeldConfig }
-  /** The source is wrong: it delivered something that does not verify, or names another content for the version in force. */
+  /** The source delivered data that does not verify, or advertised a different digest for the version in force. */
   | { readonly kind: 'reject', readonly source: ConfigSource, readonly version: number, readonly detail: string }
 
-/** How far this VM is. */
+/** Progress of this VM towards the newest version. */
 export interface ConfigStatus {
   /** The version in force; undefined before the first. */
   readonly version: number | undefined
-  /** The highest version heard of. */
+  /** The highest version advertised. */
   readonly heard: number | undefined
-  /** Since when a higher version is known than is in force. */
+  /** Since when the version in force is behind an advertised one. */
   readonly behindSince: Instant | undefined
 }
 
-/** Decides what is in force. */
+/** Decides which version is in force. */
 export interface ConfigDecider {
   decide (event: ConfigEvent, now: Instant): readonly ConfigAction[]
   readonly inForce: HeldConfig | undefined
   readonly status: ConfigStatus
 }
 
-/** The decider of the product. */
+/** Lets the version in force only increase. */
 export class ConfigHolder implements ConfigDecider {
   #held: HeldConfig | undefined
   #heard: VersionMark | undefined
@@ -60,27 +60,20 @@
   readonly #origin: HeldConfig
 
   /**
-   * @param origin - version 0, upon which rows are replayed when nothing is in force yet
+   * @param initial - version 0, the base for rows while no version is in force
    */
   constructor (origin: HeldConfig) {
     this.#origin = origin
   }
 
-  /** The version in force. */
   get inForce (): HeldConfig | undefined {
     return this.#held
   }
 
-  /** How far this VM is. */
   get status (): ConfigStatus {
     return { version: this.#held?.version, heard: this.#heard?.version, behindSince: this.#behindSince }
   }
 
-  /**
-   * Takes one event.
-   * @param event - what happened
-   * @param now - present time
-   */
   decide (event: ConfigEvent, now: Instant): readonly ConfigAction[] {
     switch (event.kind) {
       case 'heard': return this.#hear(event.source, event.mark, now)
@@ -92,7 +85,7 @@
   #hear (source: ConfigSource, mark: VersionMark, now: Instant): readonly ConfigAction[] {
     const held = this.#held
     if (held !== undefined && mark.version === held.version && mark.digest !== held.digest) {
-      return [{ kind: 'reject', source, version: mark.version, detail: 'another content for the version in force' }]
+      return [{ kind: 'reject', source, version: mark.version, detail: 'different digest for the version in force' }]
     }
     if (held !== undefined && mark.version <= held.version) return []
     if (mark.version > (this.#heard?.version ?? -1)) this.#heard = mark
@@ -109,7 +102,7 @@
     })
   }
 
-  /** Replays upon the version in force where the rows reach it, so that a late delivery costs only what is new. */
+  /** Replays onto the version in force where the rows reach it, so that a late delivery costs only its new rows. */
   #build (candidate: ConfigCandidate): Either<Failure, HeldConfig> {
     const base = this.#held ?? this.#origin
     const first = candidate.rows[0]
--- a/packages/decisions/src/config/configDigest.ts
+++ b/packages/decisions/src/config/configDigest.ts
@@ -1,18 +1,14 @@
 /**
- * Digest of a configuration document, the same whatever the order of members. It is a digest of
- * the digests of the entries (one team, one runner), which are remembered by entry object: after
- * a patch only the entries it touched are hashed again. Only frozen entries are remembered, as
- * an entry that can still change would make the memory wrong.
+ * Digest of a configuration document, independent of member order. It hashes the digests of the entries, which are
+ * cached by entry object, so that a patch only causes its changed entries to be hashed again. Only frozen entries
+ * are cached, as any other may still change.
  */
 import { createHash } from 'node:crypto'
 import type { ConfigDocument } from './configRows.js'
 
 const remembered = new WeakMap<object, string>()
 
-/**
- * JSON with the members of every object in order of their names.
- * @param value - any JSON value
- */
+/** JSON with the members of every object sorted by name. */
 export function canonicalJson (value: unknown): string {
   if (Array.isArray(value)) return `[${value.map(canonicalJson).join(',')}]`
   if (!isObject(value)) return JSON.stringify(value) ?? 'null'
@@ -20,18 +16,12 @@
   return `{${members.join(',')}}`
 }
 
-/**
- * Hex SHA-256 of the canonical JSON of a value.
- * @param value - any JSON value
- */
+/** Hex SHA-256 of the canonical JSON of a value. */
 export function digestOf (value: unknown): string {
   return createHash('sha256').update(canonicalJson(value)).digest('hex')
 }
 
-/**
- * Digest of a whole document.
- * @param document - the document
- */
+/** Hex SHA-256 of a whole document. */
 export function documentDigest (document: ConfigDocument): string {
   const hash = createHash('sha256')
   for (const name of Object.keys(document).sort()) {
@@ -55,10 +45,7 @@
   return digest
 }
 
-/**
- * Whether a value is an object with named members.
- * @param value - any value
- */
+/** Whether a value is an object other than an array. */
 export function isObject (value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value)
 }
--- a/packages/decisions/src/config/configPatch.spec.ts
+++ b/packages/decisions/src/config/configPatch.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Invalid patches are rejected with every error, and an accepted patch replays to the same version.
+ */
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { canonicalJson, documentDigest } from './configDigest.js'
@@ -37,7 +40,7 @@
     { name: 'prototype in value', ops: [add('/teams/t2', JSON.parse('{"a":[{"__proto__":{}}]}'))], code: 'patchInvalid', errors: ['operation 0 /teams/t2:'] },
     { name: 'root replaced by text', ops: [{ op: 'replace', path: '', value: 'x' }], code: 'patchInvalid', errors: ['/: expected'] },
     { name: 'unknown section', ops: [add('/zones', {})], code: 'configInvalid', errors: ['/zones: unknown member'] },
-    { name: 'section of wrong kind', ops: [add('/teams', [])], code: 'configInvalid', errors: ['/teams: expected an object'] },
+    { name: 'section of wrong type', ops: [add('/teams', [])], code: 'configInvalid', errors: ['/teams: expected an object'] },
     { name: 'bad id', ops: [add('/teams/Big~1Team', team())], code: 'configInvalid', errors: ['/teams/Big~1Team: use 1 to 63'] },
     { name: 'two bad members', ops: [add('/teams/t1/weight', -1), add('/teams/t2', { displayName: 'x', budget: 7 })], code: 'configInvalid', errors: ['/teams/t1/weight:', '/teams/t2/budget:'] },
     { name: 'bad limit', ops: [add('/limits/addressKeepMs', 0)], code: 'configInvalid', errors: ['/limits/addressKeepMs:'] },
@@ -50,7 +53,7 @@
     { name: 'too large', ops: [add('/teams/t2', team({ displayName: 'x'.repeat(200_000) }))], code: 'bodyTooLarge', errors: [] }
   ]
   for (const { name, ops, code, errors } of refused) {
-    it(`refuses: ${name}`, () => {
+    it(`rejects: ${name}`, () => {
       const failure = preparePatch(base, ops, 0).swap().unsafeCoerce()
       expect(failure.code).to.equal(code)
       expect(failure.errors).to.have.length(errors.length)
@@ -67,7 +70,7 @@
     { name: 'a replaced section', ops: [{ op: 'replace', path: '/teams', value: { t9: team() } }], path: ['teams', 't9', 'weight'], value: 1 }
   ]
   for (const { name, ops, path, value } of accepted) {
-    it(`accepts ${name}; the base stays as it was and the row replays to the same version`, () => {
+    it(`accepts ${name}; the base is unchanged and the row replays to the same version`, () => {
       const before = canonicalJson(base.document)
       const prepared = prepare(base, ops)
       expect(path.reduce<unknown>((at, part) => (at as Record<string, unknown>)[part], prepared.next.config)).to.equal(value)
@@ -78,7 +81,7 @@
     })
   }
 
-  it('shares untouched entries between versions and lets nobody change them', () => {
+  it('shares unchanged entries between versions and freezes them', () => {
     const { next } = prepare(base, [add('/teams/t1/weight', 3)])
     expect(next.config.runners.r1).to.equal(base.config.runners.r1)
     expect(() => { next.config.teams.t1!.models.push('x') }).to.throw(TypeError)
@@ -99,14 +102,14 @@
     { name: 'a changed delta', rows: [{ ...rows[0]!, delta: rows[1]!.delta }], version: undefined }
   ]
   for (const { name, rows, version } of cases) {
-    it(`${name}: ${version === undefined ? 'refused' : 'applied'}`, () => {
+    it(`${name}: ${version === undefined ? 'rejected' : 'applied'}`, () => {
       expect(replayRows(base, rows).map(held => held.version).toMaybe().extract()).to.equal(version)
     })
   }
 })
 
 describe('documentDigest', () => {
-  it('depends on content and not on the order of members', () => {
+  it('depends on content but not on member order', () => {
     const section = fc.dictionary(fc.string(), fc.jsonValue())
     fc.assert(fc.property(fc.dictionary(fc.string(), section), section, (document, other) => {
       const reversed = (value: object): object => Object.fromEntries(Object.entries(value).reverse())
--- a/packages/decisions/src/config/configPatch.ts
+++ b/packages/decisions/src/config/configPatch.ts
@@ -1,7 +1,7 @@
 /**
- * Applies patches to configuration documents. The document given stays as it is: everything a
- * patch can reach is copied first, the rest is shared between versions. A patch is refused as a
- * whole, with every operation or path at fault named.
+ * Applies patches to configuration documents. The input document is never modified: entries that a patch may
+ * change are copied, all others are shared between versions. A patch is rejected as a whole, with every invalid
+ * operation or path reported.
  */
 import jsonPatch, { type Operation } from 'fast-json-patch'
 import { Left, Right, type Either } from 'purify-ts'
@@ -12,10 +12,10 @@
 import { documentDigest, isObject } from './configDigest.js'
 import { firstDocument, MAX_PATCH_BYTES, operationSchema, type ConfigDocument, type PatchOperation, type VersionRow } from './configRows.js'
 
-/** Path parts that reach into prototypes. */
+/** Path segments that lead to a prototype. */
 const forbiddenParts = new Set(['__proto__', 'constructor', 'prototype'])
 
-/** A version with all that is known of it. */
+/** A verified version: document, digest and parsed configuration. */
 export interface HeldConfig {
   readonly version: number
   readonly digest: string
@@ -23,15 +23,15 @@
   readonly config: FleetConfig
 }
 
-/** A checked patch, ready to be written. */
+/** A valid patch, ready to be written. */
 export interface PreparedPatch {
   readonly patch: readonly PatchOperation[]
-  /** What replaying applies. */
+  /** Difference between the two documents; replaying applies it. */
   readonly delta: readonly PatchOperation[]
   readonly next: HeldConfig
 }
 
-/** Version 0, which every fleet begins with. */
+/** Version 0, on which the first patch of every fleet is based. */
 export function firstConfig (): HeldConfig {
   return readConfig(firstDocument)
     .map(config => ({ version: 0, digest: documentDigest(firstDocument), document: firstDocument, config }))
@@ -39,9 +39,8 @@
 }
 
 /**
- * Applies an operator's patch to a version and checks the outcome. The patch sees the
- * configuration with all defaults filled in.
- * @param base - the version that the patch names
+ * Applies an operator's patch to a version and validates the result. The patch applies to the configuration
+ * with all defaults filled in.
  * @param operations - RFC 6902 operations as received
  * @param at - wall milliseconds of the patch
  * @returns `patchInvalid` when an operation cannot be applied, `bodyTooLarge`, or `configInvalid`
@@ -61,10 +60,9 @@
 }
 
 /**
- * Replays accepted version rows upon a version.
- * @param base - where to begin
- * @param rows - the rows that follow it, without a gap
- * @returns `configInvalid` when a row is missing or the digest of the last one does not fit
+ * Replays accepted version rows onto a version.
+ * @param rows - the rows that follow `base`, without a gap
+ * @returns `configInvalid` when a row is missing or the digest of the last one does not match
  */
 export function replayRows (base: HeldConfig, rows: readonly VersionRow[]): Either<Failure, HeldConfig> {
   const last = rows.at(-1)
@@ -80,9 +78,8 @@
 }
 
 /**
- * Verifies a whole document against its digest and checks it.
- * @param whole - version, digest and document
- * @returns `configInvalid` when the digest does not fit or the document breaks the schema
+ * Verifies a full document against its digest and parses it.
+ * @returns `configInvalid` when the digest does not match or the document does not follow the schema
  */
 export function holdDocument (whole: { readonly version: number, readonly digest: string, readonly document: ConfigDocument }): Either<Failure, HeldConfig> {
   const { version, digest, document } = whole
@@ -93,9 +90,7 @@
 
 /**
  * Applies operations to a copy of a document.
- * @param document - stays unchanged
- * @param operations - operations to apply in turn
- * @returns the new document, or `patchInvalid` naming the operation at fault
+ * @returns the new document, or `patchInvalid` naming the failed operation
  */
 function applyOperations (document: ConfigDocument, operations: readonly PatchOperation[]): Either<Failure, ConfigDocument> {
   let current = copyReachable(document, operations)
@@ -107,7 +102,7 @@
       return Left(new Failure('patchInvalid', line, { errors: [line] }))
     }
   }
-  return isObject(current) ? Right(current) : Left(new Failure('patchInvalid', 'the patch leaves no object', { errors: ['/: expected an object'] }))
+  return isObject(current) ? Right(current) : Left(new Failure('patchInvalid', 'the patched document is not an object', { errors: ['/: expected an object'] }))
 }
 
 function readOperations (operations: readonly unknown[]): Either<Failure, PatchOperation[]> {
@@ -123,10 +118,10 @@
 function withinBytes<T> (what: string, value: T): Either<Failure, T> {
   const bytes = Buffer.byteLength(JSON.stringify(value))
   if (bytes <= MAX_PATCH_BYTES) return Right(value)
-  return Left(new Failure('bodyTooLarge', `the ${what} has ${bytes} bytes, ${MAX_PATCH_BYTES} are allowed; send it in parts`))
+  return Left(new Failure('bodyTooLarge', `the ${what} has ${bytes} bytes, the limit is ${MAX_PATCH_BYTES}; split the patch`))
 }
 
-/** Looks at operations as received, because schemas drop such members without a word. */
+/** Checks operations as received, because schema parsing silently drops such members. */
 function forbiddenErrors (operation: unknown, index: number): string[] {
   if (!isObject(operation)) return []
   const { path, from, value } = operation
@@ -150,7 +145,7 @@
   return pointer.split('/').slice(1).map(part => part.replaceAll('~1', '/').replaceAll('~0', '~'))
 }
 
-/** Copies the collections and entries that operations name; everything when one names a whole collection. */
+/** Copies the collections and entries that operations refer to; the whole document when one refers to a whole collection. */
 function copyReachable (document: ConfigDocument, operations: readonly PatchOperation[]): ConfigDocument {
   const paths = operations.flatMap(pointersOf).map(pathParts)
   if (paths.some(([section, id]) => section === undefined || id === undefined)) return structuredClone(document)
--- a/packages/decisions/src/config/configReferences.ts
+++ b/packages/decisions/src/config/configReferences.ts
@@ -1,6 +1,6 @@
 /**
- * Checks between entries of a configuration: references name something that exists, addresses
- * can be dialled and are used once, and a key belongs to one team or operator.
+ * Checks between entries of a configuration: referenced entries exist, addresses are valid and unique, and a key
+ * belongs to one team or operator.
  */
 import type { FleetConfig } from './configSchema.js'
 
@@ -8,7 +8,7 @@
 const MAX_PORT = 65_535
 
 /**
- * Every mistake between entries as `/path: message`.
+ * Returns every error between entries as `/path: message`.
  * @param config - a configuration that follows its schema
  */
 export function crossErrors (config: FleetConfig): string[] {
@@ -74,7 +74,7 @@
   return errors
 }
 
-/** As `Object.entries`, which is several times slower on records of thousands without a prototype. */
+/** Replaces `Object.entries`, which is several times slower on records of thousands without a prototype. */
 function * entriesOf<T> (record: Readonly<Record<string, T>>): Generator<readonly [string, T]> {
   for (const id of Object.keys(record)) yield [id, record[id] as T]
 }
--- a/packages/decisions/src/config/configRows.ts
+++ b/packages/decisions/src/config/configRows.ts
@@ -1,23 +1,22 @@
 /**
- * What is kept of the configuration outside the VMs: rows of the table service and objects of
- * the object store. A version row carries the difference to the version before, never the whole
- * configuration, so that a row stays small whatever the number of teams; whole configurations
- * are snapshot objects, named by version and digest.
+ * Stored form of the configuration: rows of the table service and objects of the object store. A version row
+ * contains only the difference from the previous version, so that its size does not depend on the number of teams;
+ * full versions are snapshot objects, named by version and digest.
  */
 import * as z from 'zod'
 
-/** Table of the one row that names the version in force. */
+/** Table with the single row that names the current version. */
 export const CURRENT_TABLE = 'config'
 export const CURRENT_KEY = 'current'
-/** Table of the version rows, by padded version. */
+/** Table of the version rows, keyed by zero-padded version. */
 export const VERSION_TABLE = 'configs'
-/** Table that makes patch ids unique. */
+/** Table that enforces unique patch ids. */
 export const PATCH_TABLE = 'configPatches'
 /** Object that names the newest snapshot. */
 export const LATEST_OBJECT = 'config/latest'
-/** Bytes of JSON of one patch, and of the difference it makes; keeps rows below usual limits of table services. */
+/** Bytes of JSON of one patch, and of its delta; keeps rows below the usual limits of table services. */
 export const MAX_PATCH_BYTES = 128 * 1024
-/** Every so many versions a snapshot is written. */
+/** Versions between two snapshots. */
 export const SNAPSHOT_EVERY = 64
 
 const VERSION_DIGITS = 10
@@ -36,7 +35,7 @@
 ])
 export type PatchOperation = z.infer<typeof operationSchema>
 
-/** Names one version and what it contains. */
+/** A version number and the digest of its document. */
 export const versionMarkSchema = z.object({ version, digest })
 export type VersionMark = z.infer<typeof versionMarkSchema>
 
@@ -61,37 +60,28 @@
 export const patchRowSchema = z.object({ version, digest })
 export type PatchRow = z.infer<typeof patchRowSchema>
 
-/** A document: the configuration as operators patched it, before its schema is applied. */
+/** A document: the configuration as patched, before its schema is applied. */
 export const documentSchema = z.record(z.string(), z.unknown())
 export type ConfigDocument = z.infer<typeof documentSchema>
 
-/** A whole version: a snapshot object, or the answer of a peer. */
+/** A full version: a snapshot object, or the response of a peer. */
 export const wholeConfigSchema = versionMarkSchema.extend({ document: documentSchema })
 export type WholeConfig = z.infer<typeof wholeConfigSchema>
 
-/** The document that version 1 patches. It never changes, as every replay begins with it. */
+/** Document of version 0. It must never change, as every replay starts from it. */
 export const firstDocument: ConfigDocument = { teams: {}, models: {}, runners: {}, services: {}, operators: {}, limits: {} }
 
-/**
- * Key of a version row; sorts by version.
- * @param version - version number
- */
+/** Key of a version row; sorts by version. */
 export function versionKey (version: number): string {
   return String(version).padStart(VERSION_DIGITS, '0')
 }
 
-/**
- * Name of the snapshot object of a version.
- * @param mark - version and digest
- */
+/** Name of the snapshot object of a version. */
 export function snapshotName (mark: VersionMark): string {
   return `config/snapshot/${versionKey(mark.version)}-${mark.digest}`
 }
 
-/**
- * Name of the object that repeats a version row for VMs that start while the table is down.
- * @param version - version number
- */
+/** Name of the object that duplicates a version row, for VMs that start during a table outage. */
 export function deltaName (version: number): string {
   return `config/delta/${versionKey(version)}`
 }
--- a/packages/decisions/src/config/configServing.ts
+++ b/packages/decisions/src/config/configServing.ts
@@ -1,14 +1,12 @@
 /**
- * Since when each runner serves each model. VMs order the runners of a keyed request alike, and a
- * runner that came lately goes last in that order, so that a repeat still finds the earlier run.
- * The times are set when a patch is accepted, so that all VMs have the same.
+ * Records since when each runner serves each model. All VMs order the runners of a keyed request alike, with
+ * recently added runners last, so that a retry still finds the earlier run. The times are set when a patch is
+ * accepted, so that they are the same on all VMs.
  */
 import type { FleetConfig, RunnerConfig } from './configSchema.js'
 
 /**
- * Sets the times of what is new in a version; whatever a patch says of them is overwritten.
- * @param before - the version that was patched
- * @param after - the patched version
+ * Sets the times of runners and models that a version adds; values in the patch are overwritten.
  * @param at - wall milliseconds of the patch
  */
 export function stampServing (before: FleetConfig, after: FleetConfig, at: number): FleetConfig {
@@ -17,14 +15,14 @@
   return { ...after, runners: Object.fromEntries(runners) }
 }
 
-/** A runner at another address is another process and knows none of the earlier runs. */
+/** A runner at another address is a different process without any of the earlier runs. */
 function stampRunner (before: RunnerConfig | undefined, after: RunnerConfig, at: number): RunnerConfig {
   const known = before?.address === after.address ? before.servesSince : {}
   const servesSince = Object.fromEntries(after.models.map(model => [model, known[model] ?? at]))
   return isSame(servesSince, after.servesSince) ? after : { ...after, servesSince }
 }
 
-/** An entry that stays as it was is shared between versions. */
+/** Detects equal times, so that an unchanged entry is shared between versions. */
 function isSame (left: Readonly<Record<string, number>>, right: Readonly<Record<string, number>>): boolean {
   const models = Object.keys(left)
   return models.length === Object.keys(right).length && models.every(model => left[model] === right[model])
--- a/packages/decisions/src/placement/domainQuotas.ts
+++ b/packages/decisions/src/placement/domainQuotas.ts
@@ -1,26 +1,22 @@
 /**
- * How many copies of a model each failure domain should have: as evenly as the runners allow, and
- * where that leaves a choice, where copies are already.
+ * Distributes the copies of a model over failure domains, as evenly as their runners allow. Ties prefer domains
+ * that already hold copies, so that fewer models move.
  */
 
-/** What a domain can hold of one model. */
+/** Runners of one failure domain that are eligible for a model. */
 export interface DomainRoom {
   readonly domain: string
-  /** Runners that may hold a copy. */
+  /** Eligible runners; an upper bound of the domain's quota. */
   readonly room: number
-  /** Runners of these that hold one, or are about to. */
+  /** Eligible runners that have the current version or are loading it. */
   readonly holders: number
-  /** Runners of these that hold another version. */
+  /** Eligible runners that have another version. */
   readonly stale: number
-  /** Failures of its holders of late; the domain with fewer comes first. */
+  /** Recent failures of the holders; ties prefer the domain with fewer. */
   readonly failures: number
 }
 
-/**
- * Copies for each domain; together no more than wanted.
- * @param rooms - the domains
- * @param copies - how many copies are wanted
- */
+/** Assigns each domain a number of copies; the sum never exceeds `copies`. */
 export function domainQuotas (rooms: readonly DomainRoom[], copies: number): ReadonlyMap<string, number> {
   const quotas = new Map(rooms.map(({ domain }) => [domain, 0]))
   for (let left = copies; left > 0; left -= 1) {
@@ -31,6 +27,10 @@
   return quotas
 }
 
+/**
+ * Domain for the next copy: lowest quota first, then most unassigned holders, most stale copies, fewest
+ * failures, and name.
+ */
 function emptiest (rooms: readonly DomainRoom[], quotas: ReadonlyMap<string, number>): DomainRoom | undefined {
   const quotaOf = ({ domain }: DomainRoom): number => quotas.get(domain) ?? 0
   const holdersLeft = (item: DomainRoom): number => Math.max(0, item.holders - quotaOf(item))
--- a/packages/decisions/src/placement/fencePass.ts
+++ b/packages/decisions/src/placement/fencePass.ts
@@ -1,19 +1,18 @@
 /**
- * What a new holder does before it gives its first order. It tells every engine its fencing
- * number by an order that changes nothing, so that a late order of an earlier holder is refused
- * also by engines that get no other; and where engines ignore the number, it waits until the
- * earlier lease has ended by any clock.
+ * Announces a new lease holder's fencing number to every engine before its first placement order, so that a late
+ * order of an earlier holder is refused also by engines that receive no other order. Where an engine ignores
+ * fencing numbers, the holder waits until the earlier lease has expired by any clock.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { RunnerConfig } from '../config/configSchema.js'
 import type { PlacementAction, PlacementLimits, PlacementOutcome } from './placementTypes.js'
 import { ReportPace } from './reportPace.js'
 
-/** Tries to tell one runner; an engine that does not understand the order is left alone then. */
+/** Attempts per runner; an engine that does not understand the order is skipped after that. */
 const MOST_TRIES = 5
 const FINAL_OUTCOMES: readonly PlacementOutcome['kind'][] = ['done', 'oldFencing', 'refused']
 
-/** The order that tells one runner. */
+/** A sent announcement and its state. */
 interface SentFence {
   readonly action: PlacementAction
   readonly at: Instant
@@ -21,28 +20,26 @@
   isAnswered: boolean
 }
 
-/** One term of a holder. */
+/** Fencing announcements of one lease term. */
 export class FencePass {
-  /** Roles told, by runner. */
+  /** Acknowledged role by runner; an empty string where none is declared. */
   private readonly told = new Map<string, string>()
   private readonly sent = new Map<string, SentFence>()
   private isOver = false
 
   /**
-   * @param fencing - the holder's number
-   * @param since - when the lease was taken
-   * @param limits - times
-   * @param pace - how often runners are asked; one that has not answered yet cannot be told
+   * @param fencing - the holder's fencing number
+   * @param since - start of the lease term
+   * @param reportInterval - extends the wait, as a runner can only acknowledge after its first report
    */
   constructor (
     readonly fencing: number, private readonly since: Instant, private readonly limits: PlacementLimits, private readonly pace: ReportPace = new ReportPace()
   ) {}
 
   /**
-   * Orders that tell runners the number and, where one is declared, their role.
-   * @param runners - runners that answer
-   * @param now - both clocks
-   * @param idOf - makes the id of a new order for a runner
+   * Returns the announcements that are due, with the declared role where there is one.
+   * @param runners - reachable runners
+   * @param nextOrderId - creates a new order id for a runner
    */
   next (runners: readonly (readonly [string, RunnerConfig])[], now: Instant, idOf: (runner: string) => string): readonly PlacementAction[] {
     const open = [...this.sent.values()].filter(({ isAnswered }) => !isAnswered).length
@@ -57,8 +54,8 @@
   }
 
   /**
-   * Takes an outcome.
-   * @returns whether the order was one of this pass
+   * Handles the outcome of an order.
+   * @returns whether the order was an announcement of this term
    */
   answered (orderId: string, outcome: PlacementOutcome): boolean {
     for (const [runner, entry] of this.sent) {
@@ -71,9 +68,8 @@
   }
 
   /**
-   * Whether orders may be given; stays so for the rest of the term.
-   * @param runners - runners that answer
-   * @param now - both clocks
+   * Whether placement orders may be sent; once true it stays true for the rest of the term.
+   * @param runners - reachable runners
    */
   isDone (runners: readonly (readonly [string, RunnerConfig])[], now: Instant): boolean {
     if (this.isOver) return true
@@ -94,6 +90,6 @@
 
   private actionOf (runner: string, { address, role }: RunnerConfig, orderId: string): PlacementAction {
     const order = { orderId, fencing: this.fencing, kind: 'role', model: '', version: '', ...(role === undefined ? {} : { role }) } as const
-    return { kind: 'order', runner, address, order, reason: role === undefined ? 'tells the fencing number' : `role ${role} is declared` }
+    return { kind: 'order', runner, address, order, reason: role === undefined ? 'announces the fencing number' : `role ${role} is declared` }
   }
 }
--- a/packages/decisions/src/placement/modelPlan.ts
+++ b/packages/decisions/src/placement/modelPlan.ts
@@ -1,14 +1,13 @@
 /**
- * What is to be done for one model now. A plan keeps no memory: it compares what is declared
- * with what is reported and awaited, and names the next orders. A `load` replaces the version
- * that an engine has, so a new version goes to a spare runner first, then takes the place of the
- * old one copy by copy, and what is left over is unloaded last.
+ * Proposes the next placement orders for one model by comparing the declared with the reported and pending state;
+ * a plan keeps no state between runs. A `load` replaces the version that an engine has, so a new version is loaded
+ * on a spare runner first, then replaces the old one copy by copy, and surplus copies are unloaded last.
  */
 import { domainQuotas } from './domainQuotas.js'
 import type { PlacementLimits } from './placementTypes.js'
 import { copyState, isCandidate, type CopyState, type ModelTarget, type PlacementRunner } from './runnerView.js'
 
-/** An order that a plan asks for. */
+/** An order that a plan proposes. */
 export interface PlacementWish {
   readonly runner: string
   readonly kind: 'load' | 'unload' | 'loadAdapter'
@@ -16,37 +15,34 @@
   readonly version: string
   readonly adapter?: string
   readonly reason: string
-  /** A good copy that is merely more than declared; it stays for a while. */
+  /** An up-to-date copy beyond the declared number; it is unloaded only after a delay. */
   readonly isSurplus: boolean
-  /** Copies that serve now; models with fewer go first. */
+  /** Copies of the model that serve now; models with fewer are handled first. */
   readonly serving: number
 }
 
-/** A runner with what it holds of the model. */
+/** A runner and the state of the model on it. */
 interface Copy extends PlacementRunner {
   readonly state: CopyState
   readonly isCandidate: boolean
 }
 
-/** The next orders for one model. */
 export class ModelPlan {
   private readonly copies: readonly Copy[]
   private readonly quotas: ReadonlyMap<string, number>
   private readonly wanted: number
   private readonly serving: number
   private readonly spare: Copy[]
-  /** Copies on the way, by domain, together with those that are there. */
+  /** Reported and pending copies by domain. */
   private readonly have = new Map<string, number>()
-  /** Copies above the wanted number that serve, so that one may be swapped for each. */
+  /** Serving copies beyond the declared number; each allows one to be replaced in place. */
   private above: number
   private loading: number
   private isSpareLoading: boolean
   private readonly wishes: PlacementWish[] = []
 
   /**
-   * @param target - what is declared
-   * @param runners - the runners that declare, hold or await the model
-   * @param limits - how many may be swapped at once
+   * @param runners - the runners that declare, have or await the model
    */
   constructor (private readonly target: ModelTarget, runners: readonly PlacementRunner[], private readonly limits: PlacementLimits) {
     this.copies = runners.map(runner => {
@@ -63,7 +59,7 @@
     for (const domain of this.quotas.keys()) this.have.set(domain, this.count(domain, 'good', 'partial', 'loading'))
   }
 
-  /** The orders that may be sent now, in order of need. */
+  /** Returns the orders that may be sent now, by priority. */
   next (): readonly PlacementWish[] {
     for (const [domain, quota] of this.quotas) this.fill(domain, quota)
     for (const copy of this.copies) this.addAdapters(copy)
@@ -91,23 +87,26 @@
     }
   }
 
-  /** Replaces another version in place; false when that has to wait. */
+  /**
+   * Replaces another version in place.
+   * @returns false when the replacement has to wait
+   */
   private swap (domain: string): boolean {
     const stale = this.copies.find(copy => copy.isCandidate && copy.domain === domain && copy.state === 'stale' && !this.isWished(copy))
     if (stale === undefined) return false
     if (this.above > 0) {
       this.above -= 1
-      this.load(stale, `version ${this.target.version} in place, ${this.serving - 1} others serve`)
+      this.load(stale, `replaces another version by ${this.target.version}, ${this.serving - 1} other copies serve`)
       return true
     }
     if (this.isSpareLoading) return false
     const elsewhere = this.takeSpare(() => true)
     if (elsewhere !== undefined) {
-      this.load(elsewhere, `spare copy of version ${this.target.version} before others are replaced`)
+      this.load(elsewhere, `spare copy of version ${this.target.version} before other copies are replaced`)
       return false
     }
     if (this.loading >= Math.max(1, Math.floor(this.wanted * this.limits.maxUnavailable))) return false
-    this.load(stale, `version ${this.target.version} in place, no runner is spare`)
+    this.load(stale, `replaces another version by ${this.target.version}, no spare runner`)
     return true
   }
 
@@ -130,7 +129,7 @@
     if (missing !== undefined) this.wish(copy, 'loadAdapter', this.target.version ?? '', `adapter ${missing} is missing`, { adapter: missing })
   }
 
-  /** Every domain has its good copies, as reported. */
+  /** Whether every domain reports its quota of up-to-date copies. */
   private isMet (): boolean {
     return this.wanted > 0 && [...this.quotas].every(([domain, quota]) => this.count(domain, 'good') >= quota)
   }
@@ -149,9 +148,9 @@
   }
 
   private reasonAgainst (copy: Copy): string | undefined {
-    if (this.target.version === undefined) return 'the configuration does not name the model'
+    if (this.target.version === undefined) return 'the model is not in the configuration'
     if (!copy.allowed.includes(this.target.model)) return 'the runner does not declare the model'
-    return copy.state === 'stale' && copy.isSteady && this.wanted === this.target.copies ? `version ${this.target.version} has taken its place` : undefined
+    return copy.state === 'stale' && copy.isSteady && this.wanted === this.target.copies ? `replaced by version ${this.target.version}` : undefined
   }
 
   private unload (copy: Copy, reason: string, isSurplus: boolean): void {
@@ -185,12 +184,12 @@
   return numbers.reduce((total, number) => total + number, 0)
 }
 
-/** Runners for a new copy: fewest failures, then least loaded, then by name. */
+/** Order of runners for a new copy: fewest failures, then fewest loaded models, then name. */
 function byFitness (a: Copy, b: Copy): number {
   return a.downs - b.downs || a.loaded.length - b.loaded.length || byName(a, b)
 }
 
-/** Copies to keep come first. */
+/** Order of copies for retention; the first ones are retained. */
 function byWorth (a: Copy, b: Copy): number {
   return Number(a.state === 'partial') - Number(b.state === 'partial') || a.downs - b.downs || byName(a, b)
 }
--- a/packages/decisions/src/placement/orderBook.ts
+++ b/packages/decisions/src/placement/orderBook.ts
@@ -1,28 +1,26 @@
 /**
- * Orders whose effect is awaited, one for each runner. An order whose outcome is open is sent
- * again under its id, so that the engine carries it out once; one that was carried out and does
- * not show in the reports is forgotten, and decided anew under another id.
+ * Tracks the pending order of each runner. An order with an unknown outcome is resent under the same id, so that
+ * the engine executes it once. An executed order that does not appear in reports is discarded and decided again
+ * under a new id.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { LoadedModel, PlacementAction, PlacementLimits, PlacementOrder, PlacementOutcome } from './placementTypes.js'
 
-/** An order on its way. */
+/** An order whose effect is awaited. */
 interface AwaitedOrder {
   readonly action: PlacementAction
-  /** `sent`: no answer yet. `open`: the outcome is not known. `done`: not yet seen in a report. */
+  /** `sent`: awaiting the response. `open`: outcome unknown. `done`: executed, not yet seen in a report. */
   state: 'sent' | 'open' | 'done'
   readonly firstSentAt: Instant
   changedAt: Instant
   sendings: number
 }
 
-/** Awaited orders of all runners. */
 export class OrderBook {
   private readonly awaited = new Map<string, AwaitedOrder>()
-  /** Refusals by runner and model. */
+  /** Time of the last refusal by runner and model. */
   private readonly refusals = new Map<string, Map<string, Instant>>()
 
-  /** @param limits - times */
   constructor (private readonly limits: PlacementLimits) {}
 
   get size (): number {
@@ -33,11 +31,7 @@
     return this.awaited.get(runner)?.action.order
   }
 
-  /**
-   * Models of which a runner refused orders a short while ago.
-   * @param runner - the runner
-   * @param now - both clocks
-   */
+  /** Models of which the runner recently refused an order. */
   blocked (runner: string, now: Instant): readonly string[] {
     const refusals = [...this.refusals.get(runner) ?? []]
     return refusals.filter(([, at]) => elapsedMs(at, now) < this.limits.refusedMs).map(([model]) => model)
@@ -48,8 +42,8 @@
   }
 
   /**
-   * Takes the outcome of an order.
-   * @returns the order's action, if the order is still awaited
+   * Handles the outcome of an order.
+   * @returns the order's action; undefined when the order is no longer pending
    */
   answered (orderId: string, outcome: PlacementOutcome, now: Instant): PlacementAction | undefined {
     const found = [...this.awaited.values()].find(({ action }) => action.order.orderId === orderId)
@@ -61,19 +55,15 @@
     return found.action
   }
 
-  /**
-   * Compares a report with what is awaited of its runner.
-   * @param runner - the runner
-   * @param models - what it has loaded
-   */
+  /** Removes the pending order of a runner when a report shows its effect. */
   reported (runner: string, models: readonly LoadedModel[]): void {
     const found = this.awaited.get(runner)
     if (found !== undefined && found.state !== 'sent' && shows(models, found.action.order)) this.awaited.delete(runner)
   }
 
   /**
-   * Forgets what was awaited too long.
-   * @returns the orders to send again
+   * Discards orders whose wait timed out.
+   * @returns the orders to resend
    */
   expire (now: Instant): readonly PlacementAction[] {
     const again: PlacementAction[] = []
@@ -86,10 +76,7 @@
     return again
   }
 
-  /**
-   * Forgets orders that the configuration no longer asks for, but for those on the wire.
-   * @param isWanted - whether an order still leads to what is declared
-   */
+  /** Discards orders that the configuration no longer requires, except those awaiting a response. */
   keepOnly (isWanted: (order: PlacementOrder) => boolean): void {
     for (const [runner, { action, state }] of this.awaited) {
       if (state !== 'sent' && !isWanted(action.order)) this.awaited.delete(runner)
@@ -134,7 +121,7 @@
   }
 }
 
-/** Whether what is loaded shows the effect of an order. */
+/** Whether the loaded models reflect the effect of an order. */
 function shows (models: readonly LoadedModel[], { kind, model, version, adapter }: PlacementOrder): boolean {
   const loaded = models.find(item => item.model === model)
   if (kind === 'unload') return loaded?.version !== version
--- a/packages/decisions/src/placement/placementPlanner.ts
+++ b/packages/decisions/src/placement/placementPlanner.ts
@@ -1,8 +1,7 @@
 /**
- * Plans the orders that lead the runners to what the configuration declares. It acts only while
- * told that the lease of placement is held, and not before it knows of each runner whether it is
- * up. Every decision compares declared and reported state anew, so that nothing depends on an
- * earlier holder's plans.
+ * Plans the orders that bring the runners to the declared state. It acts only while this process holds the
+ * placement lease and once the presence of every runner is determined. Each decision compares declared and
+ * reported state anew, so it does not depend on plans of an earlier holder.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { FleetConfig, RunnerConfig } from '../config/configSchema.js'
@@ -15,17 +14,17 @@
 import type { ModelTarget, PlacementRunner } from './runnerView.js'
 import { WeightPace } from './weightPace.js'
 
-/** Order in which wishes are granted. */
+/** Order in which proposals are carried out. */
 const KIND_ORDER: readonly PlacementWish['kind'][] = ['load', 'loadAdapter', 'unload']
 
-/** Planner of one process. */
+/** Placement planner of one process. */
 export class PlacementPlanner implements PlacementDecider {
   private config: FleetConfig | undefined
   private pass: FencePass | undefined
-  /** Numbers orders over all terms of this process, so that no id is used twice. */
+  /** Order counter over all lease terms of this process; keeps order ids unique. */
   private sequence = 0
   private lastEventAt: Instant | undefined
-  /** An engine knew a higher number then. */
+  /** When an engine last reported a higher fencing number. */
   private doubtedAt: Instant | undefined
   private readonly records = new Map<string, RunnerRecord>()
   private readonly surplusSince = new Map<string, Instant>()
@@ -33,7 +32,6 @@
   private readonly pace: WeightPace
   private readonly reports = new ReportPace()
 
-  /** @param limits - times and bounds */
   constructor (private readonly limits: PlacementLimits = defaultPlacementLimits) {
     this.book = new OrderBook(limits)
     this.pace = new WeightPace(limits.weightsPerMinute, limits.weightsBurst)
@@ -94,7 +92,7 @@
     return this.next(now)
   }
 
-  /** After a pause of the process, silence of the runners says nothing. */
+  /** Resets reports after a pause of the process, as missing reports then do not indicate failed runners. */
   private noticePause (now: Instant): void {
     const last = this.lastEventAt
     this.lastEventAt = now
@@ -116,7 +114,10 @@
     return [...fences, ...this.book.expire(now), ...this.grant(wishes, config, pass.fencing, now)]
   }
 
-  /** A higher number was met: the lease shows within its own duration whether it is still held. */
+  /**
+   * Whether a higher fencing number was reported recently; within the lease duration it becomes clear whether
+   * the lease is still held.
+   */
   private isInDoubt (now: Instant): boolean {
     return this.doubtedAt !== undefined && elapsedMs(this.doubtedAt, now) < this.limits.takeoverMs
   }
@@ -190,7 +191,7 @@
   }
 }
 
-/** The runners that declare, hold or await each model, so that a plan looks at no others. */
+/** Groups runners by the models that they declare, have or await, so that a plan reads only related runners. */
 function runnersByModel (config: FleetConfig, runners: readonly PlacementRunner[]): ReadonlyMap<string, readonly PlacementRunner[]> {
   const found = new Map<string, PlacementRunner[]>(Object.keys(config.models).sort().map(model => [model, []]))
   for (const runner of runners) {
--- a/packages/decisions/src/placement/placementTypes.ts
+++ b/packages/decisions/src/placement/placementTypes.ts
@@ -1,24 +1,22 @@
 /**
- * Placement as the decider sees it: which models, versions and adapters the runners have loaded
- * by their lagging reports, what the configuration declares, and the orders that lead from one
- * to the other.
+ * Events, orders, limits and interface of placement, which brings the models, versions and adapters on runners to
+ * the declared configuration, based on reports that lag.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { FleetConfig } from '../config/configSchema.js'
 
-/** One model that a runner has loaded. */
 export interface LoadedModel {
   readonly model: string
   readonly version: string
   readonly adapters: readonly string[]
 }
 
-/** Role of an engine in serving. */
+/** Inference phases that an engine serves. */
 export type EngineRole = 'prefill' | 'decode' | 'both'
 
 /** An order to one engine. `model` and `version` are empty for orders of kind `role`. */
 export interface PlacementOrder {
-  /** Unlike any earlier one's, but for a repeat of the same order, which changes nothing more. */
+  /** Unique, except that a resent order has the same id and takes effect only once. */
   readonly orderId: string
   readonly fencing: number
   readonly kind: 'load' | 'unload' | 'loadAdapter' | 'role'
@@ -28,75 +26,75 @@
   readonly role?: EngineRole
 }
 
-/** How an order ended, as far as its sender knows. */
+/** Outcome of an order as known to its sender. */
 export type PlacementOutcome =
   | { readonly kind: 'done' }
-  /** The answer was lost or late: the order may have taken effect, now or later. */
+  /** The response was lost or late: the order may have taken effect, or may yet. */
   | { readonly kind: 'unknown' }
-  /** No connection was made. */
+  /** No connection was established. */
   | { readonly kind: 'notSent' }
-  /** The engine has seen a higher fencing number. */
+  /** The engine has received a higher fencing number. */
   | { readonly kind: 'oldFencing' }
-  /** Not carried out; `retryAfterMs` when the weight store is over its rate. */
+  /** Not executed; `retryAfterMs` is set when the weight store is over its rate limit. */
   | { readonly kind: 'refused', readonly retryAfterMs?: number }
 
-/** What the planner is told. */
+/** Inputs of the planner. */
 export type PlacementEvent =
   | { readonly kind: 'configured', readonly config: FleetConfig }
-  /** This process holds the lease of placement from now on. */
+  /** This process acquired the placement lease. */
   | { readonly kind: 'taken', readonly fencing: number }
   | { readonly kind: 'lost' }
   | { readonly kind: 'reported', readonly runner: string, readonly models: readonly LoadedModel[], readonly leaving: boolean }
   | { readonly kind: 'answered', readonly orderId: string, readonly outcome: PlacementOutcome }
   | { readonly kind: 'tick' }
 
-/** An order to send now. The same `orderId` comes again when its outcome stayed open. */
+/** An order to send now. An order with an unknown outcome is repeated with the same `orderId`. */
 export interface PlacementAction {
   readonly kind: 'order'
   readonly runner: string
   /** IPv4:port of the engine. */
   readonly address: string
   readonly order: PlacementOrder
-  /** One line for people. */
+  /** One line for the log. */
   readonly reason: string
 }
 
 /** Times in milliseconds. */
 export interface PlacementLimits {
-  /** Orders that are sent, or done and not yet seen in a report, at once. */
+  /** Orders that may be pending at once: sent, or executed and not yet seen in a report. */
   readonly maxOutstanding: number
-  /** Silence after which a runner counts as down and its copies are replaced elsewhere. */
+  /** Time without a report after which a runner counts as down and its copies are replaced elsewhere. */
   readonly downAfterMs: number
-  /** For how long a runner that was down has to report before it gets copies; doubles with each time it was down. */
+  /** How long a runner that was down must report before it gets copies; doubles with each failure. */
   readonly steadyMs: number
-  /** A runner without a failure for this long counts as one that never failed. */
+  /** A runner up for this long has its failure count reset. */
   readonly forgiveMs: number
-  /** Most doublings of `steadyMs` and `retryMs`. */
+  /** Maximum number of doublings of `stabilizationMs` and `retryMs`. */
   readonly maxDoublings: number
-  /** For how long a good surplus copy stays. */
+  /** How long an up-to-date surplus copy is retained. */
   readonly surplusMs: number
-  /** For how long a report may contradict an order that was answered; longer than reports lag. */
+  /** How long reports may contradict an executed order; longer than reports lag. */
   readonly confirmMs: number
-  /** Before an order of open outcome is sent again; doubles with each sending. */
+  /** Delay before an order with an unknown outcome is resent; doubles with each attempt. */
   readonly retryMs: number
-  /** After which an order of open outcome is given up; longer than loading takes. */
+  /** Time after which an order with an unknown outcome is abandoned; longer than loading takes. */
   readonly giveUpMs: number
-  /** Before a refused order is decided anew. */
+  /** Delay before a refused order is decided again. */
   readonly refusedMs: number
-  /** For how long a new holder waits when an engine ignores fencing numbers: an old lease and its margin. */
+  /** How long a new holder waits when an engine ignores fencing numbers: lease duration plus margin. */
   readonly takeoverMs: number
-  /** For how long a new holder waits for all engines to learn its fencing number. */
+  /** How long a new holder waits for all engines to acknowledge its fencing number. */
   readonly fencingMs: number
-  /** A gap between two ticks after which all that is known counts as old. */
+  /** Gap between two events after which all reports count as outdated. */
   readonly pauseMs: number
-  /** Sets of weights a minute, and at once after a rest. */
+  /** Rate of loads from the weight store, in sets of weights. */
   readonly weightsPerMinute: number
+  /** Loads from the weight store at once after an idle period. */
   readonly weightsBurst: number
-  /** Part of a model's copies that may be swapped at once where no runner is spare. */
+  /** Share of a model's copies that may be replaced at once where no runner is spare. */
   readonly maxUnavailable: number
 }
 
-/** Limits of the daemon. */
 export const defaultPlacementLimits: PlacementLimits = {
   maxOutstanding: 8,
   downAfterMs: 15_000,
@@ -116,7 +114,7 @@
   maxUnavailable: 0.25
 }
 
-/** Decides which orders runners get. */
+/** Decides which orders runners receive. */
 export interface PlacementDecider {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[]
 }
--- a/packages/decisions/src/placement/runnerRecord.ts
+++ b/packages/decisions/src/placement/runnerRecord.ts
@@ -1,39 +1,33 @@
 /**
- * What is known of one runner: its newest report, whether it is down, and how often it was. A
- * runner that fails again and again has to be up for longer each time before it gets copies, as
- * with the growing ejection time of outlier detection.
+ * State of one runner: its latest report, its presence and its recent failures. A runner that fails repeatedly
+ * must be up for longer each time before it gets copies, as with the ejection time of outlier detection.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { LoadedModel, PlacementLimits } from './placementTypes.js'
 import { ReportPace } from './reportPace.js'
 
-/** Whether a runner answers; `unknown` until it has or its time is up. */
+/** Whether a runner responds; `unknown` until its first report or the timeout. */
 export type RunnerPresence = 'unknown' | 'up' | 'down'
 
-/** One runner as reported. */
 export class RunnerRecord {
   models: readonly LoadedModel[] = []
   leaving = false
-  /** Times the runner went down, since the last long time without. */
+  /** Failures since the runner was last up for `failureMemoryMs`. */
   downs = 0
   private presence: RunnerPresence = 'unknown'
   private heardAt: Instant
   private upSince: Instant | undefined
 
   /**
-   * @param since - when the planner began to listen for it
-   * @param limits - times
-   * @param pace - how often runners are asked
+   * @param since - start of the wait for its first report
    */
   constructor (since: Instant, private readonly limits: PlacementLimits, private readonly pace: ReportPace = new ReportPace()) {
     this.heardAt = since
   }
 
   /**
-   * Takes a load report.
-   * @param models - what is loaded
-   * @param leaving - whether the runner says that it leaves
-   * @param now - both clocks
+   * Records a load report.
+   * @param leaving - whether the runner announces its shutdown
    */
   report (models: readonly LoadedModel[], leaving: boolean, now: Instant): void {
     this.look(now)
@@ -44,20 +38,14 @@
     this.leaving = leaving
   }
 
-  /**
-   * Forgets the present report but not the failures; counting of silence begins anew.
-   * @param now - both clocks
-   */
+  /** Discards the current report and restarts the timeout; the failure count stays. */
   listenAnew (now: Instant): void {
     if (this.presence === 'up') this.presence = 'unknown'
     this.heardAt = now
     this.models = []
   }
 
-  /**
-   * Whether the runner answers, by how long it was silent.
-   * @param now - both clocks
-   */
+  /** Updates the presence from the time since the last report. */
   look (now: Instant): RunnerPresence {
     if (this.presence !== 'down' && elapsedMs(this.heardAt, now) >= this.limits.downAfterMs + this.pace.stretchMs(now)) {
       this.presence = 'down'
@@ -67,10 +55,7 @@
     return this.presence
   }
 
-  /**
-   * Whether the runner may get copies: it is up and was so for long enough since it last failed.
-   * @param now - both clocks
-   */
+  /** Whether the runner may get copies: it is up, and has been for long enough since its last failure. */
   isSteady (now: Instant): boolean {
     if (this.look(now) !== 'up' || this.upSince === undefined) return false
     if (this.downs === 0) return true
--- a/packages/decisions/src/placement/runnerView.ts
+++ b/packages/decisions/src/placement/runnerView.ts
@@ -1,48 +1,42 @@
 /**
- * One runner as a plan sees it, and what it holds of one model.
+ * A runner as input of a model plan, and the state of one model on it.
  */
 import type { LoadedModel, PlacementOrder } from './placementTypes.js'
 
-/** A runner at one moment. */
+/** Snapshot of a runner. */
 export interface PlacementRunner {
   readonly runner: string
   readonly domain: string
-  /** Models that the configuration declares for it. */
+  /** Models that the configuration declares for the runner. */
   readonly allowed: readonly string[]
-  /** It answers, and neither it nor the configuration says that it leaves. */
+  /** It responds, and neither it nor the configuration marks it as leaving. */
   readonly isServing: boolean
-  /** It may get new copies. */
+  /** It has been up for long enough to get new copies. */
   readonly isSteady: boolean
-  /** Failures of late. */
+  /** Recent failures. */
   readonly downs: number
   readonly loaded: readonly LoadedModel[]
-  /** Models of which it refused an order a short while ago. */
+  /** Models of which it recently refused an order. */
   readonly blocked: readonly string[]
-  /** The order whose effect is awaited. */
+  /** The order whose effect is pending. */
   readonly awaited: PlacementOrder | undefined
 }
 
-/** What the configuration declares of a model; no version when it does not name the model. */
+/** Declared state of a model; no version when the configuration lacks the model. */
 export interface ModelTarget {
   readonly model: string
   readonly version: string | undefined
   readonly adapters: readonly string[]
-  /** Copies wanted; one on every runner that declares the model when absent. */
+  /** Declared copies; one on every runner that declares the model when absent. */
   readonly copies: number | undefined
 }
 
 /**
- * State of a model on a runner. `partial`: the version is right and adapters are missing.
- * `stale`: another version. `loading`: ordered and not yet reported. `changing`: an order that
- * leads elsewhere has not been seen to take effect.
+ * State of a model on a runner. `partial`: right version, adapters missing. `stale`: another version.
+ * `loading`: ordered and not yet reported. `changing`: the effect of a conflicting order is pending.
  */
 export type CopyState = 'none' | 'good' | 'partial' | 'stale' | 'loading' | 'changing'
 
-/**
- * State of a model on a runner.
- * @param runner - the runner
- * @param target - the model
- */
 export function copyState (runner: PlacementRunner, target: ModelTarget): CopyState {
   const loaded = runner.loaded.find(({ model }) => model === target.model)
   const awaited = runner.awaited?.model === target.model ? runner.awaited : undefined
@@ -54,12 +48,7 @@
   return loaded === undefined ? 'none' : 'stale'
 }
 
-/**
- * Whether a runner may hold a copy that counts.
- * @param runner - the runner
- * @param target - the model
- * @param state - what it holds of the model
- */
+/** Whether a runner may have a copy that counts. */
 export function isCandidate (runner: PlacementRunner, target: ModelTarget, state: CopyState): boolean {
   if (!runner.isServing || !runner.isSteady || !runner.allowed.includes(target.model)) return false
   return state === 'good' || state === 'partial' || state === 'loading' || !runner.blocked.includes(target.model)
--- a/packages/decisions/src/placement/weightPace.ts
+++ b/packages/decisions/src/placement/weightPace.ts
@@ -1,14 +1,14 @@
 /**
- * How often orders may take weights from the weight store: a token bucket, closed for as long as
- * the store asks for after a refusal.
+ * Limits the rate of orders that load weights from the weight store: a token bucket that pauses after a refusal
+ * for as long as the store requests.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 
 const MS_PER_MINUTE = 60_000
-/** Pause after a refusal that names a shorter one, in milliseconds. */
+/** Lower bound of the pause after a refusal. */
 const LEAST_PAUSE_MS = 1_000
 
-/** Pace of the orders that need weights. */
+/** Rate limiter of orders that load weights. */
 export class WeightPace {
   private tokens: number
   private filledAt: Instant | undefined
@@ -17,15 +17,15 @@
 
   /**
    * @param perMinute - sets of weights a minute
-   * @param burst - sets at once after a rest
+   * @param burst - sets of weights at once after an idle period
    */
   constructor (private readonly perMinute: number, private readonly burst: number) {
     this.tokens = burst
   }
 
   /**
-   * Takes the right to one set of weights, if there is one.
-   * @param now - both clocks
+   * Acquires a permit to load one set of weights.
+   * @returns false when none is available
    */
   take (now: Instant): boolean {
     this.fill(now)
@@ -35,9 +35,8 @@
   }
 
   /**
-   * The store refused: nothing is taken for a while, and what was saved up is gone.
-   * @param retryAfterMs - milliseconds that the store asked for
-   * @param now - both clocks
+   * Handles a refusal by the store: pauses loads and discards the accumulated burst.
+   * @param retryAfterMs - pause that the store requested
    */
   refused (retryAfterMs: number, now: Instant): void {
     this.fill(now)
--- a/packages/rosemaryspread/src/config/configFetcher.ts
+++ b/packages/rosemaryspread/src/config/configFetcher.ts
@@ -1,6 +1,6 @@
 /**
- * Fetches versions from the table, one fetch at a time, and a first version from the object
- * store while the table is down. What it gets is offered to the holder, which verifies it.
+ * Fetches versions from the table, one fetch at a time, and an initial version from the object store during a
+ * table outage. Fetched versions are passed to the decider, which verifies them.
  */
 import type { ConfigCandidate, ConfigSource } from '@rosemaryspread/decisions/config/configDecider.js'
 import type { VersionMark } from '@rosemaryspread/decisions/config/configRows.js'
@@ -8,23 +8,16 @@
 import type { ConfigSnapshots } from './configSnapshots.js'
 import type { ConfigVersions } from './configVersions.js'
 
-/** Where fetched versions go. */
+/** Receiver of fetched versions. */
 export interface FetchTarget {
   /** The version in force; undefined before the first. */
   version (): number | undefined
   deliver (source: ConfigSource, candidate: ConfigCandidate): void
 }
 
-/** Fetches versions for one store. */
 export class ConfigFetcher {
   #running: Promise<void> | undefined
 
-  /**
-   * @param versions - versions as the platform keeps them
-   * @param snapshots - the object store
-   * @param log - where failures go
-   * @param target - the holder behind its store
-   */
   constructor (
     private readonly versions: ConfigVersions,
     private readonly snapshots: ConfigSnapshots,
@@ -32,10 +25,7 @@
     private readonly target: FetchTarget
   ) {}
 
-  /**
-   * Fetches everything up to a version. Who comes during a fetch waits for it and looks again.
-   * @param mark - the version wanted
-   */
+  /** Fetches everything up to a version. A call during another fetch waits for it, then fetches only if still behind. */
   async fetch (mark: VersionMark): Promise<void> {
     while (this.#running !== undefined) await this.#running
     if (!this.#isBehind(mark)) return
@@ -43,7 +33,7 @@
     await this.#running
   }
 
-  /** Takes the newest version that the object store can prove. */
+  /** Loads the newest version that the object store contains and that verifies. */
   async loadSnapshot (): Promise<void> {
     const newest = await this.snapshots.newest()
     const candidate = newest.toMaybe().chain(found => found).extractNullable()
@@ -52,7 +42,7 @@
     if (this.target.version() === undefined) this.#deliverParts(candidate)
   }
 
-  /** As far as it verifies: the snapshot alone, then version by version. */
+  /** Delivers the snapshot and each row separately, so that the versions before a faulty one are still applied. */
   #deliverParts ({ whole, rows }: ConfigCandidate): void {
     if (whole !== undefined) this.target.deliver('snapshot', { whole, rows: [] })
     for (const row of rows) this.target.deliver('snapshot', { rows: [row] })
@@ -63,7 +53,9 @@
     if (usedSnapshot && this.#isBehind(mark)) await this.#fetchOnce(mark, false)
   }
 
-  /** Answers whether a snapshot was used. */
+  /**
+   * @returns whether a snapshot was used
+   */
   async #fetchOnce (mark: VersionMark, useSnapshots: boolean): Promise<boolean> {
     const candidate = await this.versions.candidate(this.target.version() ?? 0, mark, useSnapshots)
     return candidate.caseOf({
--- a/packages/rosemaryspread/src/config/configHints.spec.ts
+++ b/packages/rosemaryspread/src/config/configHints.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Versions that heartbeats name.
+ * A heartbeat that names a higher version triggers a refresh from the table, at a bounded rate.
  */
 import { expect } from 'chai'
 import { VersionHints } from './configHints.js'
@@ -10,12 +10,12 @@
   { name: 'the version in force', inForce: 3, heard: [{ at: 0, version: 3 }], asks: 0 },
   { name: 'an older version', inForce: 3, heard: [{ at: 0, version: 2 }], asks: 0 },
   { name: 'many heartbeats at once', inForce: 3, heard: [0, 1, 2, 3].map(at => ({ at, version: 4 })), asks: 1 },
-  { name: 'a higher version that stays out of reach', inForce: 3, heard: [0, 1_000, 2_000].map(at => ({ at, version: 4 })), asks: 3 }
+  { name: 'a higher version that cannot be fetched', inForce: 3, heard: [0, 1_000, 2_000].map(at => ({ at, version: 4 })), asks: 3 }
 ]
 
-describe('versions heard of in heartbeats', () => {
+describe('version hints from heartbeats', () => {
   for (const { name, inForce, heard, asks } of cases) {
-    it(`has the table asked ${asks} times for ${name}`, () => {
+    it(`trigger ${asks} refreshes for ${name}`, () => {
       let mono = 0
       let asked = 0
       const hints = new VersionHints({ now: () => ({ mono, wall: mono }) }, () => inForce)
--- a/packages/rosemaryspread/src/config/configHints.ts
+++ b/packages/rosemaryspread/src/config/configHints.ts
@@ -1,35 +1,28 @@
 /**
- * Heartbeats name the configuration version of their sender. One that is higher than the version
- * in force here has the table asked at once, so that a lost push costs a heartbeat and not a poll.
+ * Heartbeats carry the configuration version of their sender. A higher one than the version in force triggers a
+ * refresh from the table at once, so that a lost push costs a heartbeat period instead of a poll period.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 
-/** Milliseconds between two asks for the same reason. */
+/** Minimum time between two refreshes. */
 const LEAST_MS = 500
 
-/** Turns versions heard of into asks. */
+/** Triggers refreshes by advertised versions. */
 export class VersionHints {
   private askedAt = -Infinity
   private ask: () => void = () => {}
 
   /**
-   * @param clock - clocks of the VM
-   * @param inForce - the version in force; undefined before the first
+   * @param inForce - returns the version in force; undefined before the first
    */
   constructor (private readonly clock: Clock, private readonly inForce: () => number | undefined) {}
 
-  /**
-   * Sets what is done when a higher version is heard of.
-   * @param ask - looks for the newest version
-   */
+  /** Sets the callback for a higher version. */
   onHint (ask: () => void): void {
     this.ask = ask
   }
 
-  /**
-   * Takes a version that another VM has in force.
-   * @param version - the version
-   */
+  /** Handles a version that is in force on another VM. */
   heard (version: number): void {
     const { mono } = this.clock.now()
     if (version <= (this.inForce() ?? -1) || mono - this.askedAt < LEAST_MS) return
--- a/packages/rosemaryspread/src/config/configPatcher.ts
+++ b/packages/rosemaryspread/src/config/configPatcher.ts
@@ -1,8 +1,7 @@
 /**
- * Carries a patch to acceptance: one transaction that succeeds only if the version is still the
- * one the patch is based on. Accepted means that this transaction took effect; a lost answer is
- * resolved by reading the patch id back. All reads are confirmed ones, so that neither a refusal
- * nor a repeated answer rests on a lagging replica.
+ * Commits a patch in one transaction, which succeeds only if the base of the patch is still the current version.
+ * After a lost response, reading the patch id back decides whether it took effect. All reads are confirmed, so
+ * that neither a rejection nor a repeated response rests on a lagging replica.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -20,27 +19,24 @@
 const MAX_PAUSE_MS = 1_000
 const RETRY_AFTER_MS = 2_000
 
-/** A patch that was accepted, now or earlier. */
+/** A patch that was accepted, by this call or an earlier one. */
 export interface AcceptedPatch {
   readonly version: number
   readonly repeated: boolean
-  /** The version and its row, when this call made it. */
+  /** The version and its row, when this call created it. */
   readonly made?: { readonly held: HeldConfig, readonly row: VersionRow }
 }
 
-/** One patch on its way. */
+/** Commits one patch. */
 export class ConfigPatcher {
   readonly #digest: string
   #made: { held: HeldConfig, row: VersionRow } | undefined
-  /** Time of the first attempt; later ones repeat its row exactly. */
+  /** Time of the first attempt; later attempts write the same row. */
   #at: number | undefined
 
   /**
    * @param table - the table service with confirmed reads
-   * @param reader - reads versions
-   * @param parts - timers and randomness
-   * @param inForce - the version in force on this VM, asked anew at each attempt
-   * @param req - the patch
+   * @param inForce - returns the version in force, called at each attempt
    */
   constructor (
     private readonly table: TableStore,
@@ -53,9 +49,9 @@
   }
 
   /**
-   * Has the patch accepted.
-   * @returns `configConflict`, `patchIdReused`, `patchInvalid`, `configInvalid`, `platformUnavailable`
-   * (none of them accepted the patch) or `platformOutcomeUnknown`
+   * Commits the patch.
+   * @returns `configConflict`, `patchIdReused`, `patchInvalid`, `configInvalid` or `platformUnavailable` when
+   * the patch was not accepted; `platformOutcomeUnknown` when that is open
    */
   async accept (): Promise<Either<Failure, AcceptedPatch>> {
     const make: TransactBuild = { keys: this.#keys(), build: read => this.#transaction(read) }
@@ -70,7 +66,7 @@
     return settled.mapLeft(explain).chain(outcome => this.#accepted(outcome))
   }
 
-  /** Checks the patch as {@link accept} would and writes nothing. */
+  /** Validates the patch as {@link accept} would, without writing. */
   async check (): Promise<Either<Failure, AcceptedPatch>> {
     const read = await this.table.read(this.#keys())
     return read.chain(answer => this.#isApplied(answer.rows[1] ?? null)
--- a/packages/rosemaryspread/src/config/configReader.ts
+++ b/packages/rosemaryspread/src/config/configReader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads configuration versions from the table service. A plain read may come from a replica that
- * lags; {@link ConfirmedTable} is for decisions that must not rest on one.
+ * Reads configuration versions from the table service. A plain read may come from a lagging replica; {@link
+ * ConfirmedTable} is for decisions that must not rest on one.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -8,21 +8,19 @@
 import type { ReadAnswer, Row, RowKey, ScanAnswer, ScanRequest, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { z } from 'zod'
 
-/** Version rows asked for at once. */
+/** Version rows per scan. */
 const PAGE_ROWS = 32
-/** Reads that may turn out to be stale, or lose their confirmation, before the table counts as unavailable. */
+/** Reads that may fail confirmation before the table counts as unavailable. */
 const CONFIRM_ATTEMPTS = 5
-/** Milliseconds between them; a lagging replica catches up meanwhile. */
+/** Pause between attempts, in which a lagging replica can catch up. */
 const CONFIRM_PAUSE_MS = 50
 
 /** Key of the row that names the current version. */
 export const currentKey: RowKey = { table: CURRENT_TABLE, key: CURRENT_KEY }
 
 /**
- * Checks the value of a row.
- * @param schema - schema of the value
- * @param row - the row as read
- * @returns `configInvalid` when the row does not follow its schema
+ * Validates the value of a row.
+ * @returns `configInvalid` when the value does not follow the schema
  */
 export function parseRow<T> (schema: z.ZodType<T>, row: Row): Either<Failure, T> {
   const result = schema.safeParse(row.value)
@@ -31,26 +29,20 @@
   return Left(new Failure('configInvalid', `row ${row.table}/${row.key} is malformed`, { errors }))
 }
 
-/** Version rows and the current version. */
 export class ConfigReader {
   /**
-   * @param table - the table service
-   * @param origin - the mark of version 0, in force while no patch was accepted
+   * @param initial - version 0, current while no patch was accepted
    */
   constructor (private readonly table: TableStore, private readonly origin: VersionMark) {}
 
-  /**
-   * The current version.
-   * @param table - with confirmed reads where it must not be an older one
-   */
   async current (table: TableStore): Promise<Either<Failure, VersionMark>> {
     const answer = await table.read([currentKey])
     return answer.chain(({ rows }) => this.markOf(rows[0] ?? null))
   }
 
   /**
-   * The current version together with the version row that follows one, if there is any yet. One
-   * call is then enough for a VM that is one version behind.
+   * Reads the current version together with the row after `version`, if there is one. A VM that is one version
+   * behind thus needs a single call.
    * @param version - the version in force
    */
   async poll (version: number): Promise<Either<Failure, { readonly mark: VersionMark, readonly rows: readonly VersionRow[] }>> {
@@ -59,19 +51,14 @@
       .chain(mark => parseAll(next == null ? [] : [next]).map(rows => ({ mark, rows }))))
   }
 
-  /**
-   * The version that a row `config/current` names.
-   * @param row - the row; version 0 when there is none
-   */
+  /** The version that the row `config/current` names; version 0 without a row. */
   markOf (row: Row | null): Either<Failure, VersionMark> {
     if (row === null) return Right(this.origin)
     return parseRow(currentRowSchema, row).map(({ version, digest }) => ({ version, digest }))
   }
 
   /**
-   * One version row.
-   * @param version - version number
-   * @returns `notFound` when there is none
+   * @returns `notFound` when there is no row of the version
    */
   async row (version: number): Promise<Either<Failure, VersionRow>> {
     const answer = await this.table.read([{ table: VERSION_TABLE, key: versionKey(version) }])
@@ -83,8 +70,8 @@
   /**
    * Version rows in order.
    * @param after - the version before the first
-   * @param upTo - the last version wanted
-   * @returns all of them; `platformUnavailable` when some are not there yet, or the failure of a page
+   * @param upTo - the last version
+   * @returns all of them; `platformUnavailable` when some cannot be read yet, or the failure of a scan
    */
   async rows (after: number, upTo: number): Promise<Either<Failure, VersionRow[]>> {
     const found: VersionRow[] = []
@@ -114,15 +101,11 @@
 }
 
 /**
- * A table whose reads are confirmed by a transaction that only checks the versions read. Such a
- * transaction is decided where writes are, so a lagging replica cannot answer it. It costs one
- * more call, which patches can afford.
+ * A table whose reads are confirmed by a transaction that only checks the row versions read. It is decided
+ * where writes are, so no lagging replica can answer it. This costs one more call, which is acceptable for
+ * patches.
  */
 export class ConfirmedTable implements TableStore {
-  /**
-   * @param table - the table service
-   * @param pause - waits some milliseconds
-   */
   constructor (private readonly table: TableStore, private readonly pause: (ms: number) => Promise<void>) {}
 
   async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
--- a/packages/rosemaryspread/src/config/configSnapshots.ts
+++ b/packages/rosemaryspread/src/config/configSnapshots.ts
@@ -1,8 +1,7 @@
 /**
- * Configuration versions in the object store: a whole snapshot every so many versions, a small
- * object for each version, and a pointer to the newest snapshot. They bound the start-up of a VM
- * and are what a VM starts from while the table is down. All are written after acceptance and
- * at best effort; the table decides what was accepted.
+ * Configuration versions in the object store: periodic snapshots, a delta object for each version, and a pointer
+ * to the newest snapshot. They bound the start-up time of a VM and let one start during a table outage. They are
+ * written after acceptance on a best-effort basis; the table decides what was accepted.
  */
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -12,33 +11,30 @@
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { z } from 'zod'
 
-/** Version objects fetched at once when walking past the newest snapshot. */
+/** Delta objects fetched at once. */
 const WALK_WIDTH = 8
-/** Versions a snapshot may lag before any VM writes a newer one. */
+/** Versions that the newest snapshot may lag before any VM writes a newer one. */
 const MAX_LAG = 2 * SNAPSHOT_EVERY
 
-/** Snapshots and version objects. */
+/** Snapshots and delta objects. */
 export class ConfigSnapshots {
-  /**
-   * @param objects - the object store
-   */
   constructor (private readonly objects: ObjectStore) {}
 
-  /** The mark of the newest snapshot, if any. */
+  /** Version and digest of the newest snapshot, if any. */
   async latest (): Promise<Either<Failure, Maybe<VersionMark>>> {
     return await this.#get(LATEST_OBJECT, versionMarkSchema)
   }
 
   /**
-   * A whole version; that its content has this digest is verified by whoever takes it into use.
-   * @param mark - version and digest
+   * Reads a snapshot. Only the version and digest that it states are compared; its content is verified before
+   * it comes into force.
    */
   async whole (mark: VersionMark): Promise<Either<Failure, Maybe<WholeConfig>>> {
     const found = await this.#get(snapshotName(mark), wholeConfigSchema)
     return found.map(whole => whole.filter(({ version, digest }) => version === mark.version && digest === mark.digest))
   }
 
-  /** The newest state the object store can tell: the newest snapshot and all versions after it. */
+  /** The newest versions in the object store: the newest snapshot and all deltas after it. */
   async newest (): Promise<Either<Failure, Maybe<ConfigCandidate>>> {
     const latest = await this.latest()
     if (latest.isLeft()) return latest
@@ -49,11 +45,7 @@
     return Right(Just({ rows, ...whole.map(found => ({ whole: found })).orDefault({} as { whole: WholeConfig }) }))
   }
 
-  /**
-   * Keeps an accepted version. When the version before it is missing, a whole snapshot closes the gap.
-   * @param row - its version row
-   * @param held - the version whole
-   */
+  /** Writes an accepted version. When the delta before it is missing, a snapshot closes the gap. */
   async keep (row: VersionRow, held: HeldConfig): Promise<Either<Failure, void>> {
     const put = await this.#put(deltaName(row.version), row)
     if (put.isLeft()) return put
@@ -61,10 +53,7 @@
     return due ? await this.snapshot(held) : put
   }
 
-  /**
-   * Writes a whole snapshot, and points to it unless a newer one is pointed to.
-   * @param held - the version
-   */
+  /** Writes a snapshot, and the pointer to it unless that names a newer one. */
   async snapshot (held: HeldConfig): Promise<Either<Failure, void>> {
     const { version, digest, document } = held
     const put = await this.#put(snapshotName(held), { version, digest, document } satisfies WholeConfig)
@@ -75,8 +64,7 @@
   }
 
   /**
-   * Writes a snapshot when what the object store has would not lead to the version in force.
-   * @param held - the version in force
+   * Writes a snapshot when the version in force cannot be restored from the object store.
    * @returns whether one was written
    */
   async repair (held: HeldConfig): Promise<Either<Failure, boolean>> {
--- a/packages/rosemaryspread/src/config/configSpread.ts
+++ b/packages/rosemaryspread/src/config/configSpread.ts
@@ -1,8 +1,7 @@
 /**
- * Spreads versions between VMs: each VM polls the table for the current version, tells a few
- * peers of each version that comes into force on it, and takes what the table does not serve in
- * time from the peer that told it. Polls alone suffice; pushes make it quick, and peers carry
- * it while the table is down.
+ * Propagates versions between VMs: each VM polls the table for the current version, pushes each version that comes
+ * into force to a few peers, and fetches from the pushing peer what the table does not return in time. Polls alone
+ * suffice; pushes reduce the delay, and peers replace the table during an outage.
  */
 import type { Either } from 'purify-ts'
 import * as z from 'zod'
@@ -13,15 +12,15 @@
 import type { ConfigStore } from './configStore.js'
 import type { ConfigPeers, ConfigSpreadSettings, ConfigTimers } from './configTypes.js'
 
-/** Method by which a VM tells a peer of a version. */
+/** Method that notifies a peer of a version. */
 export const PUSH_METHOD = 'config.push'
-/** Method by which a VM asks a peer for what is new. */
+/** Method that fetches newer versions from a peer. */
 export const FETCH_METHOD = 'config.fetch'
 
-/** Polls of the whole fleet that the table takes in a second. */
+/** Bound of the polls of the whole fleet, to limit the load on the table. */
 const FLEET_POLLS_PER_SECOND = 100
 const SECOND_MS = 1_000
-/** Share of a period by which it varies. */
+/** Maximum random deviation of a period, as a fraction of it. */
 const JITTER = 0.2
 
 const pushSchema = versionMarkSchema.extend({
@@ -31,7 +30,7 @@
 const fetchSchema = z.object({ after: z.number().int().nonnegative().optional() })
 const fetchAnswerSchema = z.object({ whole: wholeConfigSchema.optional(), rows: z.array(versionRowSchema) }).nullable()
 
-/** What {@link ConfigSpread} is made of. */
+/** Dependencies of {@link ConfigPropagation}. */
 export interface ConfigSpreadParts {
   readonly store: ConfigStore
   readonly peers: ConfigPeers
@@ -44,8 +43,7 @@
 }
 
 /**
- * Milliseconds between polls: the setting, or longer so that the fleet's polls stay bounded.
- * @param pollMs - the setting
+ * Milliseconds between polls: the setting, or longer in large fleets to bound the fleet's polls.
  * @param vms - VMs of the fleet
  */
 export function pollPeriod (pollMs: number, vms: number): number {
@@ -58,22 +56,19 @@
   throw new Failure('badRequest', result.error.message)
 }
 
-/** Spreads the configuration on one VM. */
+/** Configuration propagation of one VM. */
 export class ConfigSpread {
   readonly #parts: ConfigSpreadParts
   #stopped = true
   #reachable = true
   #cancels = new Set<() => void>()
 
-  /**
-   * @param parts - store, peers and timers
-   */
   constructor (parts: ConfigSpreadParts) {
     this.#parts = parts
     parts.store.onChange(held => this.#push(held))
   }
 
-  /** Starts to poll. */
+  /** Starts polling. */
   start (): void {
     if (!this.#stopped) return
     this.#stopped = false
@@ -81,14 +76,14 @@
     this.#repeat(() => this.#parts.settings.repairMs * Math.max(1, this.#vms() / FLEET_POLLS_PER_SECOND), async () => { await this.#repair() })
   }
 
-  /** Stops to poll; peers are served on. */
+  /** Stops polling; requests of peers are still served. */
   stop (): void {
     this.#stopped = true
     for (const cancel of this.#cancels) cancel()
     this.#cancels.clear()
   }
 
-  /** Looks once for a higher version: in the table, and at one peer when the table does not answer. */
+  /** Looks once for a higher version: in the table, and at one peer when the table is unavailable or behind. */
   async poll (): Promise<void> {
     const outcome = await this.#parts.store.refresh()
     this.#noteReachable(outcome)
@@ -100,9 +95,9 @@
   }
 
   /**
-   * Serves {@link PUSH_METHOD}. A fresh process takes its first version from `load` or a poll, as
-   * the sender of a push may lag behind what an earlier process of this VM had in force.
-   * @param params - the version and who tells of it
+   * Serves {@link PUSH_METHOD}. A process without a version in force ignores pushes and takes its first from
+   * `load` or a poll, as the sender may be behind what an earlier process of this VM had in force.
+   * @param params - version, digest and address of the sender
    */
   async onPush (params: unknown): Promise<unknown> {
     const push = parseParams(pushSchema, params)
@@ -167,7 +162,7 @@
     if (held !== undefined) await this.#parts.store.snapshots.repair(held)
   }
 
-  /** Some peers, each with the same chance. */
+  /** Random peers, each with the same probability. */
   #pick (count: number): readonly string[] {
     const all = [...this.#parts.peers.addresses()]
     const picked: string[] = []
@@ -185,7 +180,7 @@
     })
   }
 
-  /** Lets work go on by itself; a fault of it is logged. */
+  /** Runs work in the background and logs its failure. */
   #run (work: Promise<unknown>): void {
     work.catch(err => this.#parts.log.write('fault', { err: toFailure(err).message }))
   }
--- a/packages/rosemaryspread/src/config/configStore.ts
+++ b/packages/rosemaryspread/src/config/configStore.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration on this VM: what is in force, patches, versions and history, over the table
- * service and the object store. Which version is in force is decided by {@link ConfigHolder};
- * this class carries its actions out.
+ * The configuration on this VM: version in force, patches, older versions and history, based on the table service
+ * and the object store. {@link MonotonicConfigDecider} decides which version is in force; this class carries out
+ * its actions.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -17,10 +17,9 @@
 import { ConfigVersions } from './configVersions.js'
 import { RecentRows } from './recentRows.js'
 
-/** Versions that one call of `history` gives at most. */
+/** Maximum number of versions that one call of `history` returns. */
 const MAX_HISTORY = 1_000
 
-/** The configuration store of one VM. */
 export class ConfigStore {
   readonly #parts: ConfigStoreParts
   readonly #confirmed: ConfirmedTable
@@ -30,12 +29,10 @@
   readonly #fetcher: ConfigFetcher
   readonly #recent = new RecentRows()
   readonly #listeners: ConfigListener[] = []
-  /** Snapshots and version objects. */
   readonly snapshots: ConfigSnapshots
 
   /**
-   * @param parts - services, clocks and log
-   * @param holder - decides what is in force; another one only in tests
+   * @param decider - replaced in tests only
    */
   constructor (parts: ConfigStoreParts, holder?: ConfigDecider) {
     const origin = firstConfig()
@@ -51,27 +48,26 @@
     })
   }
 
-  /** The version in force; undefined until the first one is. */
+  /** The version in force; undefined before the first. */
   get inForce (): HeldConfig | undefined {
     return this.#holder.inForce
   }
 
-  /** The version in force, the highest heard of, and since when this VM lags. */
   get status (): ConfigStatus {
     return this.#holder.status
   }
 
   /**
-   * Registers for versions that come into force, in order.
-   * @param listener - called in the same turn; what it throws is logged
+   * Registers a listener for versions that come into force, in order.
+   * @param listener - called synchronously; its exceptions are logged
    */
   onChange (listener: ConfigListener): void {
     this.#listeners.push(listener)
   }
 
   /**
-   * Brings a first version into force: from the table, or while that is down the newest one that
-   * the object store can prove.
+   * Brings an initial version into force: from the table, or during an outage the newest one in the object
+   * store that verifies.
    * @returns the version in force, or `configNotLoaded`
    */
   async load (): Promise<Either<Failure, HeldConfig>> {
@@ -84,9 +80,9 @@
   }
 
   /**
-   * Reads the current version from the table and brings it into force when it is higher. The first
-   * version of a process comes from a confirmed read, so that a lagging replica cannot take this
-   * VM below what an earlier process of it had in force.
+   * Reads the current version from the table and applies it when it is higher. The first version of a process
+   * comes from a confirmed read, so that a lagging replica cannot take this VM below what an earlier process
+   * of it had in force.
    * @returns the failure of the read; the version in force stays
    */
   async refresh (): Promise<Either<Failure, VersionMark>> {
@@ -101,31 +97,23 @@
     return Right(mark)
   }
 
-  /**
-   * Takes note of a version that exists, and fetches it from the table when it is higher.
-   * @param source - who names it
-   * @param mark - version and digest
-   */
+  /** Handles the newest version that a source advertises; fetches it when it is higher. */
   async hear (source: ConfigSource, mark: VersionMark): Promise<void> {
     for (const action of this.#decide({ kind: 'heard', source, mark })) {
       if (action.kind === 'fetch') await this.#fetcher.fetch(action.target)
     }
   }
 
-  /**
-   * Offers versions that a source delivered; they come into force if they verify and are higher.
-   * @param source - who delivered them
-   * @param candidate - rows, or a whole version
-   */
+  /** Handles delivered versions; they come into force if they verify and are higher. */
   deliver (source: ConfigSource, candidate: ConfigCandidate): void {
     this.#decide({ kind: 'delivered', source, candidate })
     if (this.inForce?.version === candidate.rows.at(-1)?.version) this.#recent.add(candidate.rows)
   }
 
   /**
-   * What a peer needs to go on from a version.
+   * The versions that a peer lacks.
    * @param after - the peer's version; undefined when it has none
-   * @returns rows or a whole version; nothing when the peer is not behind
+   * @returns rows or a full version; undefined when the peer is not behind
    */
   candidateAfter (after: number | undefined): ConfigCandidate | undefined {
     const held = this.inForce
@@ -137,11 +125,10 @@
   }
 
   /**
-   * Has a patch accepted as the next version.
-   * @param req - base version, patch id, author and operations
-   * @returns the version it became; `configConflict` names the current version and what changed
-   * since the base; `patchIdReused`, `patchInvalid`, `configInvalid` name what is wrong;
-   * `platformUnavailable` when nothing was written, `platformOutcomeUnknown` when that is open
+   * Submits a patch as the next version.
+   * @returns the new version; `configConflict` with the current version and the changes since the base;
+   * `patchIdReused`, `patchInvalid` or `configInvalid` with the errors; `platformUnavailable` when nothing was
+   * written, `platformOutcomeUnknown` when that is open
    */
   async patch (req: PatchRequest): Promise<Either<Failure, PatchAnswer>> {
     const isBehind = (this.inForce?.version ?? -1) < req.base
@@ -155,8 +142,8 @@
   }
 
   /**
-   * A version of the configuration.
-   * @param version - the version; the one in force when absent
+   * Reads a version.
+   * @param version - the version in force when absent
    * @returns `notFound`, `configNotLoaded` or a failure of the platform
    */
   async get (version?: number): Promise<Either<Failure, ConfigAnswer>> {
@@ -170,7 +157,7 @@
 
   /**
    * The newest accepted versions, newest first.
-   * @param limit - how many
+   * @param limit - maximum number of versions
    */
   async history (limit: number): Promise<Either<Failure, readonly HistoryEntry[]>> {
     const current = await this.#reader.current(this.#confirmed)
--- a/packages/rosemaryspread/src/config/configTypes.ts
+++ b/packages/rosemaryspread/src/config/configTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What the configuration asks of the rest of the VM.
+ * Interfaces that the configuration needs from the rest of the VM, and settings of its propagation.
  */
 import type { Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -10,69 +10,62 @@
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Timers; the daemon binds the system's, tests and measurements a virtual clock. */
+/** Timers; backed by the system clock in the daemon, and by a virtual one in tests and measurements. */
 export interface ConfigTimers {
   /**
-   * Calls a function once, later.
-   * @param ms - milliseconds from now
-   * @param fn - the function
+   * Calls a function once.
+   * @param ms - delay in milliseconds
    * @returns cancels the call
    */
   after (ms: number, fn: () => void): () => void
 }
 
-/**
- * Waits.
- * @param timers - where time comes from
- * @param ms - milliseconds
- */
 export async function pauseOn (timers: ConfigTimers, ms: number): Promise<void> {
   await new Promise<void>(resolve => { timers.after(ms, resolve) })
 }
 
-/** What {@link ConfigStore} is made of. */
+/** Dependencies of {@link ConfigStore}. */
 export interface ConfigStoreParts {
   readonly table: TableStore
   readonly objects: ObjectStore
   readonly clock: Clock
   readonly log: EventLog
   readonly timers: ConfigTimers
-  /** Numbers in [0, 1). */
+  /** Random numbers in [0, 1). */
   readonly random: () => number
 }
 
-/** The other VMs as the configuration sees them. */
+/** Access to the other VMs. */
 export interface ConfigPeers {
-  /** Peer addresses of the VMs believed to live, without this one. */
+  /** Peer addresses of the VMs that count as live, without this one. */
   addresses (): readonly string[]
   /**
    * Calls a method of a peer.
    * @param address - IPv4:port of the peer
-   * @param method - method name
-   * @param params - a plain value
-   * @param timeoutMs - milliseconds until the call is given up
+   * @param params - a JSON value
+   * @param timeoutMs - milliseconds until the call is abandoned
    */
   call (address: string, method: string, params: unknown, timeoutMs: number): Promise<Either<Failure, unknown>>
 }
 
-/** Told of each version that comes into force, in order, and where it came from. */
+/** Notified of each version that comes into force, in order, with its source. */
 export type ConfigListener = (held: HeldConfig, source: ConfigSource) => void
 
-/** Periods and sizes of the spread. */
+/** Periods and sizes of the propagation. */
 export interface ConfigSpreadSettings {
   /** Milliseconds between polls of the current version; longer in large fleets, see `pollPeriod`. */
   readonly pollMs: number
-  /** Peers that each VM tells of a new version. */
+  /** Peers that each VM notifies of a new version. */
   readonly fanout: number
-  /** Milliseconds after which a push that the table did not serve is served by the peer. */
+  /** Milliseconds after which a pushed version that the table has not returned is fetched from the peer. */
   readonly hedgeMs: number
-  /** Milliseconds a call to a peer may take. */
+  /** Timeout of a call to a peer, in milliseconds. */
   readonly peerTimeoutMs: number
-  /** Milliseconds between checks that the object store leads to the version in force. */
+  /** Milliseconds between checks that the version in force can be restored from the object store. */
   readonly repairMs: number
 }
 
-/** Settings that suit fleets of 6 to 360 VMs. */
+/** Suitable for fleets of 6 to 360 VMs. */
 export const defaultSpread: ConfigSpreadSettings = {
   pollMs: 1_000,
   fanout: 8,
--- a/packages/rosemaryspread/src/config/configVersions.ts
+++ b/packages/rosemaryspread/src/config/configVersions.ts
@@ -1,7 +1,6 @@
 /**
- * Puts versions together from the version rows of the table and the snapshots of the object
- * store. The table has the last word: whatever a snapshot contributes must lead to the digest
- * that the table names.
+ * Reconstructs versions from the version rows of the table and the snapshots of the object store. The table is
+ * authoritative: versions built from a snapshot must match the digest that the table names.
  */
 import { Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -11,18 +10,12 @@
 import type { ConfigReader } from './configReader.js'
 import type { ConfigSnapshots } from './configSnapshots.js'
 
-/** Versions described in a conflict. */
+/** Versions listed in a conflict. */
 const MAX_CHANGES = 20
-/** Operations named for each of them. */
+/** Operations listed for each version. */
 const MAX_OPERATIONS = 5
 
-/** Versions as the platform keeps them. */
 export class ConfigVersions {
-  /**
-   * @param reader - version rows
-   * @param snapshots - whole versions
-   * @param origin - version 0
-   */
   constructor (
     private readonly reader: ConfigReader,
     private readonly snapshots: ConfigSnapshots,
@@ -30,10 +23,9 @@
   ) {}
 
   /**
-   * What leads from a version to a later one; begins with a snapshot when the way is long.
+   * What leads from a version to a later one; starts with a snapshot when many versions lie between.
    * @param after - the version in force, or 0
-   * @param target - the version wanted
-   * @param useSnapshots - whether a snapshot may be used; not after one failed to verify
+   * @param useSnapshots - false after a snapshot failed to verify
    */
   async candidate (after: number, target: VersionMark, useSnapshots: boolean): Promise<Either<Failure, ConfigCandidate>> {
     const isFar = target.version - after > SNAPSHOT_EVERY
@@ -46,8 +38,7 @@
   }
 
   /**
-   * A version whole, by number.
-   * @param version - version number
+   * Reads a full version.
    * @returns `notFound`, or a failure of the platform
    */
   async at (version: number): Promise<Either<Failure, HeldConfig>> {
@@ -62,8 +53,8 @@
   /**
    * One line for each version after a base.
    * @param base - the version that a patch was based on
-   * @param current - the version up to which changes are told
-   * @returns lines, the newest first; none when the table cannot be read
+   * @param current - the last version described
+   * @returns lines, newest first; none when the table cannot be read
    */
   async changesSince (base: number, current: number): Promise<readonly string[]> {
     const first = Math.max(base, current - MAX_CHANGES)
@@ -77,7 +68,7 @@
     return await this.#regularWhole(notAfter)
   }
 
-  /** The snapshot that every so many versions is written, at or below a version. */
+  /** The newest periodic snapshot at or below a version. */
   async #regularWhole (notAfter: number): Promise<Maybe<WholeConfig>> {
     const version = notAfter - notAfter % SNAPSHOT_EVERY
     if (version === 0) return Nothing
--- a/packages/rosemaryspread/src/config/recentRows.ts
+++ b/packages/rosemaryspread/src/config/recentRows.ts
@@ -1,21 +1,18 @@
 /**
- * The last version rows that came into force on this VM, kept to serve peers while the table is
- * down. Bounded by bytes: beyond that, peers are given the whole version.
+ * Caches the last version rows that came into force on this VM, to serve peers during a table outage. Bounded by
+ * bytes; peers that need older rows get the full version.
  */
 import type { VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 
 const MAX_BYTES = 1024 * 1024
 
-/** A run of version rows without gaps. */
+/** Consecutive version rows. */
 export class RecentRows {
   #rows: VersionRow[] = []
   #sizes: number[] = []
   #bytes = 0
 
-  /**
-   * Adds rows that follow each other; rows known already are skipped, a gap begins anew.
-   * @param rows - rows in order of version
-   */
+  /** Adds consecutive rows; rows already present are skipped, and a gap discards the earlier rows. */
   add (rows: readonly VersionRow[]): void {
     for (const row of rows) {
       const last = this.#rows.at(-1)?.version
@@ -30,7 +27,7 @@
   }
 
   /**
-   * The rows between two versions, if all are here.
+   * The rows between two versions; undefined unless all are cached.
    * @param after - the version before the first
    * @param upTo - the last version
    */
--- a/packages/rosemaryspread/src/placement/placementDriver.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Placement sends orders only under a lease that is confirmed right before each order.
+ */
 import { expect } from 'chai'
 import { Just, Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -14,9 +17,9 @@
 class Setup {
   ms = 1_000
   fencing: number | undefined = 3
-  /** Called while a report is on its way. */
+  /** Called while a report request is in flight. */
   onLoad: () => void = () => {}
-  /** Called while an order is on its way. */
+  /** Called while an order is in flight. */
   onOrder: () => void = () => {}
   readonly orders: EngineOrder[] = []
   readonly events: string[] = []
@@ -64,35 +67,35 @@
 }
 
 describe('placement driver', () => {
-  it('tells its fencing number, then orders what is missing, each with a log line', async () => {
+  it('announces its fencing number, then orders missing copies, and logs each order', async () => {
     const setup = new Setup()
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
     expect(setup.events).to.deep.equal(['placed', 'placed'])
   })
 
-  it('does nothing without the lease', async () => {
+  it('sends nothing without the lease', async () => {
     const setup = new Setup()
     setup.fencing = undefined
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal([])
   })
 
-  it('sends no order when the lease ended while it waited for reports', async () => {
+  it('sends no order when the lease is lost during a wait for reports', async () => {
     const setup = new Setup()
     setup.onLoad = () => { setup.fencing = undefined }
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal([])
   })
 
-  it('sends one in that case if the lease is not asked after the wait (counter-example)', async () => {
+  it('sends an order under a lost lease if the lease is not checked after the wait (counter-example)', async () => {
     const setup = new Setup()
     setup.onLoad = () => { setup.fencing = undefined }
     await setup.tick(setup.driver({ ...setup.lease, mayAct: () => true, fencing: () => Right(3) }))
     expect(setup.kinds).to.include('load 3')
   })
 
-  it('goes on after the lease could not be shown for a moment, under the same number', async () => {
+  it('resumes under the same fencing number after the lease was briefly unconfirmed', async () => {
     const setup = new Setup()
     let isShown = true
     const driver = setup.driver({ mayAct: () => isShown, fencing: () => Right(3) })
@@ -105,7 +108,7 @@
     expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
   })
 
-  it('begins anew under another number', async () => {
+  it('repeats announcements and orders under a new fencing number', async () => {
     const setup = new Setup()
     const driver = setup.driver()
     await setup.tick(driver)
@@ -119,13 +122,13 @@
     ['done', Right(undefined), { kind: 'done' }],
     ['old fencing number', Left(new Failure('leaseLost', '')), { kind: 'oldFencing' }],
     ['no connection', Left(new Failure('runnerUnreachable', '', { ran: 'no' })), { kind: 'notSent' }],
-    ['lost answer', Left(new Failure('runnerUnreachable', '', { ran: 'unknown' })), { kind: 'unknown' }],
-    ['weight store over its rate', Left(new Failure('runnerRefused', 'status 429', { retryAfterMs: 7_000 })), { kind: 'refused', retryAfterMs: 7_000 }],
+    ['lost response', Left(new Failure('runnerUnreachable', '', { ran: 'unknown' })), { kind: 'unknown' }],
+    ['weight store over its rate limit', Left(new Failure('runnerRefused', 'status 429', { retryAfterMs: 7_000 })), { kind: 'refused', retryAfterMs: 7_000 }],
     ['no such weights', Left(new Failure('runnerRefused', 'status 404')), { kind: 'refused' }],
-    ['fault of the engine', Left(new Failure('runnerRefused', 'status 500', { ran: 'unknown' })), { kind: 'unknown' }]
+    ['engine fault', Left(new Failure('runnerRefused', 'status 500', { ran: 'unknown' })), { kind: 'unknown' }]
   ]
   for (const [name, answer, outcome] of outcomes) {
-    it(`understands: ${name}`, () => {
+    it(`maps to an outcome: ${name}`, () => {
       expect(outcomeOf(answer)).to.deep.equal(outcome)
     })
   }
--- a/packages/rosemaryspread/src/placement/placementDriver.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.ts
@@ -1,7 +1,6 @@
 /**
- * Carries out placement while this VM holds its lease: asks runners for their reports, each in its turn, feeds
- * the planner and sends its orders. Whether the lease is held is asked anew right before each
- * order, as every wait before may have been long.
+ * Executes placement while this VM holds its lease: polls runners for load reports, passes them to the planner and
+ * sends its orders. The lease is checked again right before each order, as any earlier wait may have outlasted it.
  */
 import type { Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -13,15 +12,15 @@
 import type { CurrentConfig } from '../completion/completionPorts.js'
 import { ReportTurns } from './reportTurns.js'
 
-/** The part of the lease that placement needs. */
+/** The placement lease. */
 export interface PlacementLease {
-  /** Whether orders may be given at this moment. */
+  /** Whether orders may be sent at this moment. */
   mayAct (): boolean
-  /** Fencing number while the lease is held. */
+  /** Fencing number; a failure while the lease is not held. */
   fencing (): Either<Failure, number>
 }
 
-/** What placement is composed of. */
+/** Dependencies of {@link PlacementDriver}. */
 export interface PlacementDeps {
   readonly planner: PlacementDecider
   readonly lease: PlacementLease
@@ -31,17 +30,16 @@
   readonly log: EventLog
 }
 
-/** Placement of one VM. */
+/** Placement driver of one VM. */
 export class PlacementDriver {
   private fencing: number | undefined
   private config: FleetConfig | undefined
   private readonly turns = new ReportTurns()
   private readonly open = new Set<Promise<void>>()
 
-  /** @param deps - the planner and what it works on */
   constructor (private readonly deps: PlacementDeps) {}
 
-  /** One round: follows lease and configuration, asks for reports, and sends what is due. */
+  /** Runs one round: syncs lease and configuration, polls reports and sends the orders that are due. */
   async tick (): Promise<void> {
     this.followLease()
     if (this.fencing === undefined) return
@@ -50,7 +48,7 @@
     if (this.holds()) this.feed({ kind: 'tick' })
   }
 
-  /** Resolves when no order is on the wire. */
+  /** Resolves once no order awaits a response. */
   async idle (): Promise<void> {
     while (this.open.size > 0) await Promise.all(this.open)
   }
@@ -74,7 +72,7 @@
     return this.fencing !== undefined && this.deps.lease.mayAct()
   }
 
-  /** Asks those whose turn it is; a runner that does not answer holds up no other round. */
+  /** Polls the runners scheduled for this round; an unresponsive runner does not delay later rounds. */
   private async poll (): Promise<void> {
     if (!this.holds()) return
     const runners = this.config?.runners ?? {}
@@ -120,10 +118,7 @@
   }
 }
 
-/**
- * What an answer says about an order.
- * @param answer - of the engine client
- */
+/** Maps a response of the engine client to the outcome of an order. */
 export function outcomeOf (answer: Either<Failure, void>): PlacementOutcome {
   return answer.caseOf<PlacementOutcome>({
     Right: () => ({ kind: 'done' }),
--- a/packages/rosemaryspread/src/placement/placementReports.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementReports.spec.ts
@@ -1,3 +1,7 @@
+/**
+ * Polls of runners are bounded per round, and the longer interval in large fleets does not make runners that
+ * respond count as down.
+ */
 import { setImmediate } from 'node:timers/promises'
 import { expect } from 'chai'
 import { Just, Left, Right, type Either } from 'purify-ts'
@@ -12,7 +16,7 @@
 const HANG_MS = 3_000
 const MODELS = 12
 
-/** Copies of each model; half the runners are spare. */
+/** Copies of each model; half of the runners stay spare. */
 function copiesOf (runners: number): number {
   return Math.ceil(runners / MODELS / 2)
 }
@@ -25,12 +29,12 @@
   }
 }
 
-/** Runners in virtual time, one tick a second; those that are dead hang until the call is given up. */
+/** Runners in virtual time with one tick a second; calls to dead runners hang until their timeout. */
 class Fleet {
   ms = 0
   callsOfTick = 0
   mostCalls = 0
-  /** Longest time between two reports of a runner that is alive. */
+  /** Longest time between two reports of a live runner. */
   longestGapMs = 0
   readonly dead = new Set<string>()
   readonly loads: string[] = []
@@ -85,7 +89,7 @@
   }
 }
 
-describe('reports of placement', () => {
+describe('placement reports', () => {
   const cases = [
     { runners: 12, dead: 0, calls: 12, gapMs: 1_000 },
     { runners: 12, dead: 4, calls: 12, gapMs: 1_000 },
@@ -94,7 +98,7 @@
     { runners: 600, dead: 200, calls: 16, gapMs: 50_000 }
   ]
   for (const { runners, dead, calls, gapMs } of cases) {
-    it(`${runners} runners, ${dead} of them dead: a bounded number of calls a round, and each in its turn`, async () => {
+    it(`${runners} runners, ${dead} of them dead: bounded calls a round, and every live runner polled in rotation`, async () => {
       const fleet = new Fleet(runners, { handle: () => [] })
       for (let index = 0; index < dead; index++) fleet.dead.add(`10.0.0.1:${3 * index + 1}`)
       await fleet.run(3 * Math.ceil(runners / 12) + 20)
@@ -103,7 +107,7 @@
     })
   }
 
-  /** Loads ordered while all live, and until the copy of a dead runner is replaced. */
+  /** Loads ordered while all runners live, and until the copy of a dead runner is replaced. */
   async function replaced (planner: PlacementDecider): Promise<object> {
     const fleet = new Fleet(240, planner)
     await fleet.run(45)
@@ -114,16 +118,16 @@
     return { before, loads: fleet.loads.slice(before), inTime: fleet.ms - diedAt <= 35_000 }
   }
 
-  it('a runner that dies is replaced within 15 s and a round, and one that waits for its turn is not', async () => {
+  it('replaces a dead runner within 15 s and one rotation, but no live runner that waits for its poll', async () => {
     expect(await replaced(new PlacementPlanner())).to.deep.equal({ before: 0, loads: ['m0'], inTime: true })
   })
 
-  it('a planner that counts silence as if all were asked each second takes live runners for dead (counter-example)', async () => {
+  it('a planner that expects a report every second counts live runners as dead (counter-example)', async () => {
     const weak = new PlacementPlanner({ ...defaultPlacementLimits, downAfterMs: defaultPlacementLimits.downAfterMs - 19_000 })
     expect(await replaced(weak)).to.not.have.property('before', 0)
   })
 
-  it('keeps the longer time until what was heard before has been heard anew', () => {
+  it('applies the longer interval until reports requested at it have been renewed', () => {
     const pace = new ReportPace()
     const at = (ms: number): { mono: number, wall: number } => ({ mono: ms, wall: ms })
     pace.configure(600, at(0))
--- a/packages/rosemaryspread/src/placement/reportTurns.ts
+++ b/packages/rosemaryspread/src/placement/reportTurns.ts
@@ -1,21 +1,21 @@
 /**
- * Whom placement asks for a report next. Each runner has its turn, the one first that was not
- * asked for longest. A few more are asked out of turn: those that got an order, so that its effect is
- * seen soon, and those that did not answer, so that one lost answer is not taken for a failure.
+ * Selects the runners to poll for a load report, least recently polled first. A few more are polled early: runners
+ * that got an order, to see its effect soon, and runners that missed a poll, so that one lost response is not
+ * taken for a failure.
  */
 import { REPORTS_A_ROUND } from '@rosemaryspread/decisions/placement/reportPace.js'
 
-/** Runners asked out of turn in one round. */
+/** Runners polled early in one round. */
 const EXTRA_A_ROUND = 4
-/** Milliseconds after the answer to an order for which a runner is asked out of turn; as long as its effect is awaited. */
+/** How long a runner is polled early after its response to an order; as long as the effect is awaited (`confirmMs`). */
 const ORDERED_MS = 15_000
-/** Answers in a row that a runner may miss before it is asked in its turn only. */
+/** Consecutive missed responses after which a runner is polled by rotation only. */
 const MOST_MISSED = 8
 
-/** Turns of the runners; times in monotonic milliseconds. */
+/** Schedules polls of runners; times in monotonic milliseconds. */
 export class ReportTurns {
   private round = 0
-  /** Round in which a runner was asked last. */
+  /** Round of the last poll by runner. */
   private readonly asked = new Map<string, number>()
   private readonly missed = new Map<string, number>()
   private readonly orderedAt = new Map<string, number>()
@@ -23,9 +23,8 @@
 
   /**
    * Starts a round.
-   * @param runners - all runners that may be asked
-   * @param mono - present time
-   * @returns the runners to ask, which wait for their answer from now on
+   * @param runners - all runners that may be polled
+   * @returns the runners to poll; they count as waiting until {@link ended}
    */
   next (runners: readonly string[], mono: number): readonly string[] {
     this.round += 1
@@ -43,22 +42,14 @@
     return chosen
   }
 
-  /**
-   * Notes the end of an ask.
-   * @param runner - the runner
-   * @param isAnswered - whether it answered
-   */
+  /** Records the end of a poll. */
   ended (runner: string, isAnswered: boolean): void {
     this.waiting.delete(runner)
     if (isAnswered) this.missed.delete(runner)
     else this.missed.set(runner, this.missedBy(runner) + 1)
   }
 
-  /**
-   * Notes the answer to an order.
-   * @param runner - the runner
-   * @param mono - present time
-   */
+  /** Records the response to an order. */
   ordered (runner: string, mono: number): void {
     this.orderedAt.set(runner, mono)
   }
--- a/packages/rosemaryspread/src/settings/settingsLoader.spec.ts
+++ b/packages/rosemaryspread/src/settings/settingsLoader.spec.ts
@@ -1,5 +1,5 @@
 /**
- * A settings file with mistakes gets each of them named.
+ * Every error in a settings file is reported.
  */
 import { expect } from 'chai'
 import { failureOf } from '@rosemaryspread/decisions/codes/failure.js'
@@ -15,25 +15,25 @@
 `
 
 const cases = [
-  { name: 'no mistakes', text: good, errors: [] },
-  { name: 'an unknown key', text: `${good}colour: red\n`, errors: ['colour: there is no such setting'] },
-  { name: 'a value outside its list', text: `${good}logLevel: loud\n`, errors: ['logLevel: use one of debug, info, warn, error'] },
+  { name: 'no errors', text: good, errors: [] },
+  { name: 'an unknown key', text: `${good}colour: red\n`, errors: ['colour: unknown setting'] },
+  { name: 'a value that is not one of the options', text: `${good}logLevel: loud\n`, errors: ['logLevel: use one of debug, info, warn, error'] },
   { name: 'a number out of range', text: `${good}drainTimeoutMs: -1\n`, errors: [/^drainTimeoutMs: /] },
   { name: 'a wrong type', text: good.replace('quito-1', '[1]'), errors: [/^vm: /] },
   { name: 'an address without a port', text: good.replace('127.0.0.1:7101', 'localhost'), errors: ['listen.callers: use IPv4:port, such as 10.0.0.4:7000'] },
-  { name: 'an address with a number above 255', text: good.replace('127.0.0.1:7201', '999.0.0.1:7201'), errors: [/^listen\.operators: use IPv4:port/] },
+  { name: 'an address with an octet above 255', text: good.replace('127.0.0.1:7201', '999.0.0.1:7201'), errors: [/^listen\.operators: use IPv4:port/] },
   { name: 'a port above 65535', text: good.replace('127.0.0.1:7301', '127.0.0.1:99999'), errors: [/^listen\.peers: use IPv4:port/] },
   {
-    name: 'three mistakes at once',
+    name: 'three errors at once',
     text: `${good.replace('127.0.0.1:7301', 'here').replace('domain: quito-centro\n', '')}budgets: { flush: 3 }\n`,
-    errors: [/^domain: /, /^listen\.peers: use IPv4:port/, 'budgets.flush: there is no such setting']
+    errors: [/^domain: /, /^listen\.peers: use IPv4:port/, 'budgets.flush: unknown setting']
   },
   { name: 'broken YAML', text: 'vm: [', errors: [/.+/] }
 ]
 
 describe('settings', () => {
   for (const { name, text, errors } of cases) {
-    it(`names ${name}`, () => {
+    it(`reports ${name}`, () => {
       const found = failureOf(parseSettings(text))?.errors ?? []
       expect(found).to.have.length(errors.length)
       errors.forEach((expected, index) => {
--- a/packages/rosemaryspread/src/settings/settingsLoader.ts
+++ b/packages/rosemaryspread/src/settings/settingsLoader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a settings file and names every mistake in it at once.
+ * Loads a settings file and reports all of its errors at once.
  */
 import { readFile } from 'node:fs/promises'
 import { Left, Right, type Either } from 'purify-ts'
@@ -9,19 +9,15 @@
 import { settingsSchema, type Settings } from './settingsSchema.js'
 
 /**
- * Reads and checks a settings file.
  * @param file - path of a YAML file
  */
 export async function loadSettings (file: string): Promise<Either<Failure, Settings>> {
   const text = await readFile(file, 'utf8').catch(() => undefined)
-  if (text === undefined) return Left(new Failure('settingsInvalid', `${file} cannot be read`))
+  if (text === undefined) return Left(new Failure('settingsInvalid', `settings file ${file} cannot be read`))
   return parseSettings(text)
 }
 
-/**
- * Checks the text of a settings file.
- * @param text - YAML
- */
+/** Parses and validates the YAML text of a settings file. */
 export function parseSettings (text: string): Either<Failure, Settings> {
   const document = parseDocument(text)
   if (document.errors.length > 0) {
@@ -32,13 +28,13 @@
 }
 
 function invalid (errors: readonly string[]): Failure {
-  return new Failure('settingsInvalid', `${errors.length} ${errors.length === 1 ? 'mistake' : 'mistakes'} in the settings`, { errors })
+  return new Failure('settingsInvalid', `${errors.length} ${errors.length === 1 ? 'error' : 'errors'} in the settings`, { errors })
 }
 
 function describeIssue (issue: z.core.$ZodIssue): string[] {
   const path = issue.path.join('.')
   if (issue.code === 'unrecognized_keys') {
-    return issue.keys.map(key => `${path === '' ? key : `${path}.${key}`}: there is no such setting`)
+    return issue.keys.map(key => `${path === '' ? key : `${path}.${key}`}: unknown setting`)
   }
   if (issue.code === 'invalid_value') {
     return [`${path}: use one of ${issue.values.join(', ')}`]
--- a/packages/rosemaryspread/src/settings/settingsSchema.ts
+++ b/packages/rosemaryspread/src/settings/settingsSchema.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of one VM: what a process must know before it can reach anything else. One schema is
- * the source of the types, of the defaults and of the checks; docs/SETTINGS.md describes each.
+ * Schema of the settings of one VM, which it needs before it can reach other services; types and defaults are
+ * inferred from it. docs/SETTINGS.md describes each setting.
  */
 import { isIPv4 } from 'node:net'
 import * as z from 'zod'
@@ -14,13 +14,13 @@
 
 /** Settings of one VM; times in milliseconds, sizes in bytes. */
 export const settingsSchema = z.strictObject({
-  /** Name of the VM; lasts over restarts. */
+  /** Name of the VM; the same across restarts. */
   vm: name,
-  /** Failure domain in which the VM runs. */
+  /** Failure domain of the VM. */
   domain: name,
   region: name,
   listen: z.strictObject({ callers: ipPort, operators: ipPort, peers: ipPort }),
-  /** Address told to other VMs and callers, where it differs from the one listened on. */
+  /** Addresses advertised to other VMs and callers, where they differ from those listened on. */
   advertise: z.strictObject({ callers: ipPort.optional(), operators: ipPort.optional(), peers: ipPort.optional() }).prefault({}),
   platform: z.strictObject({
     table: baseUrl,
@@ -31,7 +31,7 @@
   }),
   /** Fleet keys of at least 16 characters; the first signs, all are accepted. */
   peerKeys: z.array(z.string().min(16, 'use at least 16 characters')).min(1).max(4),
-  /** Hex SHA-256 of the key of the first operator, valid while the configuration names no operator. */
+  /** Hex SHA-256 of the key of the first operator, valid while the configuration has no operator. */
   bootstrapOperatorKeyHash: z.string().regex(/^[0-9a-f]{64}$/, 'use a hex SHA-256').optional(),
   runners: z.strictObject({
     connectTimeoutMs: milliseconds.max(60_000).default(1_000),
@@ -44,14 +44,13 @@
     reserveTimeoutMs: milliseconds.max(60_000).default(3_000)
   }).prefault({}),
   config: z.strictObject({ pollMs: milliseconds.max(10_000).default(1_500) }).prefault({}),
-  /** How long a stopping VM goes on answering callers who do not know yet, with refusals. */
+  /** How long a stopping VM still refuses requests of callers that have not noticed the shutdown yet. */
   drainLingerMs: milliseconds.max(60_000).default(1_000),
   drainTimeoutMs: milliseconds.max(3_600_000).default(120_000),
   maxBodyBytes: z.number().int().positive().max(64 * 1024 * 1024).default(4 * 1024 * 1024),
   logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info')
 })
 
-/** Settings of one VM with all defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>
 
 function isIpPort (text: string): boolean {
