--- a/packages/decisions/src/config/configPatch.spec.ts
+++ b/packages/decisions/src/config/configPatch.spec.ts
@@ -53,7 +53,7 @@
     { name: 'too large', ops: [add('/teams/t2', team({ displayName: 'x'.repeat(200_000) }))], code: 'bodyTooLarge', errors: [] }
   ]
   for (const { name, ops, code, errors } of refused) {
-    it(`rejects: ${name}`, () => {
+    it(`refuses: ${name}`, () => {
       const failure = preparePatch(base, ops, 0).swap().unsafeCoerce()
       expect(failure.code).to.equal(code)
       expect(failure.errors).to.have.length(errors.length)
@@ -102,7 +102,7 @@
     { name: 'a changed delta', rows: [{ ...rows[0]!, delta: rows[1]!.delta }], version: undefined }
   ]
   for (const { name, rows, version } of cases) {
-    it(`${name}: ${version === undefined ? 'rejected' : 'applied'}`, () => {
+    it(`${name}: ${version === undefined ? 'refused' : 'applied'}`, () => {
       expect(replayRows(base, rows).map(held => held.version).toMaybe().extract()).to.equal(version)
     })
   }
--- a/packages/decisions/src/config/configRows.ts
+++ b/packages/decisions/src/config/configRows.ts
@@ -68,7 +68,7 @@
 export const wholeConfigSchema = versionMarkSchema.extend({ document: documentSchema })
 export type WholeConfig = z.infer<typeof wholeConfigSchema>
 
-/** Document of version 0. It must never change, as every replay starts from it. */
+/** Document of version 0, which version 1 patches. It must never change, as every replay starts from it. */
 export const firstDocument: ConfigDocument = { teams: {}, models: {}, runners: {}, services: {}, operators: {}, limits: {} }
 
 /** Key of a version row; sorts by version. */
