--- a/packages/decisions/src/placement/domainQuotas.ts
+++ b/packages/decisions/src/placement/domainQuotas.ts
@@ -1,6 +1,6 @@
 /**
  * Distributes the copies of a model over failure domains, as evenly as their runners allow. Ties prefer domains
- * that already hold copies, so that fewer models move.
+ * that already hold copies.
  */
 
 /** Runners of one failure domain that are eligible for a model. */
