--- a/packages/decisions/src/config/configCheck.ts
+++ b/packages/decisions/src/config/configCheck.ts
@@ -8,7 +8,7 @@
 import { Failure } from '../codes/failure.js'
 import { fleetConfigSchema, type FleetConfig } from './configSchema.js'
 import { canonicalJson, isObject } from './configDigest.js'
-import { crossErrors } from './configReferences.js'
+import { crossEntryErrors } from './configReferences.js'
 import type { ConfigDocument } from './configRows.js'
 
 /** Errors listed in one failure; any more are only counted. */
@@ -26,22 +26,22 @@
 } as const
 
 /** A valid entry and the id that it was checked under. */
-interface CheckedEntry {
+interface CachedEntry {
   readonly id: string
   readonly checked: unknown
 }
 
 /** Checked entries by schema and source object. */
-const checkedEntries = new WeakMap<z.ZodType, WeakMap<object, CheckedEntry>>()
+const checkedEntryCache = new WeakMap<z.ZodType, WeakMap<object, CachedEntry>>()
 
 /**
  * Validates a patched document: its schema and the references between its entries.
  * @returns as {@link parseConfig}
  */
 export function checkConfig (document: ConfigDocument): Either<Failure, FleetConfig> {
-  return readConfig(document).chain(config => {
-    const errors = crossErrors(config)
-    return errors.length > 0 ? Left(invalid(errors)) : Right(config)
+  return parseConfig(document).chain(config => {
+    const errors = crossEntryErrors(config)
+    return errors.length > 0 ? Left(invalidConfig(errors)) : Right(config)
   })
 }
 
@@ -51,7 +51,7 @@
  * document's own objects, now frozen. Collections have no prototype.
  * @returns the configuration, or `configInvalid` with every error as `/path: message`
  */
-export function readConfig (document: ConfigDocument): Either<Failure, FleetConfig> {
+export function parseConfig (document: ConfigDocument): Either<Failure, FleetConfig> {
   const errors: string[] = []
   for (const name of Object.keys(document)) {
     if (!Object.hasOwn(shape, name)) errors.push(`/${escapePointer(name)}: unknown member`)
@@ -60,7 +60,7 @@
     [name, checkCollection(name, schema, document[name], errors)] as const)
   const limits = shape.limits.safeParse(document.limits)
   if (!limits.success) errors.push(...issueLines('/limits', limits.error))
-  if (errors.length > 0) return Left(invalid(errors))
+  if (errors.length > 0) return Left(invalidConfig(errors))
   return Right(Object.freeze({ ...Object.fromEntries(collections), limits: freezeDeep(limits.data) }) as FleetConfig)
 }
 
@@ -71,11 +71,11 @@
     errors.push(`/${name}: expected an object`)
     return entries
   }
-  const memory = checkedBy(schema)
+  const cache = cacheOfSchema(schema)
   for (const id of Object.keys(section)) {
     const raw = section[id]
-    const known = isObject(raw) ? memory.get(raw) : undefined
-    if (known?.id === id) entries[id] = known.checked
+    const cached = isObject(raw) ? cache.get(raw) : undefined
+    if (cached?.id === id) entries[id] = cached.checked
     else entries[id] = checkEntry(name, id, schema, raw, errors)
   }
   return Object.freeze(entries)
@@ -89,29 +89,29 @@
   if (!key.success) errors.push(...issueLines(path, key.error))
   if (!value.success) errors.push(...issueLines(path, value.error))
   if (!key.success || !value.success) return undefined
-  const same = canonicalJson(raw) === canonicalJson(value.data)
-  const checked = freezeDeep(same ? raw : value.data)
-  checkedBy(schema).set(freezeDeep(raw) as object, { id, checked })
+  const isUnchanged = canonicalJson(raw) === canonicalJson(value.data)
+  const checked = freezeDeep(isUnchanged ? raw : value.data)
+  cacheOfSchema(schema).set(freezeDeep(raw) as object, { id, checked })
   return checked
 }
 
-function checkedBy (schema: z.ZodType): WeakMap<object, CheckedEntry> {
-  const memory = checkedEntries.get(schema) ?? new WeakMap<object, CheckedEntry>()
-  checkedEntries.set(schema, memory)
-  return memory
+function cacheOfSchema (schema: z.ZodType): WeakMap<object, CachedEntry> {
+  const cache = checkedEntryCache.get(schema) ?? new WeakMap<object, CachedEntry>()
+  checkedEntryCache.set(schema, cache)
+  return cache
 }
 
 function issueLines (path: string, error: z.ZodError): string[] {
   return error.issues.map(issue => {
-    const rest = issue.path.map(part => `/${escapePointer(String(part))}`).join('')
-    return `${path}${rest}: ${issue.message}`
+    const suffix = issue.path.map(part => `/${escapePointer(String(part))}`).join('')
+    return `${path}${suffix}: ${issue.message}`
   })
 }
 
-function invalid (errors: readonly string[]): Failure {
-  const named = errors.slice(0, MAX_ERRORS)
-  const detail = errors.length > named.length ? `${errors.length} errors, the first ${MAX_ERRORS} are listed` : `${errors.length} error(s): ${named[0]}`
-  return new Failure('configInvalid', detail, { errors: named })
+function invalidConfig (errors: readonly string[]): Failure {
+  const listed = errors.slice(0, MAX_ERRORS)
+  const detail = errors.length > listed.length ? `${errors.length} errors, the first ${MAX_ERRORS} are listed` : `${errors.length} error(s): ${listed[0]}`
+  return new Failure('configInvalid', detail, { errors: listed })
 }
 
 function freezeDeep<T> (value: T): T {
@@ -121,6 +121,6 @@
 }
 
 /** Escapes one segment of a JSON pointer. */
-export function escapePointer (part: string): string {
-  return part.replaceAll('~', '~0').replaceAll('/', '~1')
+export function escapePointer (segment: string): string {
+  return segment.replaceAll('~', '~0').replaceAll('/', '~1')
 }
--- a/packages/decisions/src/config/configDigest.ts
+++ b/packages/decisions/src/config/configDigest.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto'
 import type { ConfigDocument } from './configRows.js'
 
-const remembered = new WeakMap<object, string>()
+const entryDigests = new WeakMap<object, string>()
 
 /** JSON with the members of every object sorted by name. */
 export function canonicalJson (value: unknown): string {
@@ -38,10 +38,10 @@
 
 function entryDigest (entry: unknown): string {
   if (typeof entry !== 'object' || entry === null) return digestOf(entry)
-  const known = remembered.get(entry)
-  if (known !== undefined) return known
+  const cached = entryDigests.get(entry)
+  if (cached !== undefined) return cached
   const digest = digestOf(entry)
-  if (Object.isFrozen(entry)) remembered.set(entry, digest)
+  if (Object.isFrozen(entry)) entryDigests.set(entry, digest)
   return digest
 }
 
--- a/packages/decisions/src/config/configPatch.spec.ts
+++ b/packages/decisions/src/config/configPatch.spec.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { canonicalJson, documentDigest } from './configDigest.js'
-import { firstConfig, holdDocument, preparePatch, replayRows, type HeldConfig, type PreparedPatch } from './configPatch.js'
+import { initialConfig, verifyDocument, preparePatch, replayRows, type VerifiedConfig, type PreparedPatch } from './configPatch.js'
 import type { VersionRow } from './configRows.js'
 
 type Ops = readonly unknown[]
@@ -14,8 +14,8 @@
 const team = (extra: object = {}): object => ({ displayName: 'T', budget: 'b', ...extra })
 const runner = (address: string, extra: object = {}): object => ({ address, domain: 'd1', ...extra })
 
-const prepare = (base: HeldConfig, ops: Ops): PreparedPatch => preparePatch(base, ops, 0).unsafeCoerce()
-const base = prepare(firstConfig(), [
+const prepare = (base: VerifiedConfig, ops: Ops): PreparedPatch => preparePatch(base, ops, 0).unsafeCoerce()
+const base = prepare(initialConfig(), [
   add('/models/m1', {}),
   add('/services/s1', { runners: { a1: runner('10.0.0.9:80') } }),
   add('/teams/t1', team({ models: ['m1'], services: ['s1'], keyHashes: [key('a')] })),
@@ -75,7 +75,7 @@
       const prepared = prepare(base, ops)
       expect(path.reduce<unknown>((at, part) => (at as Record<string, unknown>)[part], prepared.next.config)).to.equal(value)
       expect(canonicalJson(base.document)).to.equal(before)
-      const copy = holdDocument({ ...base, document: JSON.parse(before) }).unsafeCoerce()
+      const copy = verifyDocument({ ...base, document: JSON.parse(before) }).unsafeCoerce()
       const replayed = replayRows(copy, [rowOf(prepared)]).unsafeCoerce()
       expect(canonicalJson(replayed.config)).to.equal(canonicalJson(prepared.next.config))
     })
--- a/packages/decisions/src/config/configPatch.ts
+++ b/packages/decisions/src/config/configPatch.ts
@@ -7,16 +7,16 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '../codes/failure.js'
 import type { FleetConfig } from './configSchema.js'
-import { stampServing } from './configServing.js'
-import { checkConfig, readConfig } from './configCheck.js'
+import { stampServesSince } from './configServing.js'
+import { checkConfig, parseConfig } from './configCheck.js'
 import { documentDigest, isObject } from './configDigest.js'
-import { firstDocument, MAX_PATCH_BYTES, operationSchema, type ConfigDocument, type PatchOperation, type VersionRow } from './configRows.js'
+import { initialDocument, MAX_PATCH_BYTES, operationSchema, type ConfigDocument, type PatchOperation, type VersionRow } from './configRows.js'
 
 /** Path segments that lead to a prototype. */
-const forbiddenParts = new Set(['__proto__', 'constructor', 'prototype'])
+const forbiddenNames = new Set(['__proto__', 'constructor', 'prototype'])
 
 /** A verified version: document, digest and parsed configuration. */
-export interface HeldConfig {
+export interface VerifiedConfig {
   readonly version: number
   readonly digest: string
   readonly document: ConfigDocument
@@ -28,13 +28,13 @@
   readonly patch: readonly PatchOperation[]
   /** Difference between the two documents; replaying applies it. */
   readonly delta: readonly PatchOperation[]
-  readonly next: HeldConfig
+  readonly next: VerifiedConfig
 }
 
 /** Version 0, on which the first patch of every fleet is based. */
-export function firstConfig (): HeldConfig {
-  return readConfig(firstDocument)
-    .map(config => ({ version: 0, digest: documentDigest(firstDocument), document: firstDocument, config }))
+export function initialConfig (): VerifiedConfig {
+  return parseConfig(initialDocument)
+    .map(config => ({ version: 0, digest: documentDigest(initialDocument), document: initialDocument, config }))
     .unsafeCoerce()
 }
 
@@ -45,18 +45,18 @@
  * @param at - wall milliseconds of the patch
  * @returns `patchInvalid` when an operation cannot be applied, `bodyTooLarge`, or `configInvalid`
  */
-export function preparePatch (base: HeldConfig, operations: readonly unknown[], at: number): Either<Failure, PreparedPatch> {
+export function preparePatch (base: VerifiedConfig, operations: readonly unknown[], at: number): Either<Failure, PreparedPatch> {
   return readOperations(operations)
-    .chain(patch => withinBytes('patch', patch))
+    .chain(patch => checkSize('patch', patch))
     .chain(patch => applyOperations(base.config, patch)
       .chain(patched => checkConfig(patched))
-      .chain(config => prepared(base, patch, stampServing(base.config, config, at))))
+      .chain(config => buildPreparedPatch(base, patch, stampServesSince(base.config, config, at))))
 }
 
-function prepared (base: HeldConfig, patch: readonly PatchOperation[], config: FleetConfig): Either<Failure, PreparedPatch> {
+function buildPreparedPatch (base: VerifiedConfig, patch: readonly PatchOperation[], config: FleetConfig): Either<Failure, PreparedPatch> {
   const delta = jsonPatch.compare(base.document, config) as PatchOperation[]
   const next = { version: base.version + 1, digest: documentDigest(config), document: config, config }
-  return withinBytes('difference', delta).map(() => ({ patch, delta, next }))
+  return checkSize('difference', delta).map(() => ({ patch, delta, next }))
 }
 
 /**
@@ -64,7 +64,7 @@
  * @param rows - the rows that follow `base`, without a gap
  * @returns `configInvalid` when a row is missing or the digest of the last one does not match
  */
-export function replayRows (base: HeldConfig, rows: readonly VersionRow[]): Either<Failure, HeldConfig> {
+export function replayRows (base: VerifiedConfig, rows: readonly VersionRow[]): Either<Failure, VerifiedConfig> {
   const last = rows.at(-1)
   if (last === undefined) return Right(base)
   let document = base.document
@@ -74,16 +74,16 @@
     if (applied.isLeft()) return applied
     document = applied.extract() as ConfigDocument
   }
-  return holdDocument({ version: last.version, digest: last.digest, document })
+  return verifyDocument({ version: last.version, digest: last.digest, document })
 }
 
 /**
  * Verifies a full document against its digest and parses it.
  * @returns `configInvalid` when the digest does not match or the document does not follow the schema
  */
-export function holdDocument (whole: { readonly version: number, readonly digest: string, readonly document: ConfigDocument }): Either<Failure, HeldConfig> {
-  const { version, digest, document } = whole
-  return readConfig(document).chain(config => documentDigest(document) === digest
+export function verifyDocument (fullConfig: { readonly version: number, readonly digest: string, readonly document: ConfigDocument }): Either<Failure, VerifiedConfig> {
+  const { version, digest, document } = fullConfig
+  return parseConfig(document).chain(config => documentDigest(document) === digest
     ? Right({ version, digest, document, config })
     : Left(new Failure('configInvalid', `version ${version} does not have the digest ${digest}`)))
 }
@@ -110,52 +110,52 @@
   const malformed = results.flatMap((result, index) => result.success
     ? []
     : result.error.issues.map(issue => `operation ${index}${issue.path.map(part => `/${String(part)}`).join('')}: ${issue.message}`))
-  const errors = [...malformed, ...operations.flatMap(forbiddenErrors)]
+  const errors = [...malformed, ...operations.flatMap(forbiddenNameErrors)]
   if (errors.length > 0) return Left(new Failure('patchInvalid', errors[0] ?? '', { errors }))
   return Right(results.flatMap(result => result.success ? [result.data] : []))
 }
 
-function withinBytes<T> (what: string, value: T): Either<Failure, T> {
+function checkSize<T> (what: string, value: T): Either<Failure, T> {
   const bytes = Buffer.byteLength(JSON.stringify(value))
   if (bytes <= MAX_PATCH_BYTES) return Right(value)
   return Left(new Failure('bodyTooLarge', `the ${what} has ${bytes} bytes, the limit is ${MAX_PATCH_BYTES}; split the patch`))
 }
 
 /** Checks operations as received, because schema parsing silently drops such members. */
-function forbiddenErrors (operation: unknown, index: number): string[] {
+function forbiddenNameErrors (operation: unknown, index: number): string[] {
   if (!isObject(operation)) return []
   const { path, from, value } = operation
-  const parts = [path, from].flatMap(pointer => typeof pointer === 'string' ? pathParts(pointer) : [])
+  const parts = [path, from].flatMap(pointer => typeof pointer === 'string' ? pathSegments(pointer) : [])
   return [...parts, ...memberNames(value)]
-    .filter(part => forbiddenParts.has(part))
+    .filter(part => forbiddenNames.has(part))
     .map(part => `operation ${index} ${String(path)}: the name '${part}' is not allowed`)
 }
 
 function memberNames (value: unknown): string[] {
   if (typeof value !== 'object' || value === null) return []
-  const own = Array.isArray(value) ? [] : Object.keys(value)
-  return [...own, ...Object.values(value).flatMap(memberNames)]
+  const names = Array.isArray(value) ? [] : Object.keys(value)
+  return [...names, ...Object.values(value).flatMap(memberNames)]
 }
 
 function pointersOf (operation: PatchOperation): string[] {
   return 'from' in operation ? [operation.path, operation.from] : [operation.path]
 }
 
-function pathParts (pointer: string): string[] {
+function pathSegments (pointer: string): string[] {
   return pointer.split('/').slice(1).map(part => part.replaceAll('~1', '/').replaceAll('~0', '~'))
 }
 
 /** Copies the collections and entries that operations refer to; the whole document when one refers to a whole collection. */
 function copyReachable (document: ConfigDocument, operations: readonly PatchOperation[]): ConfigDocument {
-  const paths = operations.flatMap(pointersOf).map(pathParts)
+  const paths = operations.flatMap(pointersOf).map(pathSegments)
   if (paths.some(([section, id]) => section === undefined || id === undefined)) return structuredClone(document)
   const copy: ConfigDocument = { ...document }
   for (const [section = '', id = ''] of paths) {
     const source = document[section]
     if (!isObject(source)) continue
     if (copy[section] === source) copy[section] = Object.assign(Object.create(null), source)
-    const target = copy[section] as Record<string, unknown>
-    if (Object.hasOwn(source, id) && target[id] === source[id]) target[id] = structuredClone(source[id])
+    const copiedSection = copy[section] as Record<string, unknown>
+    if (Object.hasOwn(source, id) && copiedSection[id] === source[id]) copiedSection[id] = structuredClone(source[id])
   }
   return copy
 }
--- a/packages/decisions/src/config/configReferences.ts
+++ b/packages/decisions/src/config/configReferences.ts
@@ -11,35 +11,35 @@
  * Returns every error between entries as `/path: message`.
  * @param config - a configuration that follows its schema
  */
-export function crossErrors (config: FleetConfig): string[] {
+export function crossEntryErrors (config: FleetConfig): string[] {
   return [...referenceErrors(config), ...addressErrors(config), ...keyErrors(config)]
 }
 
 function referenceErrors (config: FleetConfig): string[] {
   const errors: string[] = []
-  const check = (section: string, owner: string, member: string, ids: readonly string[], known: object): void => {
+  const checkReferences = (section: string, owner: string, member: string, ids: readonly string[], existing: object): void => {
     for (const [index, id] of ids.entries()) {
-      if (!Object.hasOwn(known, id)) errors.push(`/${section}/${owner}/${member}/${index}: there is no '${id}' in /${member}`)
+      if (!Object.hasOwn(existing, id)) errors.push(`/${section}/${owner}/${member}/${index}: there is no '${id}' in /${member}`)
     }
   }
   for (const [id, team] of entriesOf(config.teams)) {
-    check('teams', id, 'models', team.models, config.models)
-    check('teams', id, 'services', team.services, config.services)
+    checkReferences('teams', id, 'models', team.models, config.models)
+    checkReferences('teams', id, 'services', team.services, config.services)
   }
   for (const [id, runner] of entriesOf(config.runners)) {
-    check('runners', id, 'models', runner.models, config.models)
+    checkReferences('runners', id, 'models', runner.models, config.models)
   }
   return errors
 }
 
 function addressErrors (config: FleetConfig): string[] {
   const errors: string[] = []
-  const users = new Map<string, string>()
+  const pathByAddress = new Map<string, string>()
   for (const [path, address] of runnerAddresses(config)) {
-    const earlier = users.get(address)
-    if (!isDialable(address)) errors.push(`${path}: '${address}' is not an IPv4 address and port`)
+    const earlier = pathByAddress.get(address)
+    if (!isValidAddress(address)) errors.push(`${path}: '${address}' is not an IPv4 address and port`)
     else if (earlier !== undefined) errors.push(`${path}: '${address}' is already used by ${earlier}`)
-    else users.set(address, path)
+    else pathByAddress.set(address, path)
   }
   return errors
 }
@@ -51,23 +51,23 @@
   }
 }
 
-function isDialable (address: string): boolean {
+function isValidAddress (address: string): boolean {
   const [host = '', port = ''] = address.split(':')
   const octets = host.split('.').map(Number)
   return octets.every(octet => octet <= MAX_OCTET) && Number(port) >= 1 && Number(port) <= MAX_PORT
 }
 
 function keyErrors (config: FleetConfig): string[] {
-  return [...sharedKeys('teams', config.teams), ...sharedKeys('operators', config.operators)]
+  return [...duplicateKeyErrors('teams', config.teams), ...duplicateKeyErrors('operators', config.operators)]
 }
 
-function sharedKeys (section: string, owners: Readonly<Record<string, { readonly keyHashes: readonly string[] }>>): string[] {
+function duplicateKeyErrors (section: string, owners: Readonly<Record<string, { readonly keyHashes: readonly string[] }>>): string[] {
   const errors: string[] = []
-  const users = new Map<string, string>()
+  const ownerByHash = new Map<string, string>()
   for (const [id, { keyHashes }] of entriesOf(owners)) {
     for (const [index, hash] of keyHashes.entries()) {
-      const earlier = users.get(hash)
-      if (earlier === undefined) users.set(hash, id)
+      const earlier = ownerByHash.get(hash)
+      if (earlier === undefined) ownerByHash.set(hash, id)
       else errors.push(`/${section}/${id}/keyHashes/${index}: this key is already used by /${section}/${earlier}`)
     }
   }
--- a/packages/decisions/src/config/configRows.ts
+++ b/packages/decisions/src/config/configRows.ts
@@ -17,7 +17,7 @@
 /** Bytes of JSON of one patch, and of its delta; keeps rows below the usual limits of table services. */
 export const MAX_PATCH_BYTES = 128 * 1024
 /** Versions between two snapshots. */
-export const SNAPSHOT_EVERY = 64
+export const SNAPSHOT_INTERVAL_VERSIONS = 64
 
 const VERSION_DIGITS = 10
 const version = z.number().int().nonnegative()
@@ -36,15 +36,15 @@
 export type PatchOperation = z.infer<typeof operationSchema>
 
 /** A version number and the digest of its document. */
-export const versionMarkSchema = z.object({ version, digest })
-export type VersionMark = z.infer<typeof versionMarkSchema>
+export const versionRefSchema = z.object({ version, digest })
+export type VersionRef = z.infer<typeof versionRefSchema>
 
 /** Row `config/current`. */
-export const currentRowSchema = versionMarkSchema.extend({ patchId: z.string() })
+export const currentRowSchema = versionRefSchema.extend({ patchId: z.string() })
 export type CurrentRow = z.infer<typeof currentRowSchema>
 
 /** Row `configs/<version>`; also the delta object of that version. */
-export const versionRowSchema = versionMarkSchema.extend({
+export const versionRowSchema = versionRefSchema.extend({
   patchId: z.string(),
   author: z.string(),
   /** Wall milliseconds of the table service shortly before acceptance. */
@@ -65,11 +65,11 @@
 export type ConfigDocument = z.infer<typeof documentSchema>
 
 /** A full version: a snapshot object, or the response of a peer. */
-export const wholeConfigSchema = versionMarkSchema.extend({ document: documentSchema })
-export type WholeConfig = z.infer<typeof wholeConfigSchema>
+export const fullConfigSchema = versionRefSchema.extend({ document: documentSchema })
+export type FullConfig = z.infer<typeof fullConfigSchema>
 
 /** Document of version 0, which version 1 patches. It must never change, as every replay starts from it. */
-export const firstDocument: ConfigDocument = { teams: {}, models: {}, runners: {}, services: {}, operators: {}, limits: {} }
+export const initialDocument: ConfigDocument = { teams: {}, models: {}, runners: {}, services: {}, operators: {}, limits: {} }
 
 /** Key of a version row; sorts by version. */
 export function versionKey (version: number): string {
@@ -77,8 +77,8 @@
 }
 
 /** Name of the snapshot object of a version. */
-export function snapshotName (mark: VersionMark): string {
-  return `config/snapshot/${versionKey(mark.version)}-${mark.digest}`
+export function snapshotName (ref: VersionRef): string {
+  return `config/snapshot/${versionKey(ref.version)}-${ref.digest}`
 }
 
 /** Name of the object that duplicates a version row, for VMs that start during a table outage. */
--- a/packages/decisions/src/config/configSchema.ts
+++ b/packages/decisions/src/config/configSchema.ts
@@ -93,7 +93,7 @@
 export type FleetConfig = z.infer<typeof fleetConfigSchema>
 
 /** A configuration with its version number. */
-export interface NumberedConfig {
+export interface VersionedConfig {
   readonly version: number
   readonly config: FleetConfig
 }
--- a/packages/decisions/src/config/configServing.spec.ts
+++ b/packages/decisions/src/config/configServing.spec.ts
@@ -3,13 +3,13 @@
  */
 import { expect } from 'chai'
 import { fleetConfigSchema, type FleetConfig } from './configSchema.js'
-import { stampServing } from './configServing.js'
+import { stampServesSince } from './configServing.js'
 
 function configOf (runners: Record<string, object>): FleetConfig {
   return fleetConfigSchema.parse({ runners })
 }
 
-const before = stampServing(configOf({}), configOf({ r1: { address: '10.0.0.1:1', domain: 'd', models: ['a'] } }), 100)
+const before = stampServesSince(configOf({}), configOf({ r1: { address: '10.0.0.1:1', domain: 'd', models: ['a'] } }), 100)
 
 const cases: ReadonlyArray<{ readonly name: string, readonly runners: Record<string, object>, readonly expected: object }> = [
   { name: 'an unchanged runner', runners: { r1: { address: '10.0.0.1:1', domain: 'd', models: ['a'] } }, expected: { r1: { a: 100 } } },
@@ -23,7 +23,7 @@
 describe('start times of serving, by runner and model', () => {
   for (const { name, runners, expected } of cases) {
     it(`are set for ${name}`, () => {
-      const after = stampServing(before, configOf(runners), 200)
+      const after = stampServesSince(before, configOf(runners), 200)
       expect(Object.fromEntries(Object.entries(after.runners).map(([id, { servesSince }]) => [id, servesSince]))).to.deep.equal(expected)
     })
   }
--- a/packages/decisions/src/placement/domainQuotas.ts
+++ b/packages/decisions/src/placement/domainQuotas.ts
@@ -4,10 +4,10 @@
  */
 
 /** Runners of one failure domain that are eligible for a model. */
-export interface DomainRoom {
+export interface DomainCapacity {
   readonly domain: string
   /** Eligible runners; an upper bound of the domain's quota. */
-  readonly room: number
+  readonly capacity: number
   /** Eligible runners that have the current version or are loading it. */
   readonly holders: number
   /** Eligible runners that have another version. */
@@ -17,10 +17,10 @@
 }
 
 /** Assigns each domain a number of copies; the sum never exceeds `copies`. */
-export function domainQuotas (rooms: readonly DomainRoom[], copies: number): ReadonlyMap<string, number> {
-  const quotas = new Map(rooms.map(({ domain }) => [domain, 0]))
-  for (let left = copies; left > 0; left -= 1) {
-    const next = emptiest(rooms, quotas)
+export function domainQuotas (domains: readonly DomainCapacity[], copies: number): ReadonlyMap<string, number> {
+  const quotas = new Map(domains.map(({ domain }) => [domain, 0]))
+  for (let remaining = copies; remaining > 0; remaining -= 1) {
+    const next = nextDomain(domains, quotas)
     if (next === undefined) break
     quotas.set(next.domain, (quotas.get(next.domain) ?? 0) + 1)
   }
@@ -31,15 +31,15 @@
  * Domain for the next copy: lowest quota first, then most unassigned holders, most stale copies, fewest
  * failures, and name.
  */
-function emptiest (rooms: readonly DomainRoom[], quotas: ReadonlyMap<string, number>): DomainRoom | undefined {
-  const quotaOf = ({ domain }: DomainRoom): number => quotas.get(domain) ?? 0
-  const holdersLeft = (item: DomainRoom): number => Math.max(0, item.holders - quotaOf(item))
-  const staleLeft = (item: DomainRoom): number => Math.max(0, item.holders + item.stale - quotaOf(item))
-  const before = (a: DomainRoom, b: DomainRoom): number =>
+function nextDomain (domains: readonly DomainCapacity[], quotas: ReadonlyMap<string, number>): DomainCapacity | undefined {
+  const quotaOf = ({ domain }: DomainCapacity): number => quotas.get(domain) ?? 0
+  const unassignedHolders = (item: DomainCapacity): number => Math.max(0, item.holders - quotaOf(item))
+  const unassignedStale = (item: DomainCapacity): number => Math.max(0, item.holders + item.stale - quotaOf(item))
+  const compare = (a: DomainCapacity, b: DomainCapacity): number =>
     quotaOf(a) - quotaOf(b) ||
-    holdersLeft(b) - holdersLeft(a) ||
-    staleLeft(b) - staleLeft(a) ||
+    unassignedHolders(b) - unassignedHolders(a) ||
+    unassignedStale(b) - unassignedStale(a) ||
     a.failures - b.failures ||
     (a.domain < b.domain ? -1 : 1)
-  return rooms.filter(item => quotaOf(item) < item.room).sort(before)[0]
+  return domains.filter(item => quotaOf(item) < item.capacity).sort(compare)[0]
 }
--- a/packages/decisions/src/placement/fencePass.ts
+++ b/packages/decisions/src/placement/fencePass.ts
@@ -6,26 +6,26 @@
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { RunnerConfig } from '../config/configSchema.js'
 import type { PlacementAction, PlacementLimits, PlacementOutcome } from './placementTypes.js'
-import { ReportPace } from './reportPace.js'
+import { ReportInterval } from './reportPace.js'
 
 /** Attempts per runner; an engine that does not understand the order is skipped after that. */
-const MOST_TRIES = 5
+const MAX_ATTEMPTS = 5
 const FINAL_OUTCOMES: readonly PlacementOutcome['kind'][] = ['done', 'oldFencing', 'refused']
 
 /** A sent announcement and its state. */
-interface SentFence {
+interface SentAnnouncement {
   readonly action: PlacementAction
   readonly at: Instant
-  readonly tries: number
+  readonly attempts: number
   isAnswered: boolean
 }
 
 /** Fencing announcements of one lease term. */
-export class FencePass {
+export class FencingAnnouncement {
   /** Acknowledged role by runner; an empty string where none is declared. */
-  private readonly told = new Map<string, string>()
-  private readonly sent = new Map<string, SentFence>()
-  private isOver = false
+  private readonly acknowledged = new Map<string, string>()
+  private readonly sent = new Map<string, SentAnnouncement>()
+  private isCompleted = false
 
   /**
    * @param fencing - the holder's fencing number
@@ -33,7 +33,7 @@
    * @param reportInterval - extends the wait, as a runner can only acknowledge after its first report
    */
   constructor (
-    readonly fencing: number, private readonly since: Instant, private readonly limits: PlacementLimits, private readonly pace: ReportPace = new ReportPace()
+    readonly fencing: number, private readonly since: Instant, private readonly limits: PlacementLimits, private readonly reportInterval: ReportInterval = new ReportInterval()
   ) {}
 
   /**
@@ -41,14 +41,14 @@
    * @param runners - reachable runners
    * @param nextOrderId - creates a new order id for a runner
    */
-  next (runners: readonly (readonly [string, RunnerConfig])[], now: Instant, idOf: (runner: string) => string): readonly PlacementAction[] {
-    const open = [...this.sent.values()].filter(({ isAnswered }) => !isAnswered).length
+  next (runners: readonly (readonly [string, RunnerConfig])[], now: Instant, nextOrderId: (runner: string) => string): readonly PlacementAction[] {
+    const openCount = [...this.sent.values()].filter(({ isAnswered }) => !isAnswered).length
     const due = runners.filter(([runner, cfg]) => this.isDue(runner, cfg, now))
-    return due.slice(0, Math.max(0, this.limits.maxOutstanding - open)).map(([runner, cfg]) => {
-      const found = this.sent.get(runner)
-      if (found?.action.order.role !== cfg.role) this.sent.delete(runner)
-      const entry = this.sent.get(runner) ?? { action: this.actionOf(runner, cfg, idOf(runner)), at: now, tries: 0, isAnswered: false }
-      this.sent.set(runner, { ...entry, at: now, tries: entry.tries + 1, isAnswered: false })
+    return due.slice(0, Math.max(0, this.limits.maxPending - openCount)).map(([runner, cfg]) => {
+      const previous = this.sent.get(runner)
+      if (previous?.action.order.role !== cfg.role) this.sent.delete(runner)
+      const entry = this.sent.get(runner) ?? { action: this.createAction(runner, cfg, nextOrderId(runner)), at: now, attempts: 0, isAnswered: false }
+      this.sent.set(runner, { ...entry, at: now, attempts: entry.attempts + 1, isAnswered: false })
       return entry.action
     })
   }
@@ -61,7 +61,7 @@
     for (const [runner, entry] of this.sent) {
       if (entry.action.order.orderId !== orderId) continue
       entry.isAnswered = true
-      if (FINAL_OUTCOMES.includes(outcome.kind)) this.told.set(runner, entry.action.order.role ?? '')
+      if (FINAL_OUTCOMES.includes(outcome.kind)) this.acknowledged.set(runner, entry.action.order.role ?? '')
       return true
     }
     return false
@@ -72,23 +72,23 @@
    * @param runners - reachable runners
    */
   isDone (runners: readonly (readonly [string, RunnerConfig])[], now: Instant): boolean {
-    if (this.isOver) return true
-    const passedMs = elapsedMs(this.since, now)
-    const isWaiting = runners.some(([, { checksFencing }]) => !checksFencing) && passedMs < this.limits.takeoverMs
-    const allTold = runners.every(([runner, { checksFencing }]) => !checksFencing || this.told.has(runner))
-    this.isOver = !isWaiting && (allTold || passedMs >= this.limits.fencingMs + this.pace.stretchMs(now))
-    return this.isOver
+    if (this.isCompleted) return true
+    const waitedMs = elapsedMs(this.since, now)
+    const mustAwaitExpiry = runners.some(([, { checksFencing }]) => !checksFencing) && waitedMs < this.limits.takeoverMs
+    const isAllAcknowledged = runners.every(([runner, { checksFencing }]) => !checksFencing || this.acknowledged.has(runner))
+    this.isCompleted = !mustAwaitExpiry && (isAllAcknowledged || waitedMs >= this.limits.fencingTimeoutMs + this.reportInterval.extraDelayMs(now))
+    return this.isCompleted
   }
 
   private isDue (runner: string, { checksFencing, role }: RunnerConfig, now: Instant): boolean {
     if (!checksFencing && (role === undefined || elapsedMs(this.since, now) < this.limits.takeoverMs)) return false
-    if (this.told.get(runner) === (role ?? '')) return false
-    const found = this.sent.get(runner)
-    if (found === undefined || found.action.order.role !== role) return true
-    return found.isAnswered && found.tries < MOST_TRIES && elapsedMs(found.at, now) >= this.limits.retryMs
+    if (this.acknowledged.get(runner) === (role ?? '')) return false
+    const previous = this.sent.get(runner)
+    if (previous === undefined || previous.action.order.role !== role) return true
+    return previous.isAnswered && previous.attempts < MAX_ATTEMPTS && elapsedMs(previous.at, now) >= this.limits.retryMs
   }
 
-  private actionOf (runner: string, { address, role }: RunnerConfig, orderId: string): PlacementAction {
+  private createAction (runner: string, { address, role }: RunnerConfig, orderId: string): PlacementAction {
     const order = { orderId, fencing: this.fencing, kind: 'role', model: '', version: '', ...(role === undefined ? {} : { role }) } as const
     return { kind: 'order', runner, address, order, reason: role === undefined ? 'announces the fencing number' : `role ${role} is declared` }
   }
--- a/packages/decisions/src/placement/orderBook.ts
+++ b/packages/decisions/src/placement/orderBook.ts
@@ -7,38 +7,38 @@
 import type { LoadedModel, PlacementAction, PlacementLimits, PlacementOrder, PlacementOutcome } from './placementTypes.js'
 
 /** An order whose effect is awaited. */
-interface AwaitedOrder {
+interface PendingOrder {
   readonly action: PlacementAction
   /** `sent`: awaiting the response. `open`: outcome unknown. `done`: executed, not yet seen in a report. */
   state: 'sent' | 'open' | 'done'
   readonly firstSentAt: Instant
   changedAt: Instant
-  sendings: number
+  attempts: number
 }
 
-export class OrderBook {
-  private readonly awaited = new Map<string, AwaitedOrder>()
+export class PendingOrders {
+  private readonly byRunner = new Map<string, PendingOrder>()
   /** Time of the last refusal by runner and model. */
   private readonly refusals = new Map<string, Map<string, Instant>>()
 
   constructor (private readonly limits: PlacementLimits) {}
 
   get size (): number {
-    return this.awaited.size
+    return this.byRunner.size
   }
 
   of (runner: string): PlacementOrder | undefined {
-    return this.awaited.get(runner)?.action.order
+    return this.byRunner.get(runner)?.action.order
   }
 
   /** Models of which the runner recently refused an order. */
-  blocked (runner: string, now: Instant): readonly string[] {
+  blockedModels (runner: string, now: Instant): readonly string[] {
     const refusals = [...this.refusals.get(runner) ?? []]
-    return refusals.filter(([, at]) => elapsedMs(at, now) < this.limits.refusedMs).map(([model]) => model)
+    return refusals.filter(([, at]) => elapsedMs(at, now) < this.limits.refusalBackoffMs).map(([model]) => model)
   }
 
   sent (action: PlacementAction, now: Instant): void {
-    this.awaited.set(action.runner, { action, state: 'sent', firstSentAt: now, changedAt: now, sendings: 1 })
+    this.byRunner.set(action.runner, { action, state: 'sent', firstSentAt: now, changedAt: now, attempts: 1 })
   }
 
   /**
@@ -46,19 +46,19 @@
    * @returns the order's action; undefined when the order is no longer pending
    */
   answered (orderId: string, outcome: PlacementOutcome, now: Instant): PlacementAction | undefined {
-    const found = [...this.awaited.values()].find(({ action }) => action.order.orderId === orderId)
-    if (found === undefined) return undefined
-    found.changedAt = now
-    if (outcome.kind === 'done') found.state = 'done'
-    else if (outcome.kind === 'unknown' || outcome.kind === 'notSent') found.state = 'open'
-    else this.refused(found.action, outcome, now)
-    return found.action
+    const pending = [...this.byRunner.values()].find(({ action }) => action.order.orderId === orderId)
+    if (pending === undefined) return undefined
+    pending.changedAt = now
+    if (outcome.kind === 'done') pending.state = 'done'
+    else if (outcome.kind === 'unknown' || outcome.kind === 'notSent') pending.state = 'open'
+    else this.refused(pending.action, outcome, now)
+    return pending.action
   }
 
   /** Removes the pending order of a runner when a report shows its effect. */
   reported (runner: string, models: readonly LoadedModel[]): void {
-    const found = this.awaited.get(runner)
-    if (found !== undefined && found.state !== 'sent' && shows(models, found.action.order)) this.awaited.delete(runner)
+    const pending = this.byRunner.get(runner)
+    if (pending !== undefined && pending.state !== 'sent' && isReflectedIn(models, pending.action.order)) this.byRunner.delete(runner)
   }
 
   /**
@@ -66,44 +66,44 @@
    * @returns the orders to resend
    */
   expire (now: Instant): readonly PlacementAction[] {
-    const again: PlacementAction[] = []
-    for (const [runner, order] of this.awaited) {
-      if (order.state === 'done' && elapsedMs(order.changedAt, now) >= this.limits.confirmMs) this.awaited.delete(runner)
+    const resends: PlacementAction[] = []
+    for (const [runner, order] of this.byRunner) {
+      if (order.state === 'done' && elapsedMs(order.changedAt, now) >= this.limits.confirmMs) this.byRunner.delete(runner)
       if (order.state !== 'open' || elapsedMs(order.changedAt, now) < this.retryMs(order)) continue
-      if (elapsedMs(order.firstSentAt, now) >= this.limits.giveUpMs) this.giveUp(order, now)
-      else again.push(this.resend(order, now))
+      if (elapsedMs(order.firstSentAt, now) >= this.limits.abandonMs) this.abandon(order, now)
+      else resends.push(this.resend(order, now))
     }
-    return again
+    return resends
   }
 
   /** Discards orders that the configuration no longer requires, except those awaiting a response. */
-  keepOnly (isWanted: (order: PlacementOrder) => boolean): void {
-    for (const [runner, { action, state }] of this.awaited) {
-      if (state !== 'sent' && !isWanted(action.order)) this.awaited.delete(runner)
+  retainWhere (isWanted: (order: PlacementOrder) => boolean): void {
+    for (const [runner, { action, state }] of this.byRunner) {
+      if (state !== 'sent' && !isWanted(action.order)) this.byRunner.delete(runner)
     }
   }
 
-  drop (runner: string): void {
-    this.awaited.delete(runner)
+  discard (runner: string): void {
+    this.byRunner.delete(runner)
   }
 
   clear (): void {
-    this.awaited.clear()
+    this.byRunner.clear()
     this.refusals.clear()
   }
 
-  private retryMs ({ sendings }: AwaitedOrder): number {
+  private retryMs ({ attempts: sendings }: PendingOrder): number {
     return this.limits.retryMs * 2 ** Math.min(sendings - 1, this.limits.maxDoublings)
   }
 
   private refused (action: PlacementAction, outcome: PlacementOutcome, now: Instant): void {
-    this.awaited.delete(action.runner)
+    this.byRunner.delete(action.runner)
     if (outcome.kind === 'refused' && outcome.retryAfterMs !== undefined) return
     this.block(action, now)
   }
 
-  private giveUp ({ action }: AwaitedOrder, now: Instant): void {
-    this.awaited.delete(action.runner)
+  private abandon ({ action }: PendingOrder, now: Instant): void {
+    this.byRunner.delete(action.runner)
     this.block(action, now)
   }
 
@@ -113,16 +113,16 @@
     this.refusals.set(runner, refusals)
   }
 
-  private resend (order: AwaitedOrder, now: Instant): PlacementAction {
+  private resend (order: PendingOrder, now: Instant): PlacementAction {
     order.state = 'sent'
     order.changedAt = now
-    order.sendings += 1
+    order.attempts += 1
     return order.action
   }
 }
 
 /** Whether the loaded models reflect the effect of an order. */
-function shows (models: readonly LoadedModel[], { kind, model, version, adapter }: PlacementOrder): boolean {
+function isReflectedIn (models: readonly LoadedModel[], { kind, model, version, adapter }: PlacementOrder): boolean {
   const loaded = models.find(item => item.model === model)
   if (kind === 'unload') return loaded?.version !== version
   if (kind === 'load') return loaded?.version === version
--- a/packages/decisions/src/placement/placementTypes.ts
+++ b/packages/decisions/src/placement/placementTypes.ts
@@ -62,13 +62,13 @@
 /** Times in milliseconds. */
 export interface PlacementLimits {
   /** Orders that may be pending at once: sent, or executed and not yet seen in a report. */
-  readonly maxOutstanding: number
+  readonly maxPending: number
   /** Time without a report after which a runner counts as down and its copies are replaced elsewhere. */
   readonly downAfterMs: number
   /** How long a runner that was down must report before it gets copies; doubles with each failure. */
-  readonly steadyMs: number
+  readonly stabilizationMs: number
   /** A runner up for this long has its failure count reset. */
-  readonly forgiveMs: number
+  readonly failureMemoryMs: number
   /** Maximum number of doublings of `stabilizationMs` and `retryMs`. */
   readonly maxDoublings: number
   /** How long an up-to-date surplus copy is retained. */
@@ -78,13 +78,13 @@
   /** Delay before an order with an unknown outcome is resent; doubles with each attempt. */
   readonly retryMs: number
   /** Time after which an order with an unknown outcome is abandoned; longer than loading takes. */
-  readonly giveUpMs: number
+  readonly abandonMs: number
   /** Delay before a refused order is decided again. */
-  readonly refusedMs: number
+  readonly refusalBackoffMs: number
   /** How long a new holder waits when an engine ignores fencing numbers: lease duration plus margin. */
   readonly takeoverMs: number
   /** How long a new holder waits for all engines to acknowledge its fencing number. */
-  readonly fencingMs: number
+  readonly fencingTimeoutMs: number
   /** Gap between two events after which all reports count as outdated. */
   readonly pauseMs: number
   /** Rate of loads from the weight store, in sets of weights. */
@@ -96,18 +96,18 @@
 }
 
 export const defaultPlacementLimits: PlacementLimits = {
-  maxOutstanding: 8,
+  maxPending: 8,
   downAfterMs: 15_000,
-  steadyMs: 30_000,
-  forgiveMs: 1_800_000,
+  stabilizationMs: 30_000,
+  failureMemoryMs: 1_800_000,
   maxDoublings: 4,
   surplusMs: 30_000,
   confirmMs: 15_000,
   retryMs: 2_000,
-  giveUpMs: 300_000,
-  refusedMs: 15_000,
+  abandonMs: 300_000,
+  refusalBackoffMs: 15_000,
   takeoverMs: 7_000,
-  fencingMs: 10_000,
+  fencingTimeoutMs: 10_000,
   pauseMs: 5_000,
   weightsPerMinute: 30,
   weightsBurst: 4,
--- a/packages/decisions/src/placement/reportPace.ts
+++ b/packages/decisions/src/placement/reportPace.ts
@@ -5,26 +5,26 @@
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 
 /** Runners polled by rotation in one round. */
-export const REPORTS_A_ROUND = 12
+export const REPORTS_PER_ROUND = 12
 export const REPORT_ROUND_MS = 1_000
 
 /** Time between two polls of the same runner. */
-export class ReportPace {
-  private everyMs = REPORT_ROUND_MS
+export class ReportInterval {
+  private intervalMs = REPORT_ROUND_MS
   /** Longer interval that was in effect until recently; the latest reports were requested at that interval. */
-  private before: { readonly everyMs: number, readonly leftAt: Instant } | undefined
+  private previous: { readonly intervalMs: number, readonly replacedAt: Instant } | undefined
 
   /** Adapts the interval to the number of polled runners. */
   configure (runners: number, now: Instant): void {
-    const everyMs = Math.max(1, Math.ceil(runners / REPORTS_A_ROUND)) * REPORT_ROUND_MS
-    if (everyMs < this.everyMs) this.before = { everyMs: this.stretchMs(now) + REPORT_ROUND_MS, leftAt: now }
-    this.everyMs = everyMs
+    const intervalMs = Math.max(1, Math.ceil(runners / REPORTS_PER_ROUND)) * REPORT_ROUND_MS
+    if (intervalMs < this.intervalMs) this.previous = { intervalMs: this.extraDelayMs(now) + REPORT_ROUND_MS, replacedAt: now }
+    this.intervalMs = intervalMs
   }
 
   /** Milliseconds that a report may be late compared with polling every runner in each round. */
-  stretchMs (now: Instant): number {
-    const { before } = this
-    const isLeft = before === undefined || elapsedMs(before.leftAt, now) >= before.everyMs
-    return Math.max(this.everyMs, isLeft ? 0 : before.everyMs) - REPORT_ROUND_MS
+  extraDelayMs (now: Instant): number {
+    const { previous } = this
+    const isExpired = previous === undefined || elapsedMs(previous.replacedAt, now) >= previous.intervalMs
+    return Math.max(this.intervalMs, isExpired ? 0 : previous.intervalMs) - REPORT_ROUND_MS
   }
 }
--- a/packages/decisions/src/placement/runnerView.ts
+++ b/packages/decisions/src/placement/runnerView.ts
@@ -8,22 +8,22 @@
   readonly runner: string
   readonly domain: string
   /** Models that the configuration declares for the runner. */
-  readonly allowed: readonly string[]
+  readonly declaredModels: readonly string[]
   /** It responds, and neither it nor the configuration marks it as leaving. */
   readonly isServing: boolean
   /** It has been up for long enough to get new copies. */
-  readonly isSteady: boolean
+  readonly isStable: boolean
   /** Recent failures. */
-  readonly downs: number
+  readonly failures: number
   readonly loaded: readonly LoadedModel[]
   /** Models of which it recently refused an order. */
-  readonly blocked: readonly string[]
+  readonly blockedModels: readonly string[]
   /** The order whose effect is pending. */
-  readonly awaited: PlacementOrder | undefined
+  readonly pendingOrder: PlacementOrder | undefined
 }
 
 /** Declared state of a model; no version when the configuration lacks the model. */
-export interface ModelTarget {
+export interface ModelDeclaration {
   readonly model: string
   readonly version: string | undefined
   readonly adapters: readonly string[]
@@ -37,19 +37,19 @@
  */
 export type CopyState = 'none' | 'good' | 'partial' | 'stale' | 'loading' | 'changing'
 
-export function copyState (runner: PlacementRunner, target: ModelTarget): CopyState {
-  const loaded = runner.loaded.find(({ model }) => model === target.model)
-  const awaited = runner.awaited?.model === target.model ? runner.awaited : undefined
+export function copyState (runner: PlacementRunner, declaration: ModelDeclaration): CopyState {
+  const loaded = runner.loaded.find(({ model }) => model === declaration.model)
+  const awaited = runner.pendingOrder?.model === declaration.model ? runner.pendingOrder : undefined
   if (awaited?.kind === 'unload') return 'changing'
-  if (loaded !== undefined && loaded.version === target.version) {
-    return target.adapters.every(adapter => loaded.adapters.includes(adapter)) ? 'good' : 'partial'
+  if (loaded !== undefined && loaded.version === declaration.version) {
+    return declaration.adapters.every(adapter => loaded.adapters.includes(adapter)) ? 'good' : 'partial'
   }
-  if (awaited?.kind === 'load') return awaited.version === target.version ? 'loading' : 'changing'
+  if (awaited?.kind === 'load') return awaited.version === declaration.version ? 'loading' : 'changing'
   return loaded === undefined ? 'none' : 'stale'
 }
 
 /** Whether a runner may have a copy that counts. */
-export function isCandidate (runner: PlacementRunner, target: ModelTarget, state: CopyState): boolean {
-  if (!runner.isServing || !runner.isSteady || !runner.allowed.includes(target.model)) return false
-  return state === 'good' || state === 'partial' || state === 'loading' || !runner.blocked.includes(target.model)
+export function isCandidate (runner: PlacementRunner, declaration: ModelDeclaration, state: CopyState): boolean {
+  if (!runner.isServing || !runner.isStable || !runner.declaredModels.includes(declaration.model)) return false
+  return state === 'good' || state === 'partial' || state === 'loading' || !runner.blockedModels.includes(declaration.model)
 }
--- a/packages/decisions/src/placement/weightPace.ts
+++ b/packages/decisions/src/placement/weightPace.ts
@@ -6,14 +6,14 @@
 
 const MS_PER_MINUTE = 60_000
 /** Lower bound of the pause after a refusal. */
-const LEAST_PAUSE_MS = 1_000
+const MIN_PAUSE_MS = 1_000
 
 /** Rate limiter of orders that load weights. */
-export class WeightPace {
+export class WeightRateLimiter {
   private tokens: number
-  private filledAt: Instant | undefined
-  private closedAt: Instant | undefined
-  private closedForMs = 0
+  private refilledAt: Instant | undefined
+  private pausedAt: Instant | undefined
+  private pausedForMs = 0
 
   /**
    * @param perMinute - sets of weights a minute
@@ -27,9 +27,9 @@
    * Acquires a permit to load one set of weights.
    * @returns false when none is available
    */
-  take (now: Instant): boolean {
-    this.fill(now)
-    if (this.isClosed(now) || this.tokens < 1) return false
+  tryAcquire (now: Instant): boolean {
+    this.refill(now)
+    if (this.isPaused(now) || this.tokens < 1) return false
     this.tokens -= 1
     return true
   }
@@ -39,19 +39,19 @@
    * @param retryAfterMs - pause that the store requested
    */
   refused (retryAfterMs: number, now: Instant): void {
-    this.fill(now)
+    this.refill(now)
     this.tokens = Math.min(this.tokens, 1)
-    this.closedAt = now
-    this.closedForMs = Math.max(retryAfterMs, LEAST_PAUSE_MS)
+    this.pausedAt = now
+    this.pausedForMs = Math.max(retryAfterMs, MIN_PAUSE_MS)
   }
 
-  private isClosed (now: Instant): boolean {
-    return this.closedAt !== undefined && elapsedMs(this.closedAt, now) < this.closedForMs
+  private isPaused (now: Instant): boolean {
+    return this.pausedAt !== undefined && elapsedMs(this.pausedAt, now) < this.pausedForMs
   }
 
-  private fill (now: Instant): void {
-    const passedMs = this.filledAt === undefined ? 0 : elapsedMs(this.filledAt, now)
+  private refill (now: Instant): void {
+    const passedMs = this.refilledAt === undefined ? 0 : elapsedMs(this.refilledAt, now)
     this.tokens = Math.min(this.burst, this.tokens + passedMs * this.perMinute / MS_PER_MINUTE)
-    this.filledAt = now
+    this.refilledAt = now
   }
 }
--- a/packages/rosemaryspread/src/completion/completionPorts.ts
+++ b/packages/rosemaryspread/src/completion/completionPorts.ts
@@ -2,11 +2,11 @@
  * What request handling asks of the rest of the VM.
  */
 import type { Maybe } from 'purify-ts'
-import type { NumberedConfig } from '@rosemaryspread/decisions/config/configSchema.js'
+import type { VersionedConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 
 /** The configuration in force on this VM. */
 export interface CurrentConfig {
-  current (): Maybe<NumberedConfig>
+  current (): Maybe<VersionedConfig>
 }
 
 /** Whether this VM drains, and how many pieces of work are open. */
--- a/packages/rosemaryspread/src/completion/completionService.ts
+++ b/packages/rosemaryspread/src/completion/completionService.ts
@@ -7,7 +7,7 @@
 import type { AnswerSink, CompletionCall, CompletionService } from '@rosemaryspread/callers/completion/completionTypes.js'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { NumberedConfig } from '@rosemaryspread/decisions/config/configSchema.js'
+import type { VersionedConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import { defaultRetryPolicy } from '@rosemaryspread/decisions/routing/retryBudget.js'
 import { admitCompletion, type AdmittedCompletion } from './completionAdmission.js'
 import { LocalRuns } from './completionLocalRuns.js'
@@ -73,7 +73,7 @@
     }
   }
 
-  private admissible (): Either<Failure, NumberedConfig> {
+  private admissible (): Either<Failure, VersionedConfig> {
     if (this.deps.work.draining) {
       return Left(new Failure('draining', 'this VM is draining; use another address', { retryAfterMs: DRAINING_RETRY_MS }))
     }
--- a/packages/rosemaryspread/src/compose/bindConfig.ts
+++ b/packages/rosemaryspread/src/compose/bindConfig.ts
@@ -3,10 +3,10 @@
  */
 import { Maybe } from 'purify-ts'
 import type { Container } from 'inversify'
-import { ConfigSpread } from '../config/configSpread.js'
+import { ConfigPropagation } from '../config/configSpread.js'
 import { VersionHints } from '../config/configHints.js'
 import { ConfigStore } from '../config/configStore.js'
-import { defaultSpread, type ConfigTimers } from '../config/configTypes.js'
+import { defaultPropagationSettings, type ConfigTimers } from '../config/configTypes.js'
 import { FleetSize } from '../membership/fleetSize.js'
 import { MemberDriver } from '../membership/memberDriver.js'
 import { ids } from './serviceIds.js'
@@ -47,7 +47,7 @@
       random: () => random.next(),
       status: () => ({ configVersion: store.inForce?.version ?? null, openRequests: work.openCount() }),
       onReplaced: ctx.get(ids.onReplaced),
-      onConfigVersion: version => { ctx.get(ids.versionHints).heard(version) }
+      onConfigVersion: version => { ctx.get(ids.versionHints).onAdvertised(version) }
     })
   }).inSingletonScope()
 
@@ -63,7 +63,7 @@
     const members = ctx.get(ids.members)
     const client = ctx.get(ids.peerClient)
     const random = ctx.get(ids.random)
-    return new ConfigSpread({
+    return new ConfigPropagation({
       store: ctx.get(ids.configStore),
       peers: {
         addresses: () => members.members()
@@ -75,7 +75,7 @@
       timers: systemTimers,
       random: () => random.next(),
       log: ctx.get(ids.log),
-      settings: { ...defaultSpread, pollMs: settings.config.pollMs }
+      settings: { ...defaultPropagationSettings, pollMs: settings.config.pollMs }
     })
   }).inSingletonScope()
 }
--- a/packages/rosemaryspread/src/compose/serviceIds.ts
+++ b/packages/rosemaryspread/src/compose/serviceIds.ts
@@ -25,7 +25,7 @@
 import type { CurrentConfig, RandomSource } from '../completion/completionPorts.js'
 import type { UnsettledRuns } from '../completion/completionUnsettled.js'
 import type { VersionHints } from '../config/configHints.js'
-import type { ConfigSpread } from '../config/configSpread.js'
+import type { ConfigPropagation } from '../config/configSpread.js'
 import type { ConfigStore } from '../config/configStore.js'
 import type { KeyDirectory } from '../directory/keyDirectory.js'
 import type { LeaseDriver } from '../membership/leaseDriver.js'
@@ -67,7 +67,7 @@
   onReplaced: id<(by: string) => void>('OnReplaced'),
   versionHints: id<VersionHints>('VersionHints'),
   configStore: id<ConfigStore>('ConfigStore'),
-  configSpread: id<ConfigSpread>('ConfigSpread'),
+  configSpread: id<ConfigPropagation>('ConfigSpread'),
   currentConfig: id<CurrentConfig>('CurrentConfig'),
   budgets: id<BudgetDriver>('BudgetDriver'),
   billArchive: id<BillArchive>('BillArchive'),
--- a/packages/rosemaryspread/src/config/configFetcher.ts
+++ b/packages/rosemaryspread/src/config/configFetcher.ts
@@ -3,34 +3,34 @@
  * table outage. Fetched versions are passed to the decider, which verifies them.
  */
 import type { ConfigCandidate, ConfigSource } from '@rosemaryspread/decisions/config/configDecider.js'
-import type { VersionMark } from '@rosemaryspread/decisions/config/configRows.js'
+import type { VersionRef } from '@rosemaryspread/decisions/config/configRows.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { ConfigSnapshots } from './configSnapshots.js'
 import type { ConfigVersions } from './configVersions.js'
 
 /** Receiver of fetched versions. */
-export interface FetchTarget {
+export interface FetchReceiver {
   /** The version in force; undefined before the first. */
   version (): number | undefined
   deliver (source: ConfigSource, candidate: ConfigCandidate): void
 }
 
 export class ConfigFetcher {
-  #running: Promise<void> | undefined
+  #currentFetch: Promise<void> | undefined
 
   constructor (
     private readonly versions: ConfigVersions,
     private readonly snapshots: ConfigSnapshots,
     private readonly log: EventLog,
-    private readonly target: FetchTarget
+    private readonly target: FetchReceiver
   ) {}
 
   /** Fetches everything up to a version. A call during another fetch waits for it, then fetches only if still behind. */
-  async fetch (mark: VersionMark): Promise<void> {
-    while (this.#running !== undefined) await this.#running
-    if (!this.#isBehind(mark)) return
-    this.#running = this.#fetchNow(mark).finally(() => { this.#running = undefined })
-    await this.#running
+  async fetch (wanted: VersionRef): Promise<void> {
+    while (this.#currentFetch !== undefined) await this.#currentFetch
+    if (!this.#isBehind(wanted)) return
+    this.#currentFetch = this.#fetchNow(wanted).finally(() => { this.#currentFetch = undefined })
+    await this.#currentFetch
   }
 
   /** Loads the newest version that the object store contains and that verifies. */
@@ -39,25 +39,25 @@
     const candidate = newest.toMaybe().chain(found => found).extractNullable()
     if (candidate === null) return
     this.target.deliver('snapshot', candidate)
-    if (this.target.version() === undefined) this.#deliverParts(candidate)
+    if (this.target.version() === undefined) this.#deliverSeparately(candidate)
   }
 
   /** Delivers the snapshot and each row separately, so that the versions before a faulty one are still applied. */
-  #deliverParts ({ whole, rows }: ConfigCandidate): void {
+  #deliverSeparately ({ whole, rows }: ConfigCandidate): void {
     if (whole !== undefined) this.target.deliver('snapshot', { whole, rows: [] })
     for (const row of rows) this.target.deliver('snapshot', { rows: [row] })
   }
 
-  async #fetchNow (mark: VersionMark): Promise<void> {
-    const usedSnapshot = await this.#fetchOnce(mark, true)
-    if (usedSnapshot && this.#isBehind(mark)) await this.#fetchOnce(mark, false)
+  async #fetchNow (wanted: VersionRef): Promise<void> {
+    const usedSnapshot = await this.#fetchOnce(wanted, true)
+    if (usedSnapshot && this.#isBehind(wanted)) await this.#fetchOnce(wanted, false)
   }
 
   /**
    * @returns whether a snapshot was used
    */
-  async #fetchOnce (mark: VersionMark, useSnapshots: boolean): Promise<boolean> {
-    const candidate = await this.versions.candidate(this.target.version() ?? 0, mark, useSnapshots)
+  async #fetchOnce (wanted: VersionRef, useSnapshots: boolean): Promise<boolean> {
+    const candidate = await this.versions.candidate(this.target.version() ?? 0, wanted, useSnapshots)
     return candidate.caseOf({
       Left: failure => {
         this.log.write('configUnreachable', { version: this.target.version(), code: failure.code, detail: failure.message })
@@ -70,8 +70,8 @@
     })
   }
 
-  #isBehind (mark: VersionMark): boolean {
+  #isBehind (wanted: VersionRef): boolean {
     const version = this.target.version()
-    return version === undefined || version < mark.version
+    return version === undefined || version < wanted.version
   }
 }
--- a/packages/rosemaryspread/src/config/configHints.ts
+++ b/packages/rosemaryspread/src/config/configHints.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 
 /** Minimum time between two refreshes. */
-const LEAST_MS = 500
+const MIN_REFRESH_INTERVAL_MS = 500
 
 /** Triggers refreshes by advertised versions. */
 export class VersionHints {
-  private askedAt = -Infinity
+  private refreshedAt = -Infinity
   private ask: () => void = () => {}
 
   /**
@@ -18,15 +18,15 @@
   constructor (private readonly clock: Clock, private readonly inForce: () => number | undefined) {}
 
   /** Sets the callback for a higher version. */
-  onHint (ask: () => void): void {
-    this.ask = ask
+  onHint (refresh: () => void): void {
+    this.ask = refresh
   }
 
   /** Handles a version that is in force on another VM. */
-  heard (version: number): void {
+  onAdvertised (version: number): void {
     const { mono } = this.clock.now()
-    if (version <= (this.inForce() ?? -1) || mono - this.askedAt < LEAST_MS) return
-    this.askedAt = mono
+    if (version <= (this.inForce() ?? -1) || mono - this.refreshedAt < MIN_REFRESH_INTERVAL_MS) return
+    this.refreshedAt = mono
     this.ask()
   }
 }
--- a/packages/rosemaryspread/src/config/configPatcher.ts
+++ b/packages/rosemaryspread/src/config/configPatcher.ts
@@ -6,17 +6,17 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { digestOf } from '@rosemaryspread/decisions/config/configDigest.js'
-import { preparePatch, type HeldConfig, type PreparedPatch } from '@rosemaryspread/decisions/config/configPatch.js'
-import { PATCH_TABLE, patchRowSchema, VERSION_TABLE, versionKey, type VersionMark, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
+import { preparePatch, type VerifiedConfig, type PreparedPatch } from '@rosemaryspread/decisions/config/configPatch.js'
+import { PATCH_TABLE, patchRowSchema, VERSION_TABLE, versionKey, type VersionRef, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { PatchRequest } from '@rosemaryspread/operators/admin/adminTypes.js'
 import { transactUntilKnown, type TransactBuild, type TransactSettled } from '@rosemaryspread/infra/table/tableTransact.js'
 import type { ReadAnswer, Row, RowKey, TableStore, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import { currentKey, parseRow, type ConfigReader } from './configReader.js'
-import { pauseOn, type ConfigStoreParts } from './configTypes.js'
+import { delay, type ConfigStoreDeps } from './configTypes.js'
 
-const ATTEMPTS = 8
-const PAUSE_MS = 50
-const MAX_PAUSE_MS = 1_000
+const MAX_ATTEMPTS = 8
+const RETRY_PAUSE_MS = 50
+const MAX_RETRY_PAUSE_MS = 1_000
 const RETRY_AFTER_MS = 2_000
 
 /** A patch that was accepted, by this call or an earlier one. */
@@ -24,15 +24,15 @@
   readonly version: number
   readonly repeated: boolean
   /** The version and its row, when this call created it. */
-  readonly made?: { readonly held: HeldConfig, readonly row: VersionRow }
+  readonly created?: { readonly held: VerifiedConfig, readonly row: VersionRow }
 }
 
 /** Commits one patch. */
 export class ConfigPatcher {
   readonly #digest: string
-  #made: { held: HeldConfig, row: VersionRow } | undefined
+  #created: { held: VerifiedConfig, row: VersionRow } | undefined
   /** Time of the first attempt; later attempts write the same row. */
-  #at: number | undefined
+  #firstAttemptAt: number | undefined
 
   /**
    * @param table - the table service with confirmed reads
@@ -41,8 +41,8 @@
   constructor (
     private readonly table: TableStore,
     private readonly reader: ConfigReader,
-    private readonly parts: ConfigStoreParts,
-    private readonly inForce: () => HeldConfig | undefined,
+    private readonly parts: ConfigStoreDeps,
+    private readonly inForce: () => VerifiedConfig | undefined,
     private readonly req: PatchRequest
   ) {
     this.#digest = digestOf(req.patch)
@@ -54,23 +54,23 @@
    * the patch was not accepted; `platformOutcomeUnknown` when that is open
    */
   async accept (): Promise<Either<Failure, AcceptedPatch>> {
-    const make: TransactBuild = { keys: this.#keys(), build: read => this.#transaction(read) }
+    const transaction: TransactBuild = { keys: this.#keys(), build: read => this.#buildTransaction(read) }
     const limits = {
-      attempts: ATTEMPTS,
-      pauseMs: PAUSE_MS,
-      maxPauseMs: MAX_PAUSE_MS,
-      pause: async (ms: number) => { await pauseOn(this.parts.timers, ms) },
+      attempts: MAX_ATTEMPTS,
+      pauseMs: RETRY_PAUSE_MS,
+      maxPauseMs: MAX_RETRY_PAUSE_MS,
+      pause: async (ms: number) => { await delay(this.parts.timers, ms) },
       random: this.parts.random
     }
-    const settled = await transactUntilKnown(this.table, make, rows => this.#isApplied(rows[1] ?? null), limits)
-    return settled.mapLeft(explain).chain(outcome => this.#accepted(outcome))
+    const settled = await transactUntilKnown(this.table, transaction, rows => this.#isApplied(rows[1] ?? null), limits)
+    return settled.mapLeft(toPatchFailure).chain(outcome => this.#toAccepted(outcome))
   }
 
   /** Validates the patch as {@link accept} would, without writing. */
   async check (): Promise<Either<Failure, AcceptedPatch>> {
     const read = await this.table.read(this.#keys())
     return read.chain(answer => this.#isApplied(answer.rows[1] ?? null)
-      ? this.#accepted({ how: 'before', read: answer })
+      ? this.#toAccepted({ how: 'before', read: answer })
       : this.#prepare(answer, answer.now).map(({ next }) => ({ version: next.version, repeated: false })))
   }
 
@@ -82,12 +82,12 @@
     return row !== null && parseRow(patchRowSchema, row).map(({ digest }) => digest === this.#digest).orDefault(false)
   }
 
-  #transaction (read: ReadAnswer): Either<Failure, Transaction> {
-    const at = this.#at ??= read.now
+  #buildTransaction (read: ReadAnswer): Either<Failure, Transaction> {
+    const at = this.#firstAttemptAt ??= read.now
     return this.#prepare(read, at).map(({ patch, delta, next }) => {
       const { patchId, author } = this.req
       const row: VersionRow = { version: next.version, digest: next.digest, patchId, author, at, patch: [...patch], delta: [...delta] }
-      this.#made = { held: next, row }
+      this.#created = { held: next, row }
       const [current, patchKey] = this.#keys() as [RowKey, RowKey]
       const versionRow = { table: VERSION_TABLE, key: versionKey(next.version) }
       return {
@@ -103,34 +103,34 @@
 
   #prepare (read: ReadAnswer, at: number): Either<Failure, PreparedPatch> {
     if (read.rows[1] != null) return Left(new Failure('patchIdReused', `patch id '${this.req.patchId}' belongs to another patch`))
-    return this.reader.markOf(read.rows[0] ?? null)
-      .chain(mark => this.#base(mark))
+    return this.reader.parseCurrentRow(read.rows[0] ?? null)
+      .chain(ref => this.#resolveBase(ref))
       .chain(base => preparePatch(base, this.req.patch, at))
   }
 
-  #base (mark: VersionMark): Either<Failure, HeldConfig> {
-    const held = this.inForce()
-    if (mark.version !== this.req.base) {
-      return Left(new Failure('configConflict', `the patch is based on version ${this.req.base}, the current version is ${mark.version}`))
+  #resolveBase (ref: VersionRef): Either<Failure, VerifiedConfig> {
+    const current = this.inForce()
+    if (ref.version !== this.req.base) {
+      return Left(new Failure('configConflict', `the patch is based on version ${this.req.base}, the current version is ${ref.version}`))
     }
-    if (held?.version === mark.version && held.digest === mark.digest) return Right(held)
-    const detail = `version ${mark.version} is not in force on this VM yet`
+    if (current?.version === ref.version && current.digest === ref.digest) return Right(current)
+    const detail = `version ${ref.version} is not in force on this VM yet`
     return Left(new Failure('configNotLoaded', detail, { retryAfterMs: RETRY_AFTER_MS }))
   }
 
-  #accepted (outcome: TransactSettled): Either<Failure, AcceptedPatch> {
+  #toAccepted (outcome: TransactSettled): Either<Failure, AcceptedPatch> {
     const repeated = outcome.how === 'before'
-    const made = this.#made
-    if (outcome.how === 'answered' && made !== undefined) return Right({ version: made.held.version, repeated, made })
+    const created = this.#created
+    if (outcome.how === 'answered' && created !== undefined) return Right({ version: created.held.version, repeated, created })
     const row = outcome.read.rows[1]
     if (row == null) return Left(new Failure('internal', 'the patch row is missing', { ran: 'unknown' }))
-    return parseRow(patchRowSchema, row).map(({ version }) => made?.held.version === version && !repeated
-      ? { version, repeated, made }
+    return parseRow(patchRowSchema, row).map(({ version }) => created?.held.version === version && !repeated
+      ? { version, repeated, created }
       : { version, repeated })
   }
 }
 
-function explain (failure: Failure): Failure {
+function toPatchFailure (failure: Failure): Failure {
   const { message, errors } = failure
   switch (failure.code) {
     case 'platformOutcomeUnknown':
--- a/packages/rosemaryspread/src/config/configReader.ts
+++ b/packages/rosemaryspread/src/config/configReader.ts
@@ -4,7 +4,7 @@
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { CURRENT_KEY, CURRENT_TABLE, currentRowSchema, VERSION_TABLE, versionKey, versionRowSchema, type VersionMark, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
+import { CURRENT_KEY, CURRENT_TABLE, currentRowSchema, VERSION_TABLE, versionKey, versionRowSchema, type VersionRef, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ReadAnswer, Row, RowKey, ScanAnswer, ScanRequest, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import type { z } from 'zod'
 
@@ -33,11 +33,11 @@
   /**
    * @param initial - version 0, current while no patch was accepted
    */
-  constructor (private readonly table: TableStore, private readonly origin: VersionMark) {}
+  constructor (private readonly table: TableStore, private readonly initial: VersionRef) {}
 
-  async current (table: TableStore): Promise<Either<Failure, VersionMark>> {
+  async current (table: TableStore): Promise<Either<Failure, VersionRef>> {
     const answer = await table.read([currentKey])
-    return answer.chain(({ rows }) => this.markOf(rows[0] ?? null))
+    return answer.chain(({ rows }) => this.parseCurrentRow(rows[0] ?? null))
   }
 
   /**
@@ -45,15 +45,15 @@
    * behind thus needs a single call.
    * @param version - the version in force
    */
-  async poll (version: number): Promise<Either<Failure, { readonly mark: VersionMark, readonly rows: readonly VersionRow[] }>> {
+  async poll (version: number): Promise<Either<Failure, { readonly mark: VersionRef, readonly rows: readonly VersionRow[] }>> {
     const answer = await this.table.read([currentKey, { table: VERSION_TABLE, key: versionKey(version + 1) }])
-    return answer.chain(({ rows: [current, next] }) => this.markOf(current ?? null)
+    return answer.chain(({ rows: [current, next] }) => this.parseCurrentRow(current ?? null)
       .chain(mark => parseAll(next == null ? [] : [next]).map(rows => ({ mark, rows }))))
   }
 
   /** The version that the row `config/current` names; version 0 without a row. */
-  markOf (row: Row | null): Either<Failure, VersionMark> {
-    if (row === null) return Right(this.origin)
+  parseCurrentRow (row: Row | null): Either<Failure, VersionRef> {
+    if (row === null) return Right(this.initial)
     return parseRow(currentRowSchema, row).map(({ version, digest }) => ({ version, digest }))
   }
 
@@ -117,8 +117,8 @@
       const confirmed = await this.table.transact({ checks, writes: [] })
       if (confirmed.isRight()) return answer
       const failure = confirmed.extract() as Failure
-      const isOpen = failure.code === 'platformConflict' || failure.code === 'platformOutcomeUnknown'
-      if (!isOpen) return Left(new Failure('platformUnavailable', failure.message))
+      const isRetryable = failure.code === 'platformConflict' || failure.code === 'platformOutcomeUnknown'
+      if (!isRetryable) return Left(new Failure('platformUnavailable', failure.message))
     }
     return Left(new Failure('platformUnavailable', 'no read of the table could be confirmed'))
   }
--- a/packages/rosemaryspread/src/config/configSnapshots.ts
+++ b/packages/rosemaryspread/src/config/configSnapshots.ts
@@ -6,57 +6,57 @@
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ConfigCandidate } from '@rosemaryspread/decisions/config/configDecider.js'
-import type { HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
-import { deltaName, LATEST_OBJECT, SNAPSHOT_EVERY, snapshotName, versionMarkSchema, versionRowSchema, wholeConfigSchema, type VersionMark, type VersionRow, type WholeConfig } from '@rosemaryspread/decisions/config/configRows.js'
+import type { VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { deltaName, LATEST_OBJECT, SNAPSHOT_INTERVAL_VERSIONS, snapshotName, versionRefSchema, versionRowSchema, fullConfigSchema, type VersionRef, type VersionRow, type FullConfig } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { z } from 'zod'
 
 /** Delta objects fetched at once. */
-const WALK_WIDTH = 8
+const DELTA_BATCH_SIZE = 8
 /** Versions that the newest snapshot may lag before any VM writes a newer one. */
-const MAX_LAG = 2 * SNAPSHOT_EVERY
+const MAX_SNAPSHOT_LAG_VERSIONS = 2 * SNAPSHOT_INTERVAL_VERSIONS
 
 /** Snapshots and delta objects. */
 export class ConfigSnapshots {
   constructor (private readonly objects: ObjectStore) {}
 
   /** Version and digest of the newest snapshot, if any. */
-  async latest (): Promise<Either<Failure, Maybe<VersionMark>>> {
-    return await this.#get(LATEST_OBJECT, versionMarkSchema)
+  async latest (): Promise<Either<Failure, Maybe<VersionRef>>> {
+    return await this.#get(LATEST_OBJECT, versionRefSchema)
   }
 
   /**
    * Reads a snapshot. Only the version and digest that it states are compared; its content is verified before
    * it comes into force.
    */
-  async whole (mark: VersionMark): Promise<Either<Failure, Maybe<WholeConfig>>> {
-    const found = await this.#get(snapshotName(mark), wholeConfigSchema)
-    return found.map(whole => whole.filter(({ version, digest }) => version === mark.version && digest === mark.digest))
+  async whole (ref: VersionRef): Promise<Either<Failure, Maybe<FullConfig>>> {
+    const found = await this.#get(snapshotName(ref), fullConfigSchema)
+    return found.map(whole => whole.filter(({ version, digest }) => version === ref.version && digest === ref.digest))
   }
 
   /** The newest versions in the object store: the newest snapshot and all deltas after it. */
   async newest (): Promise<Either<Failure, Maybe<ConfigCandidate>>> {
     const latest = await this.latest()
     if (latest.isLeft()) return latest
-    const mark = latest.unsafeCoerce().extractNullable()
-    const whole = mark === null ? Nothing : (await this.whole(mark)).orDefault(Nothing)
-    const rows = await this.#walk(whole.map(({ version }) => version).orDefault(0))
+    const ref = latest.unsafeCoerce().extractNullable()
+    const whole = ref === null ? Nothing : (await this.whole(ref)).orDefault(Nothing)
+    const rows = await this.#readDeltas(whole.map(({ version }) => version).orDefault(0))
     if (whole.isNothing() && rows.length === 0) return Right(Nothing)
-    return Right(Just({ rows, ...whole.map(found => ({ whole: found })).orDefault({} as { whole: WholeConfig }) }))
+    return Right(Just({ rows, ...whole.map(found => ({ whole: found })).orDefault({} as { whole: FullConfig }) }))
   }
 
   /** Writes an accepted version. When the delta before it is missing, a snapshot closes the gap. */
-  async keep (row: VersionRow, held: HeldConfig): Promise<Either<Failure, void>> {
+  async keep (row: VersionRow, held: VerifiedConfig): Promise<Either<Failure, void>> {
     const put = await this.#put(deltaName(row.version), row)
     if (put.isLeft()) return put
-    const due = row.version % SNAPSHOT_EVERY === 0 || !await this.#has(row.version - 1)
-    return due ? await this.snapshot(held) : put
+    const isSnapshotDue = row.version % SNAPSHOT_INTERVAL_VERSIONS === 0 || !await this.#hasDelta(row.version - 1)
+    return isSnapshotDue ? await this.snapshot(held) : put
   }
 
   /** Writes a snapshot, and the pointer to it unless that names a newer one. */
-  async snapshot (held: HeldConfig): Promise<Either<Failure, void>> {
+  async snapshot (held: VerifiedConfig): Promise<Either<Failure, void>> {
     const { version, digest, document } = held
-    const put = await this.#put(snapshotName(held), { version, digest, document } satisfies WholeConfig)
+    const put = await this.#put(snapshotName(held), { version, digest, document } satisfies FullConfig)
     if (put.isLeft()) return put
     const latest = await this.latest()
     const newest = latest.orDefault(Nothing).map(mark => mark.version).orDefault(-1)
@@ -67,31 +67,31 @@
    * Writes a snapshot when the version in force cannot be restored from the object store.
    * @returns whether one was written
    */
-  async repair (held: HeldConfig): Promise<Either<Failure, boolean>> {
+  async repair (held: VerifiedConfig): Promise<Either<Failure, boolean>> {
     if (held.version === 0) return Right(false)
     const latest = await this.latest()
     if (latest.isLeft()) return latest
     const newest = latest.unsafeCoerce().map(mark => mark.version).orDefault(0)
-    const reached = held.version <= newest || (held.version - newest < MAX_LAG && await this.#has(held.version))
-    if (reached) return Right(false)
+    const isRestorable = held.version <= newest || (held.version - newest < MAX_SNAPSHOT_LAG_VERSIONS && await this.#hasDelta(held.version))
+    if (isRestorable) return Right(false)
     return (await this.snapshot(held)).map(() => true)
   }
 
-  async #walk (after: number): Promise<VersionRow[]> {
+  async #readDeltas (after: number): Promise<VersionRow[]> {
     const rows: VersionRow[] = []
     for (;;) {
       const first = after + rows.length + 1
-      const names = Array.from({ length: WALK_WIDTH }, (_, index) => deltaName(first + index))
+      const names = Array.from({ length: DELTA_BATCH_SIZE }, (_, index) => deltaName(first + index))
       const page = await Promise.all(names.map(async name => await this.#get(name, versionRowSchema)))
       const found = page.map(result => result.orDefault(Nothing).extractNullable())
       const gap = found.findIndex(row => row === null)
-      const kept = gap < 0 ? found : found.slice(0, gap)
-      rows.push(...kept.filter(row => row !== null))
+      const consecutive = gap < 0 ? found : found.slice(0, gap)
+      rows.push(...consecutive.filter(row => row !== null))
       if (gap >= 0) return rows
     }
   }
 
-  async #has (version: number): Promise<boolean> {
+  async #hasDelta (version: number): Promise<boolean> {
     if (version <= 0) return true
     const found = await this.#get(deltaName(version), versionRowSchema)
     return found.orDefault(Nothing).isJust()
--- a/packages/rosemaryspread/src/config/configSpread.ts
+++ b/packages/rosemaryspread/src/config/configSpread.ts
@@ -6,11 +6,11 @@
 import type { Either } from 'purify-ts'
 import * as z from 'zod'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
-import { versionMarkSchema, versionRowSchema, wholeConfigSchema, type VersionMark } from '@rosemaryspread/decisions/config/configRows.js'
-import type { HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { versionRefSchema, versionRowSchema, fullConfigSchema, type VersionRef } from '@rosemaryspread/decisions/config/configRows.js'
+import type { VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { ConfigStore } from './configStore.js'
-import type { ConfigPeers, ConfigSpreadSettings, ConfigTimers } from './configTypes.js'
+import type { ConfigPeers, ConfigPropagationSettings, ConfigTimers } from './configTypes.js'
 
 /** Method that notifies a peer of a version. */
 export const PUSH_METHOD = 'config.push'
@@ -18,20 +18,20 @@
 export const FETCH_METHOD = 'config.fetch'
 
 /** Bound of the polls of the whole fleet, to limit the load on the table. */
-const FLEET_POLLS_PER_SECOND = 100
-const SECOND_MS = 1_000
+const MAX_FLEET_POLLS_PER_SECOND = 100
+const MS_PER_SECOND = 1_000
 /** Maximum random deviation of a period, as a fraction of it. */
 const JITTER = 0.2
 
-const pushSchema = versionMarkSchema.extend({
+const pushSchema = versionRefSchema.extend({
   /** Peer address of the sender. */
   from: z.string()
 })
 const fetchSchema = z.object({ after: z.number().int().nonnegative().optional() })
-const fetchAnswerSchema = z.object({ whole: wholeConfigSchema.optional(), rows: z.array(versionRowSchema) }).nullable()
+const fetchResponseSchema = z.object({ whole: fullConfigSchema.optional(), rows: z.array(versionRowSchema) }).nullable()
 
 /** Dependencies of {@link ConfigPropagation}. */
-export interface ConfigSpreadParts {
+export interface ConfigPropagationDeps {
   readonly store: ConfigStore
   readonly peers: ConfigPeers
   /** Address under which peers reach this VM. */
@@ -39,7 +39,7 @@
   readonly timers: ConfigTimers
   readonly random: () => number
   readonly log: EventLog
-  readonly settings: ConfigSpreadSettings
+  readonly settings: ConfigPropagationSettings
 }
 
 /**
@@ -47,7 +47,7 @@
  * @param vms - VMs of the fleet
  */
 export function pollPeriod (pollMs: number, vms: number): number {
-  return Math.max(pollMs, vms * SECOND_MS / FLEET_POLLS_PER_SECOND)
+  return Math.max(pollMs, vms * MS_PER_SECOND / MAX_FLEET_POLLS_PER_SECOND)
 }
 
 function parseParams<T> (schema: z.ZodType<T>, params: unknown): T {
@@ -57,23 +57,23 @@
 }
 
 /** Configuration propagation of one VM. */
-export class ConfigSpread {
-  readonly #parts: ConfigSpreadParts
+export class ConfigPropagation {
+  readonly #deps: ConfigPropagationDeps
   #stopped = true
-  #reachable = true
+  #isTableReachable = true
   #cancels = new Set<() => void>()
 
-  constructor (parts: ConfigSpreadParts) {
-    this.#parts = parts
-    parts.store.onChange(held => this.#push(held))
+  constructor (deps: ConfigPropagationDeps) {
+    this.#deps = deps
+    deps.store.onChange(held => this.#push(held))
   }
 
   /** Starts polling. */
   start (): void {
     if (!this.#stopped) return
     this.#stopped = false
-    this.#repeat(() => pollPeriod(this.#parts.settings.pollMs, this.#vms()), async () => { await this.poll() })
-    this.#repeat(() => this.#parts.settings.repairMs * Math.max(1, this.#vms() / FLEET_POLLS_PER_SECOND), async () => { await this.#repair() })
+    this.#scheduleRepeated(() => pollPeriod(this.#deps.settings.pollMs, this.#fleetSize()), async () => { await this.poll() })
+    this.#scheduleRepeated(() => this.#deps.settings.repairMs * Math.max(1, this.#fleetSize() / MAX_FLEET_POLLS_PER_SECOND), async () => { await this.#repair() })
   }
 
   /** Stops polling; requests of peers are still served. */
@@ -85,12 +85,12 @@
 
   /** Looks once for a higher version: in the table, and at one peer when the table is unavailable or behind. */
   async poll (): Promise<void> {
-    const outcome = await this.#parts.store.refresh()
-    this.#noteReachable(outcome)
-    const { heard, version } = this.#parts.store.status
-    const isBehind = version === undefined || (heard ?? 0) > version
+    const outcome = await this.#deps.store.refresh()
+    this.#updateReachability(outcome)
+    const { advertised, version } = this.#deps.store.status
+    const isBehind = version === undefined || (advertised ?? 0) > version
     if (outcome.isRight() && !isBehind) return
-    const address = this.#pick(1)[0]
+    const address = this.#pickPeers(1)[0]
     if (address !== undefined) await this.#fetchFrom(address)
   }
 
@@ -101,10 +101,10 @@
    */
   async onPush (params: unknown): Promise<unknown> {
     const push = parseParams(pushSchema, params)
-    const held = this.#parts.store.inForce
+    const held = this.#deps.store.inForce
     if (held === undefined || held.version >= push.version) return null
-    this.#later(this.#parts.settings.hedgeMs, () => this.#hedge(push, push.from))
-    this.#run(this.#parts.store.hear('peer', { version: push.version, digest: push.digest }))
+    this.#schedule(this.#deps.settings.hedgeMs, () => this.#hedgeFetch(push, push.from))
+    this.#runInBackground(this.#deps.store.onAdvertised('peer', { version: push.version, digest: push.digest }))
     return null
   }
 
@@ -114,79 +114,79 @@
    */
   async onFetch (params: unknown): Promise<unknown> {
     const { after } = parseParams(fetchSchema, params)
-    return this.#parts.store.candidateAfter(after) ?? null
+    return this.#deps.store.candidateAfter(after) ?? null
   }
 
-  #vms (): number {
-    return this.#parts.peers.addresses().length + 1
+  #fleetSize (): number {
+    return this.#deps.peers.addresses().length + 1
   }
 
-  #push (held: HeldConfig): void {
-    const { settings, peers, address } = this.#parts
+  #push (held: VerifiedConfig): void {
+    const { settings, peers, address } = this.#deps
     const params = { version: held.version, digest: held.digest, from: address }
-    for (const peer of this.#pick(settings.fanout)) {
-      this.#run(peers.call(peer, PUSH_METHOD, params, settings.peerTimeoutMs))
+    for (const peer of this.#pickPeers(settings.fanout)) {
+      this.#runInBackground(peers.call(peer, PUSH_METHOD, params, settings.peerTimeoutMs))
     }
   }
 
-  #hedge (mark: VersionMark, peer: string): void {
-    const held = this.#parts.store.inForce
-    if (held === undefined || held.version < mark.version) this.#run(this.#fetchFrom(peer))
+  #hedgeFetch (ref: VersionRef, peer: string): void {
+    const held = this.#deps.store.inForce
+    if (held === undefined || held.version < ref.version) this.#runInBackground(this.#fetchFrom(peer))
   }
 
   async #fetchFrom (peer: string): Promise<void> {
-    const { store, peers, settings, log } = this.#parts
+    const { store, peers, settings, log } = this.#deps
     const after = store.inForce?.version
     const outcome = await peers.call(peer, FETCH_METHOD, after === undefined ? {} : { after }, settings.peerTimeoutMs)
     outcome.caseOf({
       Left: failure => log.write('peerFault', { peer, method: FETCH_METHOD, code: failure.code }),
       Right: value => {
-        const answer = fetchAnswerSchema.safeParse(value)
+        const answer = fetchResponseSchema.safeParse(value)
         if (!answer.success) log.write('peerFault', { peer, method: FETCH_METHOD, code: 'badRequest' })
         else if (answer.data !== null) store.deliver('peer', answer.data)
       }
     })
   }
 
-  #noteReachable (outcome: Either<Failure, unknown>): void {
-    const reachable = outcome.isRight()
-    if (this.#reachable && !reachable) {
+  #updateReachability (outcome: Either<Failure, unknown>): void {
+    const isReachable = outcome.isRight()
+    if (this.#isTableReachable && !isReachable) {
       const code = outcome.swap().map(failure => failure.code).extract()
-      this.#parts.log.write('configUnreachable', { version: this.#parts.store.inForce?.version, code })
+      this.#deps.log.write('configUnreachable', { version: this.#deps.store.inForce?.version, code })
     }
-    this.#reachable = reachable
+    this.#isTableReachable = isReachable
   }
 
   async #repair (): Promise<void> {
-    const held = this.#parts.store.inForce
-    if (held !== undefined) await this.#parts.store.snapshots.repair(held)
+    const held = this.#deps.store.inForce
+    if (held !== undefined) await this.#deps.store.snapshots.repair(held)
   }
 
   /** Random peers, each with the same probability. */
-  #pick (count: number): readonly string[] {
-    const all = [...this.#parts.peers.addresses()]
+  #pickPeers (count: number): readonly string[] {
+    const all = [...this.#deps.peers.addresses()]
     const picked: string[] = []
     while (picked.length < count && all.length > 0) {
-      const index = Math.floor(this.#parts.random() * all.length)
+      const index = Math.floor(this.#deps.random() * all.length)
       picked.push(...all.splice(index, 1))
     }
     return picked
   }
 
-  #repeat (period: () => number, work: () => Promise<void>): void {
-    const ms = period() * (1 + JITTER * (2 * this.#parts.random() - 1))
-    this.#later(ms, () => {
-      this.#run(work().finally(() => { if (!this.#stopped) this.#repeat(period, work) }))
+  #scheduleRepeated (period: () => number, work: () => Promise<void>): void {
+    const ms = period() * (1 + JITTER * (2 * this.#deps.random() - 1))
+    this.#schedule(ms, () => {
+      this.#runInBackground(work().finally(() => { if (!this.#stopped) this.#scheduleRepeated(period, work) }))
     })
   }
 
   /** Runs work in the background and logs its failure. */
-  #run (work: Promise<unknown>): void {
-    work.catch(err => this.#parts.log.write('fault', { err: toFailure(err).message }))
+  #runInBackground (work: Promise<unknown>): void {
+    work.catch(err => this.#deps.log.write('fault', { err: toFailure(err).message }))
   }
 
-  #later (ms: number, fn: () => void): void {
-    const cancel = this.#parts.timers.after(ms, () => {
+  #schedule (ms: number, fn: () => void): void {
+    const cancel = this.#deps.timers.after(ms, () => {
       this.#cancels.delete(cancel)
       fn()
     })
--- a/packages/rosemaryspread/src/config/configStore.ts
+++ b/packages/rosemaryspread/src/config/configStore.ts
@@ -5,15 +5,15 @@
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
-import { ConfigHolder, type ConfigAction, type ConfigCandidate, type ConfigDecider, type ConfigEvent, type ConfigSource, type ConfigStatus } from '@rosemaryspread/decisions/config/configDecider.js'
-import { firstConfig, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
-import type { VersionMark } from '@rosemaryspread/decisions/config/configRows.js'
+import { MonotonicConfigDecider, type ConfigAction, type ConfigCandidate, type ConfigDecider, type ConfigEvent, type ConfigSource, type ConfigStatus } from '@rosemaryspread/decisions/config/configDecider.js'
+import { initialConfig, type VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import type { VersionRef } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ConfigAnswer, HistoryEntry, PatchAnswer, PatchRequest } from '@rosemaryspread/operators/admin/adminTypes.js'
 import { ConfigFetcher } from './configFetcher.js'
 import { ConfigPatcher, type AcceptedPatch } from './configPatcher.js'
 import { ConfirmedTable, ConfigReader } from './configReader.js'
 import { ConfigSnapshots } from './configSnapshots.js'
-import { pauseOn, type ConfigListener, type ConfigStoreParts } from './configTypes.js'
+import { delay, type ConfigListener, type ConfigStoreDeps } from './configTypes.js'
 import { ConfigVersions } from './configVersions.js'
 import { RecentRows } from './recentRows.js'
 
@@ -21,40 +21,40 @@
 const MAX_HISTORY = 1_000
 
 export class ConfigStore {
-  readonly #parts: ConfigStoreParts
-  readonly #confirmed: ConfirmedTable
+  readonly #deps: ConfigStoreDeps
+  readonly #confirmedTable: ConfirmedTable
   readonly #reader: ConfigReader
   readonly #versions: ConfigVersions
-  readonly #holder: ConfigDecider
+  readonly #decider: ConfigDecider
   readonly #fetcher: ConfigFetcher
-  readonly #recent = new RecentRows()
+  readonly #recentRows = new RecentRows()
   readonly #listeners: ConfigListener[] = []
   readonly snapshots: ConfigSnapshots
 
   /**
    * @param decider - replaced in tests only
    */
-  constructor (parts: ConfigStoreParts, holder?: ConfigDecider) {
-    const origin = firstConfig()
-    this.#parts = parts
-    this.#confirmed = new ConfirmedTable(parts.table, async ms => { await pauseOn(parts.timers, ms) })
-    this.#reader = new ConfigReader(parts.table, origin)
-    this.snapshots = new ConfigSnapshots(parts.objects)
-    this.#versions = new ConfigVersions(this.#reader, this.snapshots, origin)
-    this.#holder = holder ?? new ConfigHolder(origin)
-    this.#fetcher = new ConfigFetcher(this.#versions, this.snapshots, parts.log, {
+  constructor (deps: ConfigStoreDeps, decider?: ConfigDecider) {
+    const initial = initialConfig()
+    this.#deps = deps
+    this.#confirmedTable = new ConfirmedTable(deps.table, async ms => { await delay(deps.timers, ms) })
+    this.#reader = new ConfigReader(deps.table, initial)
+    this.snapshots = new ConfigSnapshots(deps.objects)
+    this.#versions = new ConfigVersions(this.#reader, this.snapshots, initial)
+    this.#decider = decider ?? new MonotonicConfigDecider(initial)
+    this.#fetcher = new ConfigFetcher(this.#versions, this.snapshots, deps.log, {
       version: () => this.inForce?.version,
       deliver: (source, candidate) => this.deliver(source, candidate)
     })
   }
 
   /** The version in force; undefined before the first. */
-  get inForce (): HeldConfig | undefined {
-    return this.#holder.inForce
+  get inForce (): VerifiedConfig | undefined {
+    return this.#decider.inForce
   }
 
   get status (): ConfigStatus {
-    return this.#holder.status
+    return this.#decider.status
   }
 
   /**
@@ -70,9 +70,9 @@
    * store that verifies.
    * @returns the version in force, or `configNotLoaded`
    */
-  async load (): Promise<Either<Failure, HeldConfig>> {
+  async load (): Promise<Either<Failure, VerifiedConfig>> {
     const outcome = await this.refresh()
-    outcome.ifLeft(({ code }) => this.#parts.log.write('configUnreachable', { version: undefined, code }))
+    outcome.ifLeft(({ code }) => this.#deps.log.write('configUnreachable', { version: undefined, code }))
     if (this.inForce === undefined) await this.#fetcher.loadSnapshot()
     const held = this.inForce
     if (held !== undefined) return Right(held)
@@ -85,21 +85,21 @@
    * of it had in force.
    * @returns the failure of the read; the version in force stays
    */
-  async refresh (): Promise<Either<Failure, VersionMark>> {
+  async refresh (): Promise<Either<Failure, VersionRef>> {
     const held = this.inForce
     const found = held === undefined
-      ? (await this.#reader.current(this.#confirmed)).map(mark => ({ mark, rows: [] }))
+      ? (await this.#reader.current(this.#confirmedTable)).map(mark => ({ mark, rows: [] }))
       : await this.#reader.poll(held.version)
     if (found.isLeft()) return found
     const { mark, rows } = found.unsafeCoerce()
     if (rows.length > 0) this.deliver('table', { rows })
-    await this.hear('table', mark)
+    await this.onAdvertised('table', mark)
     return Right(mark)
   }
 
   /** Handles the newest version that a source advertises; fetches it when it is higher. */
-  async hear (source: ConfigSource, mark: VersionMark): Promise<void> {
-    for (const action of this.#decide({ kind: 'heard', source, mark })) {
+  async onAdvertised (source: ConfigSource, ref: VersionRef): Promise<void> {
+    for (const action of this.#decide({ kind: 'advertised', source, ref })) {
       if (action.kind === 'fetch') await this.#fetcher.fetch(action.target)
     }
   }
@@ -107,7 +107,7 @@
   /** Handles delivered versions; they come into force if they verify and are higher. */
   deliver (source: ConfigSource, candidate: ConfigCandidate): void {
     this.#decide({ kind: 'delivered', source, candidate })
-    if (this.inForce?.version === candidate.rows.at(-1)?.version) this.#recent.add(candidate.rows)
+    if (this.inForce?.version === candidate.rows.at(-1)?.version) this.#recentRows.add(candidate.rows)
   }
 
   /**
@@ -118,7 +118,7 @@
   candidateAfter (after: number | undefined): ConfigCandidate | undefined {
     const held = this.inForce
     if (held === undefined || (after !== undefined && after >= held.version)) return undefined
-    const rows = this.#recent.between(after ?? 0, held.version)
+    const rows = this.#recentRows.between(after ?? 0, held.version)
     if (rows !== undefined) return { rows }
     const { version, digest, document } = held
     return { whole: { version, digest, document }, rows: [] }
@@ -133,9 +133,9 @@
   async patch (req: PatchRequest): Promise<Either<Failure, PatchAnswer>> {
     const isBehind = (this.inForce?.version ?? -1) < req.base
     if (isBehind) await this.refresh()
-    const patcher = new ConfigPatcher(this.#confirmed, this.#reader, this.#parts, () => this.inForce, req)
+    const patcher = new ConfigPatcher(this.#confirmedTable, this.#reader, this.#deps, () => this.inForce, req)
     const outcome = req.dryRun ? await patcher.check() : await patcher.accept()
-    if (outcome.isLeft()) return Left(await this.#refused(req, outcome.extract() as Failure))
+    if (outcome.isLeft()) return Left(await this.#logRefusal(req, outcome.extract() as Failure))
     const accepted = outcome.unsafeCoerce()
     if (!req.dryRun) this.#applyAccepted(req, accepted)
     return Right({ version: accepted.version, repeated: accepted.repeated, dryRun: req.dryRun })
@@ -160,7 +160,7 @@
    * @param limit - maximum number of versions
    */
   async history (limit: number): Promise<Either<Failure, readonly HistoryEntry[]>> {
-    const current = await this.#reader.current(this.#confirmed)
+    const current = await this.#reader.current(this.#confirmedTable)
     if (current.isLeft()) return current
     const newest = current.unsafeCoerce().version
     const rows = await this.#reader.rows(Math.max(newest - Math.min(limit, MAX_HISTORY), 0), newest)
@@ -168,7 +168,7 @@
   }
 
   #decide (event: ConfigEvent): readonly ConfigAction[] {
-    const actions = this.#holder.decide(event, this.#parts.clock.now())
+    const actions = this.#decider.decide(event, this.#deps.clock.now())
     for (const action of actions) {
       if (action.kind === 'apply') this.#apply(action.source, action.held)
       if (action.kind === 'reject') this.#logUnverified(action)
@@ -176,36 +176,36 @@
     return actions
   }
 
-  #apply (source: ConfigSource, held: HeldConfig): void {
-    this.#parts.log.write('configApplied', { version: held.version, source })
+  #apply (source: ConfigSource, held: VerifiedConfig): void {
+    this.#deps.log.write('configApplied', { version: held.version, source })
     for (const listener of this.#listeners) {
       try {
         listener(held, source)
       } catch (err) {
-        this.#parts.log.write('fault', { err: toFailure(err).message })
+        this.#deps.log.write('fault', { err: toFailure(err).message })
       }
     }
   }
 
   #logUnverified ({ source, version, detail }: Extract<ConfigAction, { kind: 'reject' }>): void {
-    this.#parts.log.write('configUnverified', { source, version, detail })
+    this.#deps.log.write('configUnverified', { source, version, detail })
   }
 
-  #applyAccepted (req: PatchRequest, { version, repeated, made }: AcceptedPatch): void {
-    if (!repeated) this.#parts.log.write('configAccepted', { version, patchId: req.patchId, author: req.author })
-    if (made === undefined) return
-    this.#decide({ kind: 'accepted', source: 'patch', held: made.held })
-    this.#recent.add([made.row])
-    this.#keep(made).catch(err => this.#parts.log.write('fault', { err: toFailure(err).message }))
+  #applyAccepted (req: PatchRequest, { version, repeated, created }: AcceptedPatch): void {
+    if (!repeated) this.#deps.log.write('configAccepted', { version, patchId: req.patchId, author: req.author })
+    if (created === undefined) return
+    this.#decide({ kind: 'accepted', source: 'patch', held: created.held })
+    this.#recentRows.add([created.row])
+    this.#storeVersion(created).catch(err => this.#deps.log.write('fault', { err: toFailure(err).message }))
   }
 
-  async #keep ({ row, held }: NonNullable<AcceptedPatch['made']>): Promise<void> {
-    const kept = await this.snapshots.keep(row, held)
-    kept.ifLeft(failure => this.#parts.log.write('platformFault', { service: 'objects', operation: 'configSnapshot', code: failure.code }))
+  async #storeVersion ({ row, held }: NonNullable<AcceptedPatch['created']>): Promise<void> {
+    const stored = await this.snapshots.keep(row, held)
+    stored.ifLeft(failure => this.#deps.log.write('platformFault', { service: 'objects', operation: 'configSnapshot', code: failure.code }))
   }
 
-  async #refused (req: PatchRequest, failure: Failure): Promise<Failure> {
-    this.#parts.log.write('configRefused', { base: req.base, patchId: req.patchId, code: failure.code })
+  async #logRefusal (req: PatchRequest, failure: Failure): Promise<Failure> {
+    this.#deps.log.write('configRefused', { base: req.base, patchId: req.patchId, code: failure.code })
     if (failure.code !== 'configConflict') return failure
     await this.refresh()
     const changes = await this.#versions.changesSince(req.base, this.inForce?.version ?? 0)
--- a/packages/rosemaryspread/src/config/configTypes.ts
+++ b/packages/rosemaryspread/src/config/configTypes.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ConfigSource } from '@rosemaryspread/decisions/config/configDecider.js'
-import type { HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import type { VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -20,12 +20,12 @@
   after (ms: number, fn: () => void): () => void
 }
 
-export async function pauseOn (timers: ConfigTimers, ms: number): Promise<void> {
+export async function delay (timers: ConfigTimers, ms: number): Promise<void> {
   await new Promise<void>(resolve => { timers.after(ms, resolve) })
 }
 
 /** Dependencies of {@link ConfigStore}. */
-export interface ConfigStoreParts {
+export interface ConfigStoreDeps {
   readonly table: TableStore
   readonly objects: ObjectStore
   readonly clock: Clock
@@ -49,10 +49,10 @@
 }
 
 /** Notified of each version that comes into force, in order, with its source. */
-export type ConfigListener = (held: HeldConfig, source: ConfigSource) => void
+export type ConfigListener = (held: VerifiedConfig, source: ConfigSource) => void
 
 /** Periods and sizes of the propagation. */
-export interface ConfigSpreadSettings {
+export interface ConfigPropagationSettings {
   /** Milliseconds between polls of the current version; longer in large fleets, see `pollPeriod`. */
   readonly pollMs: number
   /** Peers that each VM notifies of a new version. */
@@ -66,7 +66,7 @@
 }
 
 /** Suitable for fleets of 6 to 360 VMs. */
-export const defaultSpread: ConfigSpreadSettings = {
+export const defaultPropagationSettings: ConfigPropagationSettings = {
   pollMs: 1_000,
   fanout: 8,
   hedgeMs: 250,
--- a/packages/rosemaryspread/src/config/configVersions.ts
+++ b/packages/rosemaryspread/src/config/configVersions.ts
@@ -5,8 +5,8 @@
 import { Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ConfigCandidate } from '@rosemaryspread/decisions/config/configDecider.js'
-import { holdDocument, replayRows, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
-import { SNAPSHOT_EVERY, type VersionMark, type VersionRow, type WholeConfig } from '@rosemaryspread/decisions/config/configRows.js'
+import { verifyDocument, replayRows, type VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { SNAPSHOT_INTERVAL_VERSIONS, type VersionRef, type VersionRow, type FullConfig } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ConfigReader } from './configReader.js'
 import type { ConfigSnapshots } from './configSnapshots.js'
 
@@ -19,7 +19,7 @@
   constructor (
     private readonly reader: ConfigReader,
     private readonly snapshots: ConfigSnapshots,
-    private readonly origin: HeldConfig
+    private readonly initial: VerifiedConfig
   ) {}
 
   /**
@@ -27,13 +27,13 @@
    * @param after - the version in force, or 0
    * @param useSnapshots - false after a snapshot failed to verify
    */
-  async candidate (after: number, target: VersionMark, useSnapshots: boolean): Promise<Either<Failure, ConfigCandidate>> {
-    const isFar = target.version - after > SNAPSHOT_EVERY
-    const whole = isFar && useSnapshots ? await this.#newestWhole(target.version) : Nothing
+  async candidate (after: number, wanted: VersionRef, useSnapshots: boolean): Promise<Either<Failure, ConfigCandidate>> {
+    const isFar = wanted.version - after > SNAPSHOT_INTERVAL_VERSIONS
+    const whole = isFar && useSnapshots ? await this.#newestSnapshot(wanted.version) : Nothing
     const usable = whole
-      .filter(({ version, digest }) => version > after && (version < target.version || digest === target.digest))
+      .filter(({ version, digest }) => version > after && (version < wanted.version || digest === wanted.digest))
       .extract()
-    const rows = await this.reader.rows(usable?.version ?? after, target.version)
+    const rows = await this.reader.rows(usable?.version ?? after, wanted.version)
     return rows.map(found => usable === undefined ? { rows: found } : { whole: usable, rows: found })
   }
 
@@ -41,11 +41,11 @@
    * Reads a full version.
    * @returns `notFound`, or a failure of the platform
    */
-  async at (version: number): Promise<Either<Failure, HeldConfig>> {
-    if (version === 0) return Right(this.origin)
+  async at (version: number): Promise<Either<Failure, VerifiedConfig>> {
+    if (version === 0) return Right(this.initial)
     const wanted = await this.reader.row(version)
     if (wanted.isLeft()) return wanted
-    const base = await this.#baseBelow(version)
+    const base = await this.#replayBase(version)
     const rows = await this.reader.rows(base.version, version)
     return rows.chain(found => replayRows(base, found))
   }
@@ -59,30 +59,30 @@
   async changesSince (base: number, current: number): Promise<readonly string[]> {
     const first = Math.max(base, current - MAX_CHANGES)
     const rows = await this.reader.rows(first, current)
-    return rows.orDefault([]).reverse().map(describe)
+    return rows.orDefault([]).reverse().map(describeVersion)
   }
 
-  async #newestWhole (notAfter: number): Promise<Maybe<WholeConfig>> {
-    const mark = (await this.snapshots.latest()).orDefault(Nothing).extractNullable()
-    if (mark !== null && mark.version <= notAfter) return (await this.snapshots.whole(mark)).orDefault(Nothing)
-    return await this.#regularWhole(notAfter)
+  async #newestSnapshot (notAfter: number): Promise<Maybe<FullConfig>> {
+    const ref = (await this.snapshots.latest()).orDefault(Nothing).extractNullable()
+    if (ref !== null && ref.version <= notAfter) return (await this.snapshots.whole(ref)).orDefault(Nothing)
+    return await this.#periodicSnapshot(notAfter)
   }
 
   /** The newest periodic snapshot at or below a version. */
-  async #regularWhole (notAfter: number): Promise<Maybe<WholeConfig>> {
-    const version = notAfter - notAfter % SNAPSHOT_EVERY
+  async #periodicSnapshot (notAfter: number): Promise<Maybe<FullConfig>> {
+    const version = notAfter - notAfter % SNAPSHOT_INTERVAL_VERSIONS
     if (version === 0) return Nothing
     const row = (await this.reader.row(version)).toMaybe().extractNullable()
     return row === null ? Nothing : (await this.snapshots.whole(row)).orDefault(Nothing)
   }
 
-  async #baseBelow (version: number): Promise<HeldConfig> {
-    const whole = await this.#regularWhole(version)
-    return whole.toEither(new Failure('notFound', 'no snapshot')).chain(holdDocument).orDefault(this.origin)
+  async #replayBase (version: number): Promise<VerifiedConfig> {
+    const whole = await this.#periodicSnapshot(version)
+    return whole.toEither(new Failure('notFound', 'no snapshot')).chain(verifyDocument).orDefault(this.initial)
   }
 }
 
-function describe (row: VersionRow): string {
+function describeVersion (row: VersionRow): string {
   const named = row.patch.slice(0, MAX_OPERATIONS).map(({ op, path }) => `${op} ${path}`)
   const more = row.patch.length > named.length ? ` and ${row.patch.length - named.length} more` : ''
   return `version ${row.version} by ${row.author} (patch ${row.patchId}): ${named.join(', ')}${more}`
--- a/packages/rosemaryspread/src/placement/placementDriver.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.spec.ts
@@ -7,14 +7,14 @@
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { EngineOrder, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { outcomeOf, PlacementDriver, type PlacementLease } from './placementDriver.js'
+import { toOutcome, PlacementDriver, type PlacementLease } from './placementDriver.js'
 
 const config = fleetConfigSchema.parse({
   models: { m: { version: '2' } },
   runners: { r1: { address: '127.0.0.1:1', domain: 'a', models: ['m'] }, r2: { address: '127.0.0.1:2', domain: 'b', models: ['m'], state: 'leaving' } }
 })
 
-class Setup {
+class Harness {
   ms = 1_000
   fencing: number | undefined = 3
   /** Called while a report request is in flight. */
@@ -68,48 +68,48 @@
 
 describe('placement driver', () => {
   it('announces its fencing number, then orders missing copies, and logs each order', async () => {
-    const setup = new Setup()
+    const setup = new Harness()
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
     expect(setup.events).to.deep.equal(['placed', 'placed'])
   })
 
   it('sends nothing without the lease', async () => {
-    const setup = new Setup()
+    const setup = new Harness()
     setup.fencing = undefined
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal([])
   })
 
   it('sends no order when the lease is lost during a wait for reports', async () => {
-    const setup = new Setup()
+    const setup = new Harness()
     setup.onLoad = () => { setup.fencing = undefined }
     await setup.tick(setup.driver())
     expect(setup.kinds).to.deep.equal([])
   })
 
   it('sends an order under a lost lease if the lease is not checked after the wait (counter-example)', async () => {
-    const setup = new Setup()
+    const setup = new Harness()
     setup.onLoad = () => { setup.fencing = undefined }
     await setup.tick(setup.driver({ ...setup.lease, mayAct: () => true, fencing: () => Right(3) }))
     expect(setup.kinds).to.include('load 3')
   })
 
   it('resumes under the same fencing number after the lease was briefly unconfirmed', async () => {
-    const setup = new Setup()
-    let isShown = true
-    const driver = setup.driver({ mayAct: () => isShown, fencing: () => Right(3) })
-    setup.onOrder = () => { isShown = false }
+    const setup = new Harness()
+    let isConfirmed = true
+    const driver = setup.driver({ mayAct: () => isConfirmed, fencing: () => Right(3) })
+    setup.onOrder = () => { isConfirmed = false }
     await setup.tick(driver, 1)
     expect(setup.kinds).to.deep.equal(['role 3'])
     setup.onOrder = () => {}
-    isShown = true
+    isConfirmed = true
     await setup.tick(driver, 5)
     expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
   })
 
   it('repeats announcements and orders under a new fencing number', async () => {
-    const setup = new Setup()
+    const setup = new Harness()
     const driver = setup.driver()
     await setup.tick(driver)
     setup.fencing = 5
@@ -129,7 +129,7 @@
   ]
   for (const [name, answer, outcome] of outcomes) {
     it(`maps to an outcome: ${name}`, () => {
-      expect(outcomeOf(answer)).to.deep.equal(outcome)
+      expect(toOutcome(answer)).to.deep.equal(outcome)
     })
   }
 })
--- a/packages/rosemaryspread/src/placement/placementDriver.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.ts
@@ -10,7 +10,7 @@
 import type { PlacementAction, PlacementDecider, PlacementEvent, PlacementOutcome } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import type { EngineClient } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { CurrentConfig } from '../completion/completionPorts.js'
-import { ReportTurns } from './reportTurns.js'
+import { ReportScheduler } from './reportTurns.js'
 
 /** The placement lease. */
 export interface PlacementLease {
@@ -34,18 +34,18 @@
 export class PlacementDriver {
   private fencing: number | undefined
   private config: FleetConfig | undefined
-  private readonly turns = new ReportTurns()
+  private readonly turns = new ReportScheduler()
   private readonly open = new Set<Promise<void>>()
 
   constructor (private readonly deps: PlacementDeps) {}
 
   /** Runs one round: syncs lease and configuration, polls reports and sends the orders that are due. */
   async tick (): Promise<void> {
-    this.followLease()
+    this.syncLease()
     if (this.fencing === undefined) return
-    this.followConfig()
-    await this.poll()
-    if (this.holds()) this.feed({ kind: 'tick' })
+    this.syncConfig()
+    await this.pollReports()
+    if (this.mayAct()) this.dispatch({ kind: 'tick' })
   }
 
   /** Resolves once no order awaits a response. */
@@ -53,28 +53,28 @@
     while (this.open.size > 0) await Promise.all(this.open)
   }
 
-  private followLease (): void {
-    const held = this.deps.lease.fencing().caseOf<number | undefined>({ Left: () => undefined, Right: fencing => fencing })
-    if (held === this.fencing) return
-    this.fencing = held
-    if (held === undefined) this.feed({ kind: 'lost' })
-    else this.feed({ kind: 'taken', fencing: held })
+  private syncLease (): void {
+    const current = this.deps.lease.fencing().caseOf<number | undefined>({ Left: () => undefined, Right: fencing => fencing })
+    if (current === this.fencing) return
+    this.fencing = current
+    if (current === undefined) this.dispatch({ kind: 'lost' })
+    else this.dispatch({ kind: 'taken', fencing: current })
   }
 
-  private followConfig (): void {
+  private syncConfig (): void {
     const config = this.deps.config.current().map(current => current.config).extract()
     if (config === undefined || config === this.config) return
     this.config = config
-    this.feed({ kind: 'configured', config })
+    this.dispatch({ kind: 'configured', config })
   }
 
-  private holds (): boolean {
+  private mayAct (): boolean {
     return this.fencing !== undefined && this.deps.lease.mayAct()
   }
 
   /** Polls the runners scheduled for this round; an unresponsive runner does not delay later rounds. */
-  private async poll (): Promise<void> {
-    if (!this.holds()) return
+  private async pollReports (): Promise<void> {
+    if (!this.mayAct()) return
     const runners = this.config?.runners ?? {}
     const active = Object.keys(runners).filter(runner => runners[runner]?.state === 'active')
     const chosen = this.turns.next(active, this.deps.clock.now().mono)
@@ -86,13 +86,13 @@
     try {
       const report = await this.deps.engines.load(address)
       isAnswered = report.isRight()
-      report.ifRight(({ models, leaving }) => { this.feed({ kind: 'reported', runner, models, leaving }) })
+      report.ifRight(({ models, leaving }) => { this.dispatch({ kind: 'reported', runner, models, leaving }) })
     } finally {
       this.turns.ended(runner, isAnswered)
     }
   }
 
-  private feed (event: PlacementEvent): void {
+  private dispatch (event: PlacementEvent): void {
     for (const action of this.deps.planner.handle(event, this.deps.clock.now())) this.start(action)
   }
 
@@ -108,18 +108,18 @@
     if (order.fencing !== this.fencing || !this.deps.lease.mayAct()) return this.answer(order.orderId, { kind: 'notSent' })
     log.write('placed', { runner, order, reason })
     const answer = await engines.order(address, order)
-    if (order.kind !== 'role') this.turns.ordered(runner, this.deps.clock.now().mono)
+    if (order.kind !== 'role') this.turns.orderAnswered(runner, this.deps.clock.now().mono)
     answer.ifLeft(failure => { log.write('placementFault', { runner, order: order.orderId, code: failure.code, detail: failure.message }) })
-    this.answer(order.orderId, outcomeOf(answer))
+    this.answer(order.orderId, toOutcome(answer))
   }
 
   private answer (orderId: string, outcome: PlacementOutcome): void {
-    this.feed({ kind: 'answered', orderId, outcome })
+    this.dispatch({ kind: 'answered', orderId, outcome })
   }
 }
 
 /** Maps a response of the engine client to the outcome of an order. */
-export function outcomeOf (answer: Either<Failure, void>): PlacementOutcome {
+export function toOutcome (answer: Either<Failure, void>): PlacementOutcome {
   return answer.caseOf<PlacementOutcome>({
     Right: () => ({ kind: 'done' }),
     Left: ({ code, ran, retryAfterMs }) => {
--- a/packages/rosemaryspread/src/placement/placementReports.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementReports.spec.ts
@@ -9,11 +9,11 @@
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import { defaultPlacementLimits, type PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import { ReportPace } from '@rosemaryspread/decisions/placement/reportPace.js'
+import { ReportInterval } from '@rosemaryspread/decisions/placement/reportPace.js'
 import type { EngineOrder, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { PlacementDriver } from './placementDriver.js'
 
-const HANG_MS = 3_000
+const CALL_TIMEOUT_MS = 3_000
 const MODELS = 12
 
 /** Copies of each model; half of the runners stay spare. */
@@ -30,17 +30,17 @@
 }
 
 /** Runners in virtual time with one tick a second; calls to dead runners hang until their timeout. */
-class Fleet {
+class SimulatedFleet {
   ms = 0
-  callsOfTick = 0
-  mostCalls = 0
+  callsInTick = 0
+  maxCallsInTick = 0
   /** Longest time between two reports of a live runner. */
   longestGapMs = 0
   readonly dead = new Set<string>()
   readonly loads: string[] = []
   private readonly loaded = new Map<string, string>()
-  private readonly heard = new Map<string, number>()
-  private hanging: Array<{ readonly at: number, readonly end: () => void }> = []
+  private readonly lastReportMs = new Map<string, number>()
+  private hangingCalls: Array<{ readonly at: number, readonly end: () => void }> = []
   private readonly driver: PlacementDriver
 
   constructor (runners: number, planner: PlacementDecider) {
@@ -59,23 +59,23 @@
   async run (ticks: number, isDone: () => boolean = () => false): Promise<void> {
     for (let tick = 0; tick < ticks && !isDone(); tick++) {
       this.ms += 1_000
-      this.callsOfTick = 0
-      this.hanging.filter(({ at }) => at <= this.ms).forEach(({ end }) => { end() })
-      this.hanging = this.hanging.filter(({ at }) => at > this.ms)
+      this.callsInTick = 0
+      this.hangingCalls.filter(({ at }) => at <= this.ms).forEach(({ end }) => { end() })
+      this.hangingCalls = this.hangingCalls.filter(({ at }) => at > this.ms)
       this.driver.tick().catch((err: unknown) => { throw err })
       await setImmediate()
-      this.mostCalls = Math.max(this.mostCalls, this.callsOfTick)
+      this.maxCallsInTick = Math.max(this.maxCallsInTick, this.callsInTick)
     }
   }
 
   private async load (address: string): Promise<Either<Failure, LoadReport>> {
-    this.callsOfTick += 1
+    this.callsInTick += 1
     if (this.dead.has(address)) {
-      await new Promise<void>(resolve => { this.hanging.push({ at: this.ms + HANG_MS, end: resolve }) })
+      await new Promise<void>(resolve => { this.hangingCalls.push({ at: this.ms + CALL_TIMEOUT_MS, end: resolve }) })
       return Left(new Failure('runnerUnreachable', 'timeout', { ran: 'unknown' }))
     }
-    this.longestGapMs = Math.max(this.longestGapMs, this.ms - (this.heard.get(address) ?? 0))
-    this.heard.set(address, this.ms)
+    this.longestGapMs = Math.max(this.longestGapMs, this.ms - (this.lastReportMs.get(address) ?? 0))
+    this.lastReportMs.set(address, this.ms)
     const model = this.loaded.get(address)
     return Right({ asOf: this.ms, running: 0, waiting: 0, slots: 1, models: model === undefined ? [] : [{ model, version: '1', adapters: [] }], leaving: false })
   }
@@ -99,17 +99,17 @@
   ]
   for (const { runners, dead, calls, gapMs } of cases) {
     it(`${runners} runners, ${dead} of them dead: bounded calls a round, and every live runner polled in rotation`, async () => {
-      const fleet = new Fleet(runners, { handle: () => [] })
+      const fleet = new SimulatedFleet(runners, { handle: () => [] })
       for (let index = 0; index < dead; index++) fleet.dead.add(`10.0.0.1:${3 * index + 1}`)
       await fleet.run(3 * Math.ceil(runners / 12) + 20)
-      expect(fleet.mostCalls).to.equal(calls)
+      expect(fleet.maxCallsInTick).to.equal(calls)
       expect(fleet.longestGapMs).to.equal(gapMs)
     })
   }
 
   /** Loads ordered while all runners live, and until the copy of a dead runner is replaced. */
-  async function replaced (planner: PlacementDecider): Promise<object> {
-    const fleet = new Fleet(240, planner)
+  async function measureReplacement (planner: PlacementDecider): Promise<object> {
+    const fleet = new SimulatedFleet(240, planner)
     await fleet.run(45)
     const before = fleet.loads.length
     const diedAt = fleet.ms
@@ -119,19 +119,19 @@
   }
 
   it('replaces a dead runner within 15 s and one rotation, but no live runner that waits for its poll', async () => {
-    expect(await replaced(new PlacementPlanner())).to.deep.equal({ before: 0, loads: ['m0'], inTime: true })
+    expect(await measureReplacement(new PlacementPlanner())).to.deep.equal({ before: 0, loads: ['m0'], inTime: true })
   })
 
   it('a planner that expects a report every second counts live runners as dead (counter-example)', async () => {
-    const weak = new PlacementPlanner({ ...defaultPlacementLimits, downAfterMs: defaultPlacementLimits.downAfterMs - 19_000 })
-    expect(await replaced(weak)).to.not.have.property('before', 0)
+    const faulty = new PlacementPlanner({ ...defaultPlacementLimits, downAfterMs: defaultPlacementLimits.downAfterMs - 19_000 })
+    expect(await measureReplacement(faulty)).to.not.have.property('before', 0)
   })
 
   it('applies the longer interval until reports requested at it have been renewed', () => {
-    const pace = new ReportPace()
+    const interval = new ReportInterval()
     const at = (ms: number): { mono: number, wall: number } => ({ mono: ms, wall: ms })
-    pace.configure(600, at(0))
-    pace.configure(12, at(1_000))
-    expect([1_000, 50_999, 51_000].map(ms => pace.stretchMs(at(ms)))).to.deep.equal([49_000, 49_000, 0])
+    interval.configure(600, at(0))
+    interval.configure(12, at(1_000))
+    expect([1_000, 50_999, 51_000].map(ms => interval.extraDelayMs(at(ms)))).to.deep.equal([49_000, 49_000, 0])
   })
 })
--- a/packages/rosemaryspread/src/placement/reportTurns.ts
+++ b/packages/rosemaryspread/src/placement/reportTurns.ts
@@ -3,17 +3,17 @@
  * that got an order, to see its effect soon, and runners that missed a poll, so that one lost response is not
  * taken for a failure.
  */
-import { REPORTS_A_ROUND } from '@rosemaryspread/decisions/placement/reportPace.js'
+import { REPORTS_PER_ROUND } from '@rosemaryspread/decisions/placement/reportPace.js'
 
 /** Runners polled early in one round. */
-const EXTRA_A_ROUND = 4
+const EXTRA_PER_ROUND = 4
 /** How long a runner is polled early after its response to an order; as long as the effect is awaited (`confirmMs`). */
-const ORDERED_MS = 15_000
+const AFTER_ORDER_MS = 15_000
 /** Consecutive missed responses after which a runner is polled by rotation only. */
-const MOST_MISSED = 8
+const MAX_MISSED = 8
 
 /** Schedules polls of runners; times in monotonic milliseconds. */
-export class ReportTurns {
+export class ReportScheduler {
   private round = 0
   /** Round of the last poll by runner. */
   private readonly asked = new Map<string, number>()
@@ -28,13 +28,13 @@
    */
   next (runners: readonly string[], mono: number): readonly string[] {
     this.round += 1
-    this.forgetOthers(new Set(runners))
-    const free = runners.filter(runner => !this.waiting.has(runner)).sort((a, b) => this.lastAsked(a) - this.lastAsked(b))
-    const inTurn = free.slice(0, REPORTS_A_ROUND)
-    const rest = free.slice(REPORTS_A_ROUND)
-    const ordered = rest.filter(runner => this.isOrdered(runner, mono))
-    const silent = rest.filter(runner => this.isSilent(runner)).sort((a, b) => this.missedBy(a) - this.missedBy(b))
-    const chosen = [...inTurn, ...[...new Set([...ordered, ...silent])].slice(0, EXTRA_A_ROUND)]
+    this.retainOnly(new Set(runners))
+    const idle = runners.filter(runner => !this.waiting.has(runner)).sort((a, b) => this.lastPolledRound(a) - this.lastPolledRound(b))
+    const rotation = idle.slice(0, REPORTS_PER_ROUND)
+    const rest = idle.slice(REPORTS_PER_ROUND)
+    const ordered = rest.filter(runner => this.hasRecentOrder(runner, mono))
+    const unresponsive = rest.filter(runner => this.isUnresponsive(runner)).sort((a, b) => this.missedCount(a) - this.missedCount(b))
+    const chosen = [...rotation, ...[...new Set([...ordered, ...unresponsive])].slice(0, EXTRA_PER_ROUND)]
     for (const runner of chosen) {
       this.waiting.add(runner)
       this.asked.set(runner, this.round)
@@ -46,33 +46,33 @@
   ended (runner: string, isAnswered: boolean): void {
     this.waiting.delete(runner)
     if (isAnswered) this.missed.delete(runner)
-    else this.missed.set(runner, this.missedBy(runner) + 1)
+    else this.missed.set(runner, this.missedCount(runner) + 1)
   }
 
   /** Records the response to an order. */
-  ordered (runner: string, mono: number): void {
+  orderAnswered (runner: string, mono: number): void {
     this.orderedAt.set(runner, mono)
   }
 
-  private lastAsked (runner: string): number {
+  private lastPolledRound (runner: string): number {
     return this.asked.get(runner) ?? 0
   }
 
-  private missedBy (runner: string): number {
+  private missedCount (runner: string): number {
     return this.missed.get(runner) ?? 0
   }
 
-  private isSilent (runner: string): boolean {
-    const missed = this.missedBy(runner)
-    return missed > 0 && missed < MOST_MISSED
+  private isUnresponsive (runner: string): boolean {
+    const missed = this.missedCount(runner)
+    return missed > 0 && missed < MAX_MISSED
   }
 
-  private isOrdered (runner: string, mono: number): boolean {
+  private hasRecentOrder (runner: string, mono: number): boolean {
     const at = this.orderedAt.get(runner)
-    return at !== undefined && mono - at < ORDERED_MS
+    return at !== undefined && mono - at < AFTER_ORDER_MS
   }
 
-  private forgetOthers (runners: ReadonlySet<string>): void {
+  private retainOnly (runners: ReadonlySet<string>): void {
     for (const map of [this.asked, this.missed, this.orderedAt]) {
       for (const runner of map.keys()) if (!runners.has(runner)) map.delete(runner)
     }
--- a/packages/rosemaryspread/src/settings/settingsLoader.ts
+++ b/packages/rosemaryspread/src/settings/settingsLoader.ts
@@ -21,13 +21,13 @@
 export function parseSettings (text: string): Either<Failure, Settings> {
   const document = parseDocument(text)
   if (document.errors.length > 0) {
-    return Left(invalid(document.errors.map(err => err.message.split('\n')[0] ?? err.message)))
+    return Left(invalidSettings(document.errors.map(err => err.message.split('\n')[0] ?? err.message)))
   }
   const parsed = settingsSchema.safeParse(document.toJS())
-  return parsed.success ? Right(parsed.data) : Left(invalid(parsed.error.issues.flatMap(describeIssue)))
+  return parsed.success ? Right(parsed.data) : Left(invalidSettings(parsed.error.issues.flatMap(describeIssue)))
 }
 
-function invalid (errors: readonly string[]): Failure {
+function invalidSettings (errors: readonly string[]): Failure {
   return new Failure('settingsInvalid', `${errors.length} ${errors.length === 1 ? 'error' : 'errors'} in the settings`, { errors })
 }
 
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { ConfigHolder, type ConfigAction, type ConfigDecider, type ConfigEvent, type ConfigStatus } from '@rosemaryspread/decisions/config/configDecider.js'
-import { firstConfig, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { MonotonicConfigDecider, type ConfigAction, type ConfigDecider, type ConfigEvent, type ConfigStatus } from '@rosemaryspread/decisions/config/configDecider.js'
+import { initialConfig, type VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { PUSH_METHOD } from 'rosemaryspread/config/configSpread.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
@@ -12,16 +12,16 @@
 
 /** Counter-example: takes into force whatever was delivered last, if it verifies. */
 class SlidingHolder implements ConfigDecider {
-  readonly #seen = new Map<number, HeldConfig>([[0, firstConfig()]])
-  #inner = new ConfigHolder(firstConfig())
+  readonly #seen = new Map<number, VerifiedConfig>([[0, initialConfig()]])
+  #inner = new MonotonicConfigDecider(initialConfig())
 
-  get inForce (): HeldConfig | undefined { return this.#inner.inForce }
+  get inForce (): VerifiedConfig | undefined { return this.#inner.inForce }
   get status (): ConfigStatus { return this.#inner.status }
 
   decide (event: ConfigEvent, now: Instant): readonly ConfigAction[] {
     if (event.kind === 'delivered') {
       const base = this.#seen.get((event.candidate.rows[0]?.version ?? 1) - 1)
-      if (base !== undefined) this.#inner = new ConfigHolder(base)
+      if (base !== undefined) this.#inner = new MonotonicConfigDecider(base)
     }
     const actions = this.#inner.decide(event, now)
     if (this.inForce !== undefined) this.#seen.set(this.inForce.version, this.inForce)
--- a/packages/stand-ins/src/config/configFleet.ts
+++ b/packages/stand-ins/src/config/configFleet.ts
@@ -7,9 +7,9 @@
 import type { ConfigDecider, ConfigSource } from '@rosemaryspread/decisions/config/configDecider.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { PatchAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
-import { ConfigSpread, FETCH_METHOD, PUSH_METHOD } from 'rosemaryspread/config/configSpread.js'
+import { ConfigPropagation, FETCH_METHOD, PUSH_METHOD } from 'rosemaryspread/config/configSpread.js'
 import { ConfigStore } from 'rosemaryspread/config/configStore.js'
-import { defaultSpread, type ConfigPeers, type ConfigSpreadSettings, type ConfigTimers } from 'rosemaryspread/config/configTypes.js'
+import { defaultPropagationSettings, type ConfigPeers, type ConfigPropagationSettings, type ConfigTimers } from 'rosemaryspread/config/configTypes.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { TableState } from '../table/tableState.js'
 import { FleetTable, LaggingReplica, type Traffic } from './fleetTable.js'
@@ -23,7 +23,7 @@
   /** One-way milliseconds to the table and between VMs; each message takes up to twice as long. */
   readonly tableMs?: number
   readonly peerMs?: number
-  readonly settings?: Partial<ConfigSpreadSettings>
+  readonly settings?: Partial<ConfigPropagationSettings>
   /** Makes the decider of each VM; the product's unless given. */
   readonly holder?: () => ConfigDecider
   /** Makes the table as each VM reaches it; without faults unless given. */
@@ -46,7 +46,7 @@
   readonly peerTraffic: Traffic = { messages: 0, bytes: 0 }
   readonly log: string[] = []
   store!: ConfigStore
-  spread!: ConfigSpread
+  spread!: ConfigPropagation
   alive = false
   incarnation = 0
   /** Milliseconds that each message to and from the table takes on top. */
@@ -65,8 +65,8 @@
     const random = fleet.random
     const parts = { table: this.table, objects: fleet.objects, clock: fleet.time, log, timers: this, random }
     this.store = new ConfigStore(parts, fleet.options.holder?.())
-    const settings = { ...defaultSpread, ...fleet.options.settings }
-    this.spread = new ConfigSpread({ store: this.store, peers: this, address: this.name, timers: this, random, log, settings })
+    const settings = { ...defaultPropagationSettings, ...fleet.options.settings }
+    this.spread = new ConfigPropagation({ store: this.store, peers: this, address: this.name, timers: this, random, log, settings })
     this.store.onChange(({ version, digest }, source) => {
       if (this.alive && incarnation === this.incarnation) fleet.inForce.push({ vm: this.name, incarnation, version, digest, source, at: fleet.time.now().wall })
     })
--- a/packages/stand-ins/src/config/configJudge.ts
+++ b/packages/stand-ins/src/config/configJudge.ts
@@ -2,7 +2,7 @@
  * Judges what a run of a {@link ConfigFleet} left behind, from the rows of the table and the
  * versions that came into force. Each finding is one broken promise.
  */
-import { firstConfig, replayRows } from '@rosemaryspread/decisions/config/configPatch.js'
+import { initialConfig, replayRows } from '@rosemaryspread/decisions/config/configPatch.js'
 import { CURRENT_TABLE, currentRowSchema, PATCH_TABLE, patchRowSchema, VERSION_TABLE, versionRowSchema, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ConfigFleet, InForceRecord } from './configFleet.js'
 
@@ -32,7 +32,7 @@
 
 function judgeChain (fleet: ConfigFleet): string[] {
   const rows = versionRows(fleet)
-  const findings = replayRows(firstConfig(), rows).swap().map(failure => [`the versions are no chain: ${failure.message}`]).orDefault([])
+  const findings = replayRows(initialConfig(), rows).swap().map(failure => [`the versions are no chain: ${failure.message}`]).orDefault([])
   const ids = rows.map(row => row.patchId)
   if (new Set(ids).size < ids.length) findings.push('a patch was accepted twice')
   const current = fleet.state.all(CURRENT_TABLE)[0]
@@ -50,7 +50,7 @@
  * does not answer is excused for its first version, which is the newest that another source proves.
  */
 function judgeForce (fleet: ConfigFleet): string[] {
-  const digests = new Map([[0, firstConfig().digest], ...versionRows(fleet).map(row => [row.version, row.digest] as const)])
+  const digests = new Map([[0, initialConfig().digest], ...versionRows(fleet).map(row => [row.version, row.digest] as const)])
   const last = new Map<string, InForceRecord>()
   return fleet.inForce.flatMap(record => {
     const before = last.get(record.vm)
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { firstConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { initialConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import { deltaName, LATEST_OBJECT } from '@rosemaryspread/decisions/config/configRows.js'
 import type { PatchAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
 import { Failure as PlatformFailure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -185,7 +185,7 @@
     const fleet = await lagging()
     const vm = fleet.vm(1)
     const parts = { table: vm.table, objects: fleet.objects, clock: fleet.time, timers: vm, random: () => 0, log: { write: () => {} } }
-    const reader = new ConfigReader(vm.table, firstConfig())
+    const reader = new ConfigReader(vm.table, initialConfig())
     const patcher = new ConfigPatcher(vm.table, reader, parts, () => vm.store.inForce, modelPatch(3, 'm4'))
     const refused = (await fleet.time.until(patcher.check())).swap().unsafeCoerce()
     expect(refused.message).to.equal('the patch is based on version 3, the current version is 2')
--- a/packages/stand-ins/src/measure/capacity/configProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/configProbe.ts
@@ -3,7 +3,7 @@
  * a new VM reads, by teams; traffic by VMs as `measure -- config-traffic` counts it.
  */
 import type { ConfigDocument, PatchOperation } from '@rosemaryspread/decisions/config/configRows.js'
-import { firstConfig, holdDocument, preparePatch, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { initialConfig, verifyDocument, preparePatch, type VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import { ConfigStore } from 'rosemaryspread/config/configStore.js'
 import { KeyDirectory } from 'rosemaryspread/directory/keyDirectory.js'
 import { MemoryObjects } from '../../config/memoryObjects.js'
@@ -56,14 +56,14 @@
 }
 
 function textOf (teams: number): { readonly digest: string, readonly version: number, readonly text: string } {
-  let held: HeldConfig = firstConfig()
+  let held: VerifiedConfig = initialConfig()
   for (const patch of patchesFor(teams)) held = preparePatch(held, patch, 0).unsafeCoerce().next
   return { digest: held.digest, version: held.version, text: JSON.stringify(held.document) }
 }
 
 async function heapPoints (teams: number): Promise<readonly ProbePoint[]> {
   const { digest, version, text } = textOf(teams)
-  const load = (): HeldConfig => holdDocument({ version, digest, document: JSON.parse(text) as ConfigDocument }).unsafeCoerce()
+  const load = (): VerifiedConfig => verifyDocument({ version, digest, document: JSON.parse(text) as ConfigDocument }).unsafeCoerce()
   const { kept, bytes } = heapOf(load)
   const keys = heapOf(() => {
     const directory = new KeyDirectory()
--- a/packages/stand-ins/src/measure/config/sizeCost.ts
+++ b/packages/stand-ins/src/measure/config/sizeCost.ts
@@ -2,7 +2,7 @@
  * Size of a configuration and the time it takes to check a patch, to replay it and to load the
  * whole, by the number of teams. In real time on this machine.
  */
-import { firstConfig, holdDocument, preparePatch, replayRows, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { initialConfig, verifyDocument, preparePatch, replayRows, type VerifiedConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import type { ConfigDocument, VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { MeasureRow } from '../measureTypes.js'
 import { quantile } from './spreadTimes.js'
@@ -22,12 +22,12 @@
   return { displayName: `Team number ${index}`, budget: `budget-${index}`, models: ['chat'], services: ['bookings'], keyHashes: [hash(0), hash(1)] }
 }
 
-function accept (held: HeldConfig, operations: readonly unknown[]): HeldConfig {
+function accept (held: VerifiedConfig, operations: readonly unknown[]): VerifiedConfig {
   return preparePatch(held, operations, 0).unsafeCoerce().next
 }
 
-function configOf (teams: number): HeldConfig {
-  let held = accept(firstConfig(), [add('/models/chat', {}), add('/services/bookings', {})])
+function configOf (teams: number): VerifiedConfig {
+  let held = accept(initialConfig(), [add('/models/chat', {}), add('/services/bookings', {})])
   held = accept(held, Array.from({ length: RUNNERS }, (_, index) =>
     add(`/runners/runner-${index}`, { address: `10.0.1.${index + 1}:8000`, domain: `domain-${index % 3}`, models: ['chat'] })))
   for (let first = 0; first < teams; first += BATCH) {
@@ -65,7 +65,7 @@
   }
   const text = JSON.stringify(held.document)
   for (let index = 0; index < LOADS; index++) {
-    timed(load, () => holdDocument({ ...held, document: JSON.parse(text) as ConfigDocument })).unsafeCoerce()
+    timed(load, () => verifyDocument({ ...held, document: JSON.parse(text) as ConfigDocument })).unsafeCoerce()
   }
   return {
     teams,
--- a/packages/stand-ins/src/measure/config/wireCost.ts
+++ b/packages/stand-ins/src/measure/config/wireCost.ts
@@ -3,7 +3,7 @@
  * Client and server run in this process, so the time is that of both ends together.
  */
 import { connect, createServer, type AddressInfo, type Server } from 'node:net'
-import { firstConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { initialConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import { HttpTableStore } from '@rosemaryspread/infra/table/httpTableStore.js'
 import { dialTcp, JsonRpcPeerClient } from '@rosemaryspread/peers/link/peerClient.js'
 import { JsonRpcPeerServer } from '@rosemaryspread/peers/link/peerServer.js'
@@ -62,7 +62,7 @@
   const direct = storeAt(listen.port)
   const viaRelay = storeAt((counted.address() as AddressInfo).port)
   await direct.transact({ checks: [], writes: [{ ...currentKey, value: { version: 1, digest: DIGEST, patchId: 'p1' } }] })
-  const origin = firstConfig()
+  const origin = initialConfig()
   const bytes = await bytesOf(counter, async () => await new ConfigReader(viaRelay, origin).poll(1))
   const cpuMs = await processorMs(async () => await new ConfigReader(direct, origin).poll(1))
   counted.close()
--- a/packages/stand-ins/src/placement/weakPlanners.spec.ts
+++ b/packages/stand-ins/src/placement/weakPlanners.spec.ts
@@ -74,7 +74,7 @@
 /** Comes back at once when the weight store is over its rate. */
 export class ImpatientPlanner extends WeakPlanner {
   constructor () {
-    super({ weightsPerMinute: 6_000, weightsBurst: 100, refusedMs: 0 })
+    super({ weightsPerMinute: 6_000, weightsBurst: 100, refusalBackoffMs: 0 })
   }
 
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
@@ -86,7 +86,7 @@
 /** Believes whatever it saw last, without any waiting. */
 export class HastyPlanner extends WeakPlanner {
   constructor () {
-    super({ downAfterMs: 2_500, steadyMs: 0, surplusMs: 0 })
+    super({ downAfterMs: 2_500, stabilizationMs: 0, surplusMs: 0 })
   }
 
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
--- a/packages/stand-ins/src/scenario/weak/weakConfig.ts
+++ b/packages/stand-ins/src/scenario/weak/weakConfig.ts
@@ -3,29 +3,29 @@
  * the table, one hears of nothing new.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
-import { ConfigHolder, type ConfigAction, type ConfigDecider, type ConfigEvent } from '@rosemaryspread/decisions/config/configDecider.js'
-import { firstConfig } from '@rosemaryspread/decisions/config/configPatch.js'
+import { MonotonicConfigDecider, type ConfigAction, type ConfigDecider, type ConfigEvent } from '@rosemaryspread/decisions/config/configDecider.js'
+import { initialConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 
 /** Begins with version 0 whatever was in force before a restart. */
-export class ForgetfulConfigHolder extends ConfigHolder implements ConfigDecider {
+export class ForgetfulConfigHolder extends MonotonicConfigDecider implements ConfigDecider {
   private begun = false
 
   constructor () {
-    super(firstConfig())
+    super(initialConfig())
   }
 
   override decide (event: ConfigEvent, now: Instant): readonly ConfigAction[] {
     if (this.begun) return super.decide(event, now)
     this.begun = true
-    const first = super.decide({ kind: 'accepted', source: 'snapshot', held: firstConfig() }, now)
+    const first = super.decide({ kind: 'accepted', source: 'snapshot', held: initialConfig() }, now)
     return [...first, ...super.decide(event, now)]
   }
 }
 
 /** Takes no version from others once one is in force. */
-export class StuckConfigHolder extends ConfigHolder implements ConfigDecider {
+export class StuckConfigHolder extends MonotonicConfigDecider implements ConfigDecider {
   constructor () {
-    super(firstConfig())
+    super(initialConfig())
   }
 
   override decide (event: ConfigEvent, now: Instant): readonly ConfigAction[] {
