--- a/packages/decisions/src/config/configServing.spec.ts
+++ b/packages/decisions/src/config/servesSince.spec.ts
@@ -3,7 +3,7 @@
  */
 import { expect } from 'chai'
 import { fleetConfigSchema, type FleetConfig } from './configSchema.js'
-import { stampServesSince } from './configServing.js'
+import { stampServesSince } from './servesSince.js'
 
 function configOf (runners: Record<string, object>): FleetConfig {
   return fleetConfigSchema.parse({ runners })
--- a/packages/decisions/src/placement/fencePass.ts
+++ b/packages/decisions/src/placement/fencingAnnouncement.ts
@@ -6,7 +6,7 @@
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { RunnerConfig } from '../config/configSchema.js'
 import type { PlacementAction, PlacementLimits, PlacementOutcome } from './placementTypes.js'
-import { ReportInterval } from './reportPace.js'
+import { ReportInterval } from './reportInterval.js'
 
 /** Attempts per runner; an engine that does not understand the order is skipped after that. */
 const MAX_ATTEMPTS = 5
--- a/packages/decisions/src/placement/placementPlanner.ts
+++ b/packages/decisions/src/placement/placementPlanner.ts
@@ -5,14 +5,14 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { FleetConfig, RunnerConfig } from '../config/configSchema.js'
-import { FencingAnnouncement } from './fencePass.js'
+import { FencingAnnouncement } from './fencingAnnouncement.js'
 import { ModelPlan, type ProposedOrder } from './modelPlan.js'
-import { PendingOrders } from './orderBook.js'
+import { PendingOrders } from './pendingOrders.js'
 import { defaultPlacementLimits, type LoadedModel, type PlacementAction, type PlacementDecider, type PlacementEvent, type PlacementLimits, type PlacementOutcome } from './placementTypes.js'
-import { ReportInterval } from './reportPace.js'
+import { ReportInterval } from './reportInterval.js'
 import { RunnerRecord } from './runnerRecord.js'
 import type { ModelDeclaration, PlacementRunner } from './runnerView.js'
-import { WeightRateLimiter } from './weightPace.js'
+import { WeightRateLimiter } from './weightRateLimiter.js'
 
 /** Order in which proposals are carried out. */
 const KIND_ORDER: readonly ProposedOrder['kind'][] = ['load', 'loadAdapter', 'unload']
--- a/packages/decisions/src/placement/runnerRecord.ts
+++ b/packages/decisions/src/placement/runnerRecord.ts
@@ -4,7 +4,7 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { LoadedModel, PlacementLimits } from './placementTypes.js'
-import { ReportInterval } from './reportPace.js'
+import { ReportInterval } from './reportInterval.js'
 
 /** Whether a runner responds; `unknown` until its first report or the timeout. */
 export type RunnerPresence = 'unknown' | 'up' | 'down'
--- a/packages/rosemaryspread/src/compose/bindConfig.ts
+++ b/packages/rosemaryspread/src/compose/bindConfig.ts
@@ -3,7 +3,7 @@
  */
 import { Maybe } from 'purify-ts'
 import type { Container } from 'inversify'
-import { ConfigPropagation } from '../config/configSpread.js'
+import { ConfigPropagation } from '../config/configPropagation.js'
 import { VersionHints } from '../config/configHints.js'
 import { ConfigStore } from '../config/configStore.js'
 import { defaultPropagationSettings, type ConfigTimers } from '../config/configTypes.js'
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -7,7 +7,7 @@
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import { serveBudgetPeers } from '../budget/budgetPeerCalls.js'
-import { FETCH_METHOD, PUSH_METHOD } from '../config/configSpread.js'
+import { FETCH_METHOD, PUSH_METHOD } from '../config/configPropagation.js'
 import { ids } from './serviceIds.js'
 
 /** Milliseconds between two ticks of the budgets. */
--- a/packages/rosemaryspread/src/placement/placementDriver.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.ts
@@ -10,7 +10,7 @@
 import type { PlacementAction, PlacementDecider, PlacementEvent, PlacementOutcome } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import type { EngineClient } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { CurrentConfig } from '../completion/completionPorts.js'
-import { ReportScheduler } from './reportTurns.js'
+import { ReportScheduler } from './reportScheduler.js'
 
 /** The placement lease. */
 export interface PlacementLease {
--- a/packages/rosemaryspread/src/placement/placementReports.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementReports.spec.ts
@@ -9,7 +9,7 @@
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import { defaultPlacementLimits, type PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import { ReportInterval } from '@rosemaryspread/decisions/placement/reportPace.js'
+import { ReportInterval } from '@rosemaryspread/decisions/placement/reportInterval.js'
 import type { EngineOrder, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { PlacementDriver } from './placementDriver.js'
 
--- a/packages/rosemaryspread/src/placement/reportTurns.ts
+++ b/packages/rosemaryspread/src/placement/reportScheduler.ts
@@ -3,7 +3,7 @@
  * that got an order, to see its effect soon, and runners that missed a poll, so that one lost response is not
  * taken for a failure.
  */
-import { REPORTS_PER_ROUND } from '@rosemaryspread/decisions/placement/reportPace.js'
+import { REPORTS_PER_ROUND } from '@rosemaryspread/decisions/placement/reportInterval.js'
 
 /** Runners polled early in one round. */
 const EXTRA_PER_ROUND = 4
--- a/packages/stand-ins/src/measure/config/spreadTimes.ts
+++ b/packages/stand-ins/src/measure/config/spreadTimes.ts
@@ -3,7 +3,7 @@
  * faults. In virtual time: latencies and faults are given, the code is the product's.
  */
 import { VERSION_TABLE } from '@rosemaryspread/decisions/config/configRows.js'
-import { PUSH_METHOD } from 'rosemaryspread/config/configSpread.js'
+import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { ConfigFleet, modelPatch, type FleetVm } from '../../config/configFleet.js'
 import { judgeFleet } from '../../config/configJudge.js'
 import type { MeasureRow } from '../measureTypes.js'
