--- a/packages/decisions/src/budget/billBlocks.ts
+++ b/packages/decisions/src/budget/billBlocks.ts
@@ -1,40 +1,36 @@
 /**
- * Which segments may leave the table together. The numbers of a holder are cut into fixed blocks,
- * so that every VM that looks finds the same segments under the same name. A block is closed once
- * a segment of a later block exists: a holder writes one flush at a time, in the order of their
- * numbers. So the newest numbered segment always stays, by which a flush whose answer was lost
- * finds its own earlier effect, however late it is tried again.
+ * Selects segments to archive together. The sequence numbers of a holder are divided into fixed blocks, so that every VM derives
+ * the same object. A block is closed once a segment of a later block exists, because a holder writes its flushes one at a time
+ * in sequence. The newest numbered segment thus always remains in the table, so that a retried flush finds its earlier effect.
  */
 import { Just, Nothing, type Maybe } from 'purify-ts'
 import { segmentKey } from './budgetKeys.js'
 import { RUN_RETENTION_MS } from './recoveryRules.js'
 
-/** Age, by the table's clock, after which a segment is archived; three times what runners remember. */
+/** Age, by the table clock, after which a segment is archived: three times the retention of runs. */
 export const SEGMENT_ARCHIVE_MS = 3 * RUN_RETENTION_MS
-/** Numbers in one block, so at most so many segments. */
+/** Sequence numbers, and so maximum segments, in a block. */
 export const BLOCK_SEGMENTS = 200
 
 const NUMBERED = /^(.+)\/(\d{12})$/
 
-/** A segment row as read. */
 export interface SegmentAtVersion {
   readonly key: string
   readonly version: number
   readonly value?: unknown
-  /** Table milliseconds of its writing. */
+  /** Table clock in milliseconds at the write. */
   readonly updatedAt: number
 }
 
-/** Segments that are archived together. */
 export interface BillBlock {
-  /** Name of the object. */
+  /** Object name. */
   readonly name: string
-  /** What the object holds; the same for the same block. */
+  /** Object content; deterministic for a block. */
   readonly content: string
   readonly segments: readonly SegmentAtVersion[]
 }
 
-/** Holder and number of a segment; nothing for one that a recovery wrote. */
+/** Holder and sequence number of a segment; undefined for one written by a recovery. */
 function numberOf (key: string): { readonly holder: string, readonly seq: number } | undefined {
   const [, holder, digits] = NUMBERED.exec(key) ?? []
   return holder === undefined ? undefined : { holder, seq: Number(digits) }
@@ -42,17 +38,16 @@
 
 /**
  * Whether a segment is old enough to be archived.
- * @param segment - the segment
- * @param now - table milliseconds
+ * @param now - table clock in milliseconds
  */
 export function isArchivable (segment: SegmentAtVersion, now: number): boolean {
   return now - segment.updatedAt > SEGMENT_ARCHIVE_MS
 }
 
 /**
- * The block to archive next; nothing while it is open or not old enough.
- * @param segments - the oldest segments of one holder by key, at least one more than a block has
- * @param now - table milliseconds
+ * The next block to archive; nothing while it is open or not old enough.
+ * @param segments - oldest segments of one holder by key, at least one more than a block contains
+ * @param now - table clock in milliseconds
  */
 export function nextBlock (segments: readonly SegmentAtVersion[], now: number): Maybe<BillBlock> {
   const numbered = segments.flatMap(segment => {
--- a/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
+++ b/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
@@ -1,5 +1,5 @@
 /**
- * A holder that learned that a budget is spent or unknown serves it again after a top-up.
+ * Guards against a holder that keeps refusing a spent or unknown budget after a top-up.
  */
 import { expect } from 'chai'
 import { BudgetLedger } from './budgetLedger.js'
@@ -7,7 +7,7 @@
 import type { BudgetAction, BudgetEvent, DrawOutcome } from './budgetTypes.js'
 
 const TICK_MS = 200
-/** A top-up may go unnoticed for so long. */
+/** Maximum delay until a top-up is noticed. */
 const LOOK_AGAIN_MS = 1_000
 const sentAt = { mono: 0, wall: 0 }
 
@@ -18,7 +18,7 @@
 
 describe('a budget after its top-up', () => {
   for (const { title, first, code } of cases) {
-    it(`is served by a holder that found it ${title}`, () => {
+    it(`is served again by a holder that found it ${title}`, () => {
       const ledger = new BudgetLedger('vm1~a', defaultBudgetPolicy)
       let mono = 0
       let outcome = first
--- a/packages/decisions/src/budget/budgetEntry.ts
+++ b/packages/decisions/src/budget/budgetEntry.ts
@@ -1,6 +1,6 @@
 /**
- * What one holder knows of one budget it draws on: tokens held and what binds them, the lease on
- * its allotment, demand, and requests that wait for tokens.
+ * State of one budget at one holder: allotted and reserved tokens, the lease of the allotment, demand, and requests waiting
+ * for tokens.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import { BudgetAim } from './budgetAim.js'
@@ -12,69 +12,65 @@
 import { ReceivedTransfers } from './receivedTransfers.js'
 import { allowanceOf, ReportBounds, type ReportAllowance } from './reportBound.js'
 
-/** Part of what is dealt out evenly below which a holder asks for more though it has no use for it yet. */
+/** Fraction of the fair share below which a holder refills without local demand. */
 const LEAST_OF_EVEN = 0.5
 
-/** Flushes after which the last written report shows that the table does not answer: without bills one comes every three. */
+/** Report age, in flush intervals, that shows an unresponsive table: without bills a report is written every three. */
 const SILENT_FLUSHES = 5
 
-/** One budget at one holder. All amounts in tokens, all plain numbers of time monotonic milliseconds. */
+/** One budget at one holder. Amounts in tokens, plain times in monotonic milliseconds. */
 export class BudgetEntry {
-  /** Durable tokens of this holder, with those received from other holders, less those settled or given. */
+  /** Allotted tokens plus received transfers, minus settled and transferred tokens. */
   held = 0
-  /** Worst cases of running requests. */
+  /** Worst-case cost of running requests. */
   reserved = 0
   /** Bills not yet durable. */
   unsettled = 0
-  /** Part of `unsettled` that is in the flush in flight. */
+  /** Share of `unsettled` in the open flush. */
   flushing = 0
-  /** Tokens on their way back to the table. */
+  /** Tokens queued for return to the table. */
   returning = 0
-  /** Bills dropped because a recovery accounts for them. */
+  /** Tokens of dropped bills, for which a recovery accounts. */
   inDoubt = 0
-  /** Free tokens right after the last change from outside; the low-water mark is a part of it. */
+  /** Free tokens after the last draw, transfer or return; base of the low-water mark. */
   level = 0
   lastAskedAt = 0
-  /** Cleared when the holder drains or the budget is idle: no more tokens are drawn. */
+  /** Whether the allotment is refilled ahead of need; false while draining or idle. */
   isWanted = true
+  /** Start of the lease: when the last successful table write was sent. */
   touchedAt: Instant | undefined
   /** When a renewal was last queued. */
   renewedAt: Instant | undefined
-  /** Set when the allotment was closed and the next draw has to open it again. */
+  /** Whether the allotment was closed and the next draw must reopen it. */
   reopen = false
   draw: OpenDraw | undefined
   round: Round | undefined
   shortage: Shortage | undefined
-  /** When the shortage was learned. */
+  /** When `shortage` was recorded. */
   shortageAt = 0
-  /** Tokens held by holders that the last recall could not reach. */
+  /** Tokens allotted to holders that the last recall could not reach. */
   unreachable = 0
   nextDrawAt = 0
   drawPauseMs = 0
   nextRoundAt = 0
   roundPauseMs = 0
   waiting: WaitingRequest[] = []
-  /** What other holders gave; no part of the allotment. */
+  /** Tokens granted by other holders; not part of the allotment. */
   readonly purse = new GiftPurse()
-  /** The ask for a gift that is open. */
+  /** Id of the open grant request. */
   giftAsk: string | undefined
   nextGiftAt = 0
-  /** When other holders last had too little for the requests that waited. */
+  /** When other holders last granted less than waiting requests need. */
   giftShortAt = -Infinity
-  /** When other holders were last asked in vain: none answered. */
+  /** When a grant request last got no answer from any peer. */
   othersSilentAt = -Infinity
   private readonly needs = new NeedsOfOthers()
-  /** How much of the budget is aimed at. */
   readonly aim: BudgetAim
-  /** What may be in use without the table knowing it. */
+  /** Bounds on unreported use. */
   readonly bounds = new ReportBounds()
   private readonly received = new ReceivedTransfers()
 
-  /**
-   * @param budget - budget id
-   * @param policy - sizes and times
-   * @param isOwnedNow - whether this holder owns the budget
-   */
+  /** @param isOwnedNow - whether this holder owns the budget */
   constructor (readonly budget: string, private readonly policy: BudgetPolicy, private readonly isOwnedNow: () => boolean = () => true) {
     this.aim = new BudgetAim(policy, isOwnedNow)
   }
@@ -84,28 +80,21 @@
     return this.isOwnedNow()
   }
 
-  /**
-   * Whether tokens are held ahead of need: this holder owns the budget, or has much demand for it.
-   * @param mono - present time
-   */
+  /** Whether tokens are drawn ahead of need: this holder owns the budget or has high demand for it. */
   isSupplied (mono: number): boolean {
     return this.isOwned || this.aim.isBusy(mono)
   }
 
-  /**
-   * Notes that requests ask for this budget, or may at any time.
-   * @param mono - present time
-   */
+  /** Records that requests for this budget arrived, or may arrive at any time. */
   noteAsked (mono: number): void {
     this.lastAskedAt = mono
     this.isWanted = true
   }
 
   /**
-   * Notes a need of a holder that does not own the budget, and so counts no demand of its own.
-   * @param tokens - tokens asked for
-   * @param given - tokens that it got
-   * @param mono - present time
+   * Counts a grant request as demand, because a holder that does not own the budget draws nothing for it.
+   * @param tokens - tokens requested
+   * @param given - tokens granted
    */
   noteNeedOfOther (tokens: number, given: number, mono: number): void {
     this.noteAsked(mono)
@@ -114,7 +103,7 @@
     this.aim.rate.add(tokens, mono)
   }
 
-  /** Has the table asked again at once, because more may be had now. */
+  /** Clears the shortage and all pauses, so that the table is queried again immediately. */
   forgetShortage (): void {
     this.shortage = undefined
     this.nextDrawAt = 0
@@ -123,39 +112,33 @@
     this.roundPauseMs = 0
   }
 
-  /** Tokens that bind nothing. */
+  /** Tokens neither reserved, billed nor being returned. */
   get free (): number {
     return this.held - this.reserved - this.unsettled - this.returning
   }
 
-  /** Free tokens that the table knows as held by this holder; only they may be given on. */
+  /** Free tokens recorded for this holder in the table; only they may be transferred. */
   get giveable (): number {
     return Math.max(0, this.free - this.received.tokens)
   }
 
-  /** Tokens that waiting requests ask for. */
+  /** Tokens needed by waiting requests. */
   get waitingTokens (): number {
     return this.waiting.reduce((sum, item) => sum + item.tokens, 0)
   }
 
-  /** Tokens that waiting requests lack. */
+  /** Tokens needed by waiting requests beyond the free ones. */
   get need (): number {
     return Math.max(0, this.waitingTokens - Math.max(0, this.free))
   }
 
-  /**
-   * Milliseconds for which tokens of the allotment may still be reserved.
-   * @param now - both clocks
-   */
+  /** Milliseconds for which tokens of the allotment may still be reserved. */
   leaseLeftMs (now: Instant): number {
     if (this.touchedAt === undefined) return 0
     return usableMs(this.policy) - elapsedMs(this.touchedAt, now)
   }
 
-  /**
-   * Whether tokens may be reserved now: neither the own allotment nor a received transfer has lapsed.
-   * @param now - both clocks
-   */
+  /** Whether tokens may be reserved now: neither the local allotment nor a received transfer has expired. */
   isUsable (now: Instant): boolean {
     if (this.received.hasLapsed(now)) return false
     if (this.touchedAt === undefined) return !this.received.isEmpty && !this.reopen
@@ -163,9 +146,8 @@
   }
 
   /**
-   * Whether a transfer may be asked for: not while the own row may be closed, because a transfer
+   * Whether a transfer may be requested: not while the local allotment row may be closed, because a transfer
    * to a closed row cannot be recorded.
-   * @param now - both clocks
    */
   mayAsk (now: Instant): boolean {
     if (this.reopen) return false
@@ -173,18 +155,12 @@
     return this.draw === undefined || elapsedMs(this.draw.since, now) < usableMs(this.policy)
   }
 
-  /**
-   * Whether a draw is made for no demand beyond what is dealt out evenly.
-   * @param now - both clocks
-   */
+  /** Whether demand does not exceed the fair share, so that a draw asks only for that. */
   isForEvenPart (now: Instant): boolean {
     return this.waiting.length === 0 && this.aim.isEvenPart(now.mono)
   }
 
-  /**
-   * What a report made now should allow.
-   * @param now - both clocks
-   */
+  /** Allowance of a report made now. */
   allowance (now: Instant): ReportAllowance {
     return allowanceOf({
       inUse: this.reserved + this.unsettled + this.waitingTokens,
@@ -195,20 +171,13 @@
     })
   }
 
-  /**
-   * Tokens that may be reserved now: free ones, as far as the last report allows.
-   * @param now - both clocks
-   */
+  /** Free tokens that may be reserved now under the last report. */
   usable (now: Instant): number {
     if (!this.policy.boundsUse) return this.free
     return Math.min(this.free, this.bounds.room(this.reserved + this.unsettled, this.flushing, now))
   }
 
-  /**
-   * Reserves from what was given first, the rest from the allotment; undefined where both are too little.
-   * @param tokens - amount needed
-   * @param now - both clocks
-   */
+  /** Reserves from granted tokens first, then from the allotment; undefined if both are insufficient. */
   reserve (tokens: number, now: Instant): ReservedTokens | undefined {
     const own = Math.max(0, tokens - this.purse.free)
     if (own > 0 && (!this.isUsable(now) || own > this.usable(now))) return undefined
@@ -216,28 +185,20 @@
     return { own, given: this.purse.take(tokens) }
   }
 
-  /**
-   * Milliseconds until so many tokens may be reserved, as far as the last report is what forbids it; undefined where tokens lack.
-   * @param tokens - amount needed
-   * @param now - both clocks
-   */
+  /** Milliseconds until the last report allows to reserve `tokens`; undefined if too few are free. */
   untilUsableMs (tokens: number, now: Instant): number | undefined {
     if (!this.policy.boundsUse || tokens > this.free) return undefined
     return this.bounds.untilRoomMs(tokens, this.reserved + this.unsettled, this.flushing, now)
   }
 
-  /**
-   * Free tokens that a holder which needs no refill has: the level after the last draw, or a part of what is dealt out evenly.
-   * @param now - both clocks
-   */
+  /** Level from which the low-water mark is computed: free tokens after the last draw, or a fraction of the fair share. */
   enough (now: Instant): number {
     return Math.min(this.aim.tokens(now.mono), Math.max(this.level, this.aim.evenPart * LEAST_OF_EVEN))
   }
 
   /**
-   * Takes in a transfer.
-   * @param transfer - what was received
-   * @param askedAt - when it was asked for
+   * Adds a received transfer.
+   * @param askedAt - when it was requested
    */
   receive (transfer: Transfer, askedAt: Instant): void {
     this.received.add(transfer, askedAt)
@@ -245,37 +206,28 @@
     this.level = Math.max(0, this.free)
   }
 
-  /**
-   * Notes that a transfer is in the table.
-   * @param transferId - id of the transfer
-   */
+  /** Marks a received transfer as recorded in the table. */
   recorded (transferId: string): void {
     this.received.remove(transferId)
   }
 
-  /**
-   * Takes back a received transfer that can no longer be recorded.
-   * @param transferId - id of the transfer
-   */
+  /** Revokes a received transfer that can no longer be recorded. */
   loseTransfer (transferId: string): void {
     this.held -= this.received.remove(transferId)
   }
 
-  /**
-   * Whether the table is known not to help a waiting request: it has nothing left, or did not answer lately.
-   * @param now - both clocks
-   */
+  /** Whether the table cannot serve a waiting request: it has too few tokens, or did not answer recently. */
   isOutOfTouch (now: Instant): boolean {
     return this.shortage?.kind === 'short' || this.shortage?.kind === 'unavailable' || this.bounds.ageMs(now) > this.policy.flushMs * SILENT_FLUSHES
   }
 
-  /** Whether nothing is held, owed or awaited, so that the entry can be forgotten. */
+  /** Whether nothing is allotted, owed or awaited, so that the entry can be removed. */
   get isEmpty (): boolean {
     return this.held === 0 && this.reserved === 0 && this.unsettled === 0 && this.waiting.length === 0 &&
       this.draw === undefined && this.round === undefined && this.received.isEmpty && this.purse.free === 0 && this.giftAsk === undefined
   }
 
-  /** Forgets all tokens after the allotment was closed. */
+  /** Drops all tokens after the allotment was closed. */
   reset (): void {
     this.bounds.reset()
     this.held = 0
--- a/packages/decisions/src/budget/budgetEntryTypes.ts
+++ b/packages/decisions/src/budget/budgetEntryTypes.ts
@@ -1,10 +1,10 @@
 /**
- * What one holder keeps of one budget besides amounts: requests that wait, the search for tokens, and how it last ended.
+ * Types for the requests that wait for tokens of one budget at one holder, and for its attempts to acquire tokens.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { ReportBound } from './reportBound.js'
 
-/** A request that waits for tokens. */
+/** A request waiting for tokens. */
 export interface WaitingRequest {
   readonly reservationId: string
   readonly tokens: number
@@ -12,35 +12,34 @@
   readonly giveUpAfterMs: number
 }
 
-/** Where the tokens of a reservation come from. */
+/** Tokens of a reservation by source. */
 export interface ReservedTokens {
-  /** Tokens of the allotment. */
   readonly own: number
-  /** Tokens that other holders gave. */
+  /** Tokens granted by other holders. */
   readonly given: number
 }
 
-/** Why tokens could not be had, as of the last try. */
+/** Why the last draw failed. */
 export type Shortage =
   | { readonly kind: 'unavailable' | 'unknownBudget' }
   | { readonly kind: 'short', readonly unspent: number }
 
-/** One step of a search for tokens. */
+/** Step of an acquisition round; part of the ids of its operations. */
 export type RoundStage = 'draw' | 'give' | 'recall' | 'redraw'
 
-/** The present step; `operationId` is set once its action was emitted. */
+/** Current step of a round; `operationId` is set once its action was emitted. */
 export interface Round {
   readonly stage: RoundStage
   readonly operationId?: string
 }
 
-/** A draw whose outcome is open; kept under one id until the table says what became of it. */
+/** A draw with unknown outcome, retried under the same id until the table confirms it. */
 export interface OpenDraw {
   readonly drawId: string
   readonly inFlight: boolean
-  /** Whether requests wait for it, so that it must not wait for other draws. */
+  /** Whether requests wait for it, so that it must not be batched with later draws. */
   readonly isUrgent: boolean
   readonly since: Instant
-  /** Bound that a new allotment row gets; the same for every try. */
+  /** Report bound of a new allotment row; the same for every retry. */
   readonly report?: ReportBound
 }
--- a/packages/decisions/src/budget/budgetEvenPart.spec.ts
+++ b/packages/decisions/src/budget/budgetEvenPart.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Tokens that are dealt out to all holders evenly: drawn before requests come, shared with holders
- * that begin later, and reported often enough to cost little at an end.
+ * Fair shares: drawn before requests arrive, shared with holders that start later, and reported often enough to lose little
+ * when a holder terminates.
  */
 import { expect } from 'chai'
 import { BudgetLedger } from './budgetLedger.js'
@@ -38,7 +38,7 @@
     return this.send({ kind: 'tick' })
   }
 
-  /** Prepares the budget and grants what it draws. */
+  /** Prepares the budget and grants its draw. */
   prepared (tokens: number, spent = PAID - 2 * tokens): this {
     const draw = this.send({ kind: 'prepare', budget: 'b' }).find(action => action.kind === 'draw')
     const fleet = { paid: PAID, spent, holders: (PAID - spent) / tokens }
@@ -51,7 +51,7 @@
       .map(action => action.kind === 'refuse' ? action.failure.code : action.kind)
   }
 
-  /** Has the store answer no more: what is sent stays without an answer. */
+  /** Sends a flush that stays unanswered. */
   lostFlush (): void {
     const flush = this.pass(700).find(action => action.kind === 'flush')
     this.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
@@ -67,16 +67,16 @@
 }
 
 const parts: readonly PartCase[] = [
-  { name: 'the first holder gets its part', row: {}, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
-  { name: 'the last holder gets its part', row: { allotted: 500_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
-  { name: 'spent tokens are no part', row: { spent: 300_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 50_000 },
-  { name: 'what is held counts', row: { allotted: 60_000 }, held: 60_000, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 40_000 },
-  { name: 'what is needed now goes before parts', row: { allotted: 200_000 }, held: 200_000, order: { tokens: 300_000, atLeast: 300_000 }, granted: 300_000 },
-  { name: 'demand goes before parts', row: { allotted: 300_000 }, held: 0, order: { tokens: 150_000, atLeast: 0 }, granted: 100_000 },
-  { name: 'a scrap is not worth a write', row: { allotted: 599_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: undefined }
+  { name: 'the first holder gets its fair share', row: {}, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
+  { name: 'the last holder gets its fair share', row: { allotted: 500_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
+  { name: 'spent tokens are not shared', row: { spent: 300_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 50_000 },
+  { name: 'allotted tokens count towards the fair share', row: { allotted: 60_000 }, held: 60_000, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 40_000 },
+  { name: 'tokens needed now take precedence over fair shares', row: { allotted: 200_000 }, held: 200_000, order: { tokens: 300_000, atLeast: 300_000 }, granted: 300_000 },
+  { name: 'demand takes precedence over fair shares', row: { allotted: 300_000 }, held: 0, order: { tokens: 150_000, atLeast: 0 }, granted: 100_000 },
+  { name: 'a small remainder is not worth a write', row: { allotted: 599_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: undefined }
 ]
 
-describe('tokens that are dealt out evenly', () => {
+describe('fair shares', () => {
   for (const { name, row, held, order, granted } of parts) {
     it(name, () => {
       const keys = drawKeys('vm1~a', 'b')
@@ -92,17 +92,17 @@
     })
   }
 
-  it('are drawn before any request, and no request waits then', () => {
+  it('are drawn before any request, so that none waits', () => {
     expect(new Holder().prepared(100_000).reserve('r1', 1_000)).to.include('admit')
   })
 
-  it('are shared with a holder that begins', () => {
+  it('are shared with a holder that starts later', () => {
     const holder = new Holder().prepared(100_000)
     const flush = holder.send({ kind: 'holderJoined', holder: 'vm5~a' }).find(action => action.kind === 'flush')
     expect(flush?.returns).to.deep.equal([{ budget: 'b', tokens: 20_000 }])
   })
 
-  it('allow no more than the table knows where the answer of the draw was lost', () => {
+  it('allow no more than the table records after the draw answer was lost', () => {
     const holder = new Holder().prepared(100_000, 0)
     const flush = holder.pass(700).find(action => action.kind === 'flush')
     const closed = holder.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'closed', budgets: ['b'] } })
@@ -113,7 +113,7 @@
     expect(admitted).to.deep.equal([true, true, false])
   })
 
-  it('go back in small flushes, since the rows of budgets are written by all holders', () => {
+  it('are returned in small flushes, because all holders write the budget rows', () => {
     const queue = new FlushQueue({ ...policy, returnsAtOnce: 3 })
     for (let i = 0; i < 5; i += 1) queue.addReturn({ budget: `b${i}`, tokens: 10 }, 0)
     queue.addReturn({ budget: 'renewed', tokens: 0 }, 0)
@@ -123,21 +123,21 @@
     expect([first, second].map(flush => flush?.returns.map(({ budget }) => budget))).to.deep.equal([['b0', 'b1', 'b2', 'renewed'], ['b3', 'b4']])
   })
 
-  it('are reported again before what the last report allows grows', () => {
+  it('are reported again before the allowance of the last report grows', () => {
     const holder = new Holder().prepared(100_000)
     const flush = holder.pass(700).find(action => action.kind === 'flush')
     expect([flush?.returns, flush?.reports?.map(({ tokens }) => tokens)]).to.deep.equal([[{ budget: 'b', tokens: 0 }], [10_000]])
   })
 
-  /** Use grows by 20 tokens a millisecond from 1.5 s after the lost report on, which allows 10,000. */
+  /** The last report allows 10,000 tokens, and 20 more per millisecond from 1.5 s on. */
   const waits: ReadonlyArray<{ readonly name: string, readonly askedAfter: number, readonly passed: number, readonly answer: string | undefined, readonly retryAfterMs?: number }> = [
-    { name: 'refused in time, with the time until it may be used', askedAfter: 1_000, passed: 110, answer: 'budgetUnreported', retryAfterMs: 395 },
-    { name: 'refused in time, to come back sooner than that where that time is long', askedAfter: 0, passed: 110, answer: 'budgetUnreported', retryAfterMs: 500 },
-    { name: 'kept where its use is allowed soon', askedAfter: 1_440, passed: 40, answer: undefined },
-    { name: 'admitted when its use is allowed', askedAfter: 1_440, passed: 100, answer: 'admit' }
+    { name: 'refused in time, with the wait until its use is allowed', askedAfter: 1_000, passed: 110, answer: 'budgetUnreported', retryAfterMs: 395 },
+    { name: 'refused in time, with a shorter wait if that is long', askedAfter: 0, passed: 110, answer: 'budgetUnreported', retryAfterMs: 500 },
+    { name: 'kept waiting if its use is allowed soon', askedAfter: 1_440, passed: 40, answer: undefined },
+    { name: 'admitted once its use is allowed', askedAfter: 1_440, passed: 100, answer: 'admit' }
   ]
   for (const { name, askedAfter, passed, answer, retryAfterMs } of waits) {
-    it(`without the store, a request for more than the report allows is ${name}`, () => {
+    it(`without the table, a request for more than the report allows is ${name}`, () => {
       const holder = new Holder().prepared(100_000)
       holder.lostFlush()
       holder.pass(askedAfter)
--- a/packages/decisions/src/budget/budgetGifts.spec.ts
+++ b/packages/decisions/src/budget/budgetGifts.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Gifts between holders that cannot reach the table: when they are asked for, what is given, and that
- * no order of messages, losses and ends has a token used twice.
+ * Grants between holders that cannot reach the table: when they are requested, how much is granted, and that no order of
+ * messages, losses and terminations spends a token twice.
  */
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -12,7 +12,7 @@
   ...defaultBudgetPolicy, evenPart: 0.1, boundsUse: true, demandFrom: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, patienceMs: 30, giftAfterMs: 20
 }
 const HELD = 50_000
-/** What the first report of such an allotment allows. */
+/** Allowance of the first report of this allotment. */
 const ALLOWED = 5_000
 
 class Holder {
@@ -46,7 +46,7 @@
     return this.send({ kind: 'settle', reservationId, bill: { requestId: reservationId, budget: 'b', team: 't', tokens, runner: 'r' } })
   }
 
-  /** The ask that goes out when a request waits long enough. */
+  /** The grant request sent after a request has waited long enough. */
   askFor (tokens: number): Extract<BudgetAction, { kind: 'askGift' }> | undefined {
     return [...this.reserve('r1', tokens), ...this.pass(25)].find(action => action.kind === 'askGift')
   }
@@ -59,24 +59,24 @@
 
 const kinds = (actions: readonly BudgetAction[]): readonly string[] => actions.map(action => action.kind === 'refuse' ? action.failure.code : action.kind)
 
-describe('gifts between holders', () => {
+describe('grants between holders', () => {
   const gifts: ReadonlyArray<{ readonly name: string, readonly prepare?: (holder: Holder) => void, readonly asked: number, readonly given: number }> = [
-    { name: 'what is asked for', asked: 3_000, given: 3_000 },
+    { name: 'the requested amount', asked: 3_000, given: 3_000 },
     { name: 'no more than the last report allows', asked: 90_000, given: ALLOWED },
-    { name: 'only what is not reserved', prepare: holder => { holder.reserve('own', 4_000) }, asked: 3_000, given: 1_000 },
-    { name: 'nothing while own requests wait', prepare: holder => { holder.reserve('own', 9_000) }, asked: 3_000, given: 0 },
-    { name: 'only what was not given before', prepare: holder => { holder.give(4_500) }, asked: 3_000, given: 500 },
-    { name: 'nothing while the process drains', prepare: holder => { holder.send({ kind: 'drain' }) }, asked: 3_000, given: 0 }
+    { name: 'only tokens that are not reserved', prepare: holder => { holder.reserve('own', 4_000) }, asked: 3_000, given: 1_000 },
+    { name: 'nothing while local requests wait', prepare: holder => { holder.reserve('own', 9_000) }, asked: 3_000, given: 0 },
+    { name: 'only tokens that were not granted before', prepare: holder => { holder.give(4_500) }, asked: 3_000, given: 500 },
+    { name: 'nothing while draining', prepare: holder => { holder.send({ kind: 'drain' }) }, asked: 3_000, given: 0 }
   ]
   for (const { name, prepare, asked, given } of gifts) {
-    it(`a holder gives ${name}`, () => {
+    it(`a holder grants ${name}`, () => {
       const holder = new Holder('vm1~a')
       prepare?.(holder)
       expect(holder.give(asked)).to.equal(given)
     })
   }
 
-  it('a holder bills what it gives before it answers', () => {
+  it('a holder bills granted tokens before it answers', () => {
     const holder = new Holder('vm1~a')
     holder.give(3_000)
     const flush = holder.pass(200).find(action => action.kind === 'flush')
@@ -84,25 +84,25 @@
   })
 
   const asks: ReadonlyArray<{ readonly name: string, readonly over?: Partial<BudgetPolicy>, readonly tokens: number, readonly waitedMs: number, readonly asked: number | undefined }> = [
-    { name: 'what a request lacks once it waited', tokens: 9_000, waitedMs: 20, asked: 4_000 },
-    { name: 'nothing while the table may still help', tokens: 9_000, waitedMs: 10, asked: undefined },
-    { name: 'nothing where holders have no links', over: { giftAfterMs: undefined as never }, tokens: 9_000, waitedMs: 40, asked: undefined }
+    { name: 'the missing tokens of a request that waited', tokens: 9_000, waitedMs: 20, asked: 4_000 },
+    { name: 'nothing while the table may still answer', tokens: 9_000, waitedMs: 10, asked: undefined },
+    { name: 'nothing if holders have no links', over: { giftAfterMs: undefined as never }, tokens: 9_000, waitedMs: 40, asked: undefined }
   ]
   for (const { name, over, tokens, waitedMs, asked } of asks) {
-    it(`a holder asks for ${name}`, () => {
+    it(`a holder requests ${name}`, () => {
       const holder = new Holder('vm1~a', over)
       const actions = [...holder.reserve('r1', tokens), ...holder.pass(waitedMs)]
       expect(actions.find(action => action.kind === 'askGift')?.tokens).to.equal(asked)
     })
   }
 
-  it('a holder asks at once when its last report is old', () => {
+  it('a holder requests a grant immediately if its last report is old', () => {
     const holder = new Holder('vm1~a')
     holder.pass(600)
     expect(holder.reserve('r1', 9_000).find(action => action.kind === 'askGift')?.tokens).to.equal(4_000)
   })
 
-  it('a request is admitted from what was given, and what it did not use serves the next one', () => {
+  it('a request is admitted from granted tokens, and the unused ones serve the next request', () => {
     const holder = new Holder('vm1~a')
     const ask = holder.askFor(9_000)
     const admitted = holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 4_000, isReached: true })
@@ -111,7 +111,7 @@
     expect([kinds(admitted), kinds(next)]).to.deep.equal([['admit'], ['admit']])
   })
 
-  it('what was given to a holder is passed on before it gives its own', () => {
+  it('a holder passes on granted tokens before it grants from its allotment', () => {
     const holder = new Holder('vm1~a')
     const ask = holder.askFor(9_000)
     holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
@@ -119,7 +119,7 @@
     expect([holder.give(8_000), holder.ledger.view('b')?.unsettled]).to.deep.equal([8_000, 1_000])
   })
 
-  it('a request paid by gifts alone costs the own allotment nothing', () => {
+  it('a request paid by grants alone does not use the local allotment', () => {
     const holder = new Holder('vm1~a')
     const ask = holder.askFor(9_000)
     holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
@@ -128,12 +128,12 @@
   })
 
   const ends: ReadonlyArray<{ readonly name: string, readonly silentMs: number, readonly purse: number, readonly left: readonly number[] }> = [
-    { name: 'nothing to others while the table can take it back', silentMs: 0, purse: 0, left: [] },
-    { name: 'what it may use to another where the table is silent', silentMs: 600, purse: 0, left: [ALLOWED] },
-    { name: 'what it was given in any case', silentMs: 0, purse: 700, left: [700] }
+    { name: 'nothing while the tokens can be returned to the table', silentMs: 0, purse: 0, left: [] },
+    { name: 'its usable tokens if the table is unresponsive', silentMs: 600, purse: 0, left: [ALLOWED] },
+    { name: 'granted tokens in any case', silentMs: 0, purse: 700, left: [700] }
   ]
   for (const { name, silentMs, purse, left } of ends) {
-    it(`a holder that ends leaves ${name}`, () => {
+    it(`a draining holder hands over ${name}`, () => {
       const holder = new Holder('vm1~a')
       if (purse > 0) holder.send({ kind: 'handedOver', budget: 'b', tokens: purse })
       holder.pass(silentMs)
@@ -142,7 +142,7 @@
     })
   }
 
-  it('what was given may be used after the allotment was closed, and a request paid by it alone stays valid', () => {
+  it('granted tokens may be used after the allotment was closed, and a request paid by them alone stays valid', () => {
     const holder = new Holder('vm1~a')
     holder.send({ kind: 'handedOver', budget: 'b', tokens: 9_000 })
     const flush = holder.pass(700).find(action => action.kind === 'flush')
@@ -151,14 +151,14 @@
     expect([admitted, holder.ledger.isValid('r1', holder.now), holder.ledger.isValid('r2', holder.now)]).to.deep.equal([true, true, false])
   })
 
-  it('what was given is not used any more once the paid amount was lowered', () => {
+  it('granted tokens are not used after the paid amount was lowered', () => {
     const holder = new Holder('vm1~a')
     holder.send({ kind: 'handedOver', budget: 'b', tokens: 9_000 })
     holder.send({ kind: 'paidChanged', budget: 'b', isLowered: true })
     expect([holder.give(9_000), kinds(holder.reserve('r1', 9_000)).includes('admit')]).to.deep.equal([0, false])
   })
 
-  it('an answer to an ask that is not open gives nothing', () => {
+  it('an answer to a grant request that is not open adds nothing', () => {
     const holder = new Holder('vm1~a')
     const ask = holder.askFor(9_000)
     holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 0, isReached: true })
@@ -167,11 +167,11 @@
   })
 
   const returns: ReadonlyArray<{ readonly name: string, readonly given: number | undefined, readonly retryAfterMs: number }> = [
-    { name: 'another VM soon, where the others were not asked', given: undefined, retryAfterMs: 20 },
-    { name: 'any VM later, where the others had too little', given: 0, retryAfterMs: 1_000 }
+    { name: 'another VM soon, if peers have not answered', given: undefined, retryAfterMs: 20 },
+    { name: 'any VM later, if peers granted too little', given: 0, retryAfterMs: 1_000 }
   ]
   for (const { name, given, retryAfterMs } of returns) {
-    it(`a request that was refused for tokens may come back to ${name}`, () => {
+    it(`a request refused for lack of tokens is told to retry at ${name}`, () => {
       const holder = new Holder('vm1~a', { otherVmRetryMs: 20 })
       holder.pass(600)
       const ask = holder.reserve('r1', 90_000).find(action => action.kind === 'askGift')
@@ -181,7 +181,7 @@
     })
   }
 
-  it('a request is refused at once when neither the table nor other holders have tokens', () => {
+  it('a request is refused immediately if neither the table nor other holders have tokens', () => {
     const holder = new Holder('vm1~a')
     holder.pass(600)
     const ask = holder.reserve('r1', 9_000).find(action => action.kind === 'askGift')
@@ -190,11 +190,11 @@
   })
 
   /**
-   * Three holders that lost the table. Messages between them are lost, late or doubled, requests bill
-   * all they reserved, and any holder may end. No holder passes a second, so that nothing grows: what was
-   * admitted anywhere stays within what recovery would bill for the three.
+   * Three holders without access to the table. Messages between them are lost or duplicated, requests bill all they reserved,
+   * and any holder may terminate. Less than a second passes, so that allowances do not grow: all admitted tokens must stay
+   * within the amount that recovery would bill for the three.
    */
-  it('no order of messages, losses and ends has a token used twice', () => {
+  it('no order of messages, losses and terminations spends a token twice', () => {
     const step = fc.record({ holder: fc.nat(2), giver: fc.nat(2), tokens: fc.integer({ min: 1, max: 9_000 }), fate: fc.constantFrom('arrives', 'lost', 'answerLost', 'doubled', 'ends'), settles: fc.boolean() })
     fc.assert(fc.property(fc.array(step, { maxLength: 40 }), steps => {
       const holders = ['vm1~a', 'vm2~a', 'vm3~a'].map(name => new Holder(name))
@@ -221,7 +221,7 @@
   })
 })
 
-/** Tokens of the requests that were admitted; the number of a reservation is that of its step. */
+/** Total tokens of the admitted requests; the reservation id contains the number of its step. */
 function admittedTokens (actions: readonly BudgetAction[], steps: ReadonlyArray<{ readonly tokens: number }>): number {
   return actions.reduce((sum, action) => action.kind === 'admit' ? sum + (steps[Number(action.reservationId.slice(1))]?.tokens ?? 0) : sum, 0)
 }
--- a/packages/decisions/src/budget/budgetGifts.ts
+++ b/packages/decisions/src/budget/budgetGifts.ts
@@ -1,9 +1,7 @@
 /**
- * Gifts between holders that cannot reach the table: who lacks tokens for a waiting request asks
- * other holders directly. The giver bills the tokens as used by itself, within what its own last
- * report allows, before it answers; the taker keeps them in a purse beside its allotment. So the
- * table needs to know nothing of a gift: an end of either holder, or an answer that is lost or comes
- * twice, loses tokens at worst and never has one used twice.
+ * Grants between holders, which need no access to the table: a holder without tokens for a waiting request queries its peers.
+ * The granter bills the tokens as used by itself, within its last report, before it answers; the recipient stores them in a
+ * GrantPool beside its allotment. A terminated holder or a lost or duplicate answer can lose tokens, but none is spent twice.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
@@ -13,19 +11,18 @@
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
-/** Milliseconds between two asks for one budget, once the others had too little: their tokens do not change faster. */
+/** Pause before the next grant request after peers granted too little: their tokens do not change faster. */
 const EMPTY_PAUSE_MS = 150
-/** The same where the owners of the budget are asked: one that gave less reports at once, which takes some 15 ms. */
+/** The same for requests to the owners: one that granted less reports immediately, which takes about 15 ms. */
 const OWNERS_PAUSE_MS = 40
 
-/** Asks of one holder for gifts, and what it gives. */
+/** Requests and answers grants for one holder. */
 export class BudgetGifts {
   private asks = 0
 
   /**
-   * @param holder - holder id, part of the ids of its asks
-   * @param policy - whether and when gifts are asked for
-   * @param queue - where what is given away is billed
+   * @param holder - holder id, prefix of request ids
+   * @param queue - receives the bills of granted tokens
    */
   constructor (
     private readonly holder: string,
@@ -34,11 +31,8 @@
   ) {}
 
   /**
-   * Gives what may be used here and no own request waits for: what was given to this holder is passed on
-   * first, the rest counts as used by it from then on.
-   * @param event - the ask
-   * @param entry - the budget, if this holder draws on it
-   * @param now - both clocks
+   * Grants usable tokens, unless local requests wait: received grants first, then tokens of the allotment, which are billed.
+   * @param entry - undefined if this holder has no entry for the budget
    */
   give ({ giftId, tokens, to }: EventOf<'giftAsked'>, entry: BudgetEntry | undefined, now: Instant): number {
     if (entry === undefined || entry.waiting.length > 0) return 0
@@ -48,20 +42,14 @@
     return passedOn + own
   }
 
-  /**
-   * Tokens that could be given now.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Tokens that could be granted now. */
   left (entry: BudgetEntry, now: Instant): number {
     return entry.waiting.length > 0 ? 0 : entry.purse.free + ownTokens(entry, now)
   }
 
   /**
-   * Leaves what may be used to another holder, where the table cannot take it back before this process
-   * ends; tokens that were given to this holder are left in any case, as no row has them.
-   * @param entry - the budget
-   * @param now - both clocks
+   * Hands usable tokens over to another holder if they cannot be returned to the table before this process stops. Received
+   * grants are always handed over, as no row records them.
    */
   handOver (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     if (this.policy.giftAfterMs === undefined) return []
@@ -72,11 +60,7 @@
     return tokens === 0 ? [] : [{ kind: 'handOver', budget, tokens }]
   }
 
-  /**
-   * Asks for what waiting requests lack, one ask at a time.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Requests the tokens that waiting requests lack; one open request at a time. */
   ask (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const oldest = entry.waiting[0]
     const { giftAfterMs } = this.policy
@@ -89,12 +73,7 @@
     return [{ kind: 'askGift', giftId: entry.giftAsk, budget: entry.budget, tokens }]
   }
 
-  /**
-   * Takes the outcome of an ask.
-   * @param entry - the budget
-   * @param event - how much was given in all
-   * @param now - both clocks
-   */
+  /** Handles the outcome of a grant request. */
   answered (entry: BudgetEntry, { giftId, tokens, isReached }: EventOf<'giftAnswered'>, now: Instant): void {
     if (entry.giftAsk !== giftId) return
     if (!isReached) entry.othersSilentAt = now.mono
@@ -112,12 +91,12 @@
   }
 }
 
-/** Tokens that waiting requests lack beyond what may be used here. */
+/** Tokens that waiting requests need beyond those usable here. */
 function lackingTokens (entry: BudgetEntry, now: Instant): number {
   return entry.waitingTokens - ownTokens(entry, now) - entry.purse.free
 }
 
-/** Tokens of the allotment that may be used now. */
+/** Tokens of the allotment that are usable now. */
 function ownTokens (entry: BudgetEntry, now: Instant): number {
   return entry.isUsable(now) ? Math.max(0, Math.floor(entry.usable(now))) : 0
 }
--- a/packages/decisions/src/budget/budgetGiving.ts
+++ b/packages/decisions/src/budget/budgetGiving.ts
@@ -1,6 +1,5 @@
 /**
- * Tokens that leave a holder for others: transfers within the failure domain, kept under an id so
- * that a repeated ask gets the same answer, and returns to the table on recall.
+ * Transfers of tokens within the failure domain, idempotent by id, and returns to the table on recall.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
@@ -10,25 +9,20 @@
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
-/** An ask that was answered. */
+/** An answered transfer request. */
 interface GivenTransfer {
-  /** Absent when the ask was answered with nothing for good. */
+  /** Undefined if the request is permanently answered with nothing. */
   readonly transfer: Transfer | undefined
   readonly at: Instant
 }
 
-/** Gives tokens away. */
 export class BudgetGiving {
-  /** Given and received transfers by id, in the order of time. */
+  /** Sent transfers by id, oldest first. */
   private readonly given = new Map<string, GivenTransfer>()
   private readonly received = new Map<string, Instant>()
   private readonly fenced = new Map<string, Instant>()
 
-  /**
-   * @param holder - holder id of this process
-   * @param policy - sizes and times
-   * @param queue - where transfers and returns become durable
-   */
+  /** @param queue - writes transfers and returns to the table */
   constructor (
     private readonly holder: string,
     private readonly policy: BudgetPolicy,
@@ -36,17 +30,15 @@
   ) {}
 
   /**
-   * Answers an ask for a transfer; the tokens are subtracted before the answer.
-   * @param event - the ask
-   * @param entry - the budget, if this holder draws on it
-   * @param now - both clocks
+   * Answers a transfer request; the tokens are subtracted before the answer.
+   * @param entry - undefined if this holder has no entry for the budget
    */
   give (event: EventOf<'giveAsked'>, entry: BudgetEntry | undefined, now: Instant): Transfer | undefined {
     if (this.isFenced(event.to, now) || !event.sameDomain || event.to === this.holder) return undefined
     const earlier = this.given.get(event.transferId)
     if (earlier !== undefined) return earlier.transfer === undefined ? undefined : this.withLease(earlier.transfer, entry, now)
     if (event.isRepeat === true) {
-      // The first ask may still arrive, when its sender can no longer use the tokens.
+      // The first request may still arrive after its sender can no longer use the tokens.
       this.given.set(event.transferId, { transfer: undefined, at: now })
       return undefined
     }
@@ -63,11 +55,8 @@
   }
 
   /**
-   * Takes in a transfer once.
-   * @param transfer - what was received
-   * @param entry - the budget
-   * @param askedAt - when this answer was asked for
-   * @param now - both clocks
+   * Accepts a transfer once; false if it is a duplicate or its sender is fenced.
+   * @param askedAt - when the transfer was requested
    */
   receive (transfer: Transfer, entry: BudgetEntry, askedAt: Instant, now: Instant): boolean {
     if (this.received.has(transfer.transferId) || this.isFenced(transfer.from, now)) return false
@@ -77,17 +66,12 @@
     return true
   }
 
-  /**
-   * Returns what can be spared.
-   * @param event - the recall
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Returns tokens on a recall, except those that local demand needs. */
   returnOnRecall (event: EventOf<'recallAsked'>, entry: BudgetEntry, now: Instant): number {
     const keep = entry.aim.rate.perMs(now.mono) * this.policy.recallKeepMs
     const tokens = recallTokens(entry.free, keep, event.atLeast ?? event.wanted)
     if (tokens === 0) return 0
-    // Else it would draw back at once what another holder needs more.
+    // Delays the next draw, which would otherwise take back the tokens that another holder needs more.
     entry.nextDrawAt = Math.max(entry.nextDrawAt, now.mono + this.policy.emptyPauseMs)
     entry.returning += tokens
     entry.level = Math.min(entry.level, Math.max(0, entry.free))
@@ -95,11 +79,7 @@
     return tokens
   }
 
-  /**
-   * Stops transfers from and to an ended holder; answers of it that are still on their way are void.
-   * @param holder - the ended holder
-   * @param now - both clocks
-   */
+  /** Stops transfers from and to a terminated holder; its answers in flight are void. */
   fence (holder: string, now: Instant): void {
     this.fenced.set(holder, now)
   }
--- a/packages/decisions/src/budget/budgetKeys.ts
+++ b/packages/decisions/src/budget/budgetKeys.ts
@@ -1,75 +1,55 @@
 /**
- * Names of the tables and keys in which budgets are kept.
+ * Table names and row keys of budgets.
  */
 import type { HolderId } from '../names/nameTypes.js'
 
-/** Tables of the budget rows. */
 export const budgetTables = {
   budgets: 'budgets',
   allotments: 'allotments',
-  /** Index `<holder>/<budget>` of allotments, so that recovery finds what an ended holder held. */
+  /** Index `<holder>/<budget>` of allotments, by which recovery finds those of a terminated holder. */
   holdings: 'holdings',
   /** Rows `<domain>/<holder>`: every process that may hold tokens. */
   holders: 'holders',
-  /** Rows `<holder>`: where the process listens, so that its successor there proves its end. */
+  /** Rows `<holder>`: addresses of the process; a successor on the same ones proves its termination. */
   places: 'places',
   segments: 'segments',
   topUps: 'topups',
   transfers: 'transfers'
 } as const
 
-/**
- * Key of the index row of an allotment.
- * @param holder - holder id
- * @param budget - budget id
- */
+/** Key of the index row of an allotment. */
 export function holdingKey (holder: HolderId, budget: string): string {
   return `${holder}/${budget}`
 }
 
-/**
- * Key of the register row of a holder.
- * @param domain - its failure domain
- * @param holder - holder id
- */
+/** Key of the registration row of a holder. */
 export function holderKey (domain: string, holder: HolderId): string {
   return `${domain}/${holder}`
 }
 
 const SEQ_DIGITS = 12
 
-/**
- * Key of an allotment row.
- * @param budget - budget id
- * @param holder - holder id
- */
+/** Key of an allotment row. */
 export function allotmentKey (budget: string, holder: HolderId): string {
   return `${budget}/${holder}`
 }
 
 /**
- * Whether a row is an allotment of a holder; while the holder lives, nobody else writes it.
+ * Whether a row is an allotment of a holder. Only the holder itself writes it while it runs.
  * @param row - table and key
- * @param holder - holder id
  */
 export function isOwnAllotment ({ table, key }: { readonly table: string, readonly key: string }, holder: HolderId): boolean {
   return table === budgetTables.allotments && key.endsWith(`/${holder}`)
 }
 
-/**
- * Key of a segment row; keys of one holder sort by number.
- * @param holder - holder id
- * @param seq - number of the segment
- */
+/** Key of a segment row; keys of one holder sort by sequence number. */
 export function segmentKey (holder: HolderId, seq: number): string {
   return `${holder}/${String(seq).padStart(SEQ_DIGITS, '0')}`
 }
 
 /**
- * Key of the segment that a recovery writes; sorts after all numbered ones.
- * @param holder - the ended holder
- * @param budget - budget id
- * @param version - version of the allotment row that was closed
+ * Key of a segment written by a recovery; sorts after all numbered segments.
+ * @param version - version of the budget row at the recovery
  */
 export function recoveredSegmentKey (holder: HolderId, budget: string, version: number): string {
   return `${holder}/recovered-${budget}-${version}`
--- a/packages/decisions/src/budget/budgetLedger.spec.ts
+++ b/packages/decisions/src/budget/budgetLedger.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger of one holder, event by event.
+ * Ledger of one holder: its actions for each event.
  */
 import { expect } from 'chai'
 import { BudgetLedger } from './budgetLedger.js'
@@ -51,7 +51,7 @@
 }
 
 describe('budget ledger', () => {
-  it('admits from what it holds without asking anyone', () => {
+  it('admits from its allotment without a query', () => {
     const bench = new Bench()
     expect(kinds(bench.grant(bench.reserve('r1', 100), 10_000))).to.deep.equal(['admit'])
     expect(kinds(bench.reserve('r2', 100))).to.deep.equal(['admit'])
@@ -62,13 +62,13 @@
     { title: 'the budget is unknown', outcome: { kind: 'unknownBudget' }, code: 'budgetUnknown' }
   ]
   for (const { title, outcome, code } of refusals) {
-    it(`refuses at once when ${title}`, () => {
+    it(`refuses immediately if ${title}`, () => {
       const bench = new Bench()
       expect(kinds(bench.answer(bench.reserve('r1', 100), outcome))).to.include(code)
     })
   }
 
-  it('asks the domain, then everyone, and draws again before it gives up', () => {
+  it('requests a transfer in the domain, recalls from all domains and draws again before it refuses', () => {
     const bench = new Bench()
     const short: DrawOutcome = { kind: 'short', left: 0, elsewhere: 500, sentAt: { mono: 0, wall: 0 } }
     const asked = bench.answer(bench.reserve('r1', 100), short)
@@ -84,9 +84,9 @@
   })
 
   const pauses: ReadonlyArray<{ title: string, mono: number, wall: number, admits: boolean }> = [
-    { title: 'shortly before the lapse', mono: usableMs(policy) - 1, wall: usableMs(policy) - 1, admits: true },
-    { title: 'past the lapse by the monotonic clock', mono: usableMs(policy), wall: 0, admits: false },
-    { title: 'past the lapse by the wall clock', mono: 0, wall: usableMs(policy), admits: false },
+    { title: 'shortly before expiry', mono: usableMs(policy) - 1, wall: usableMs(policy) - 1, admits: true },
+    { title: 'after expiry by the monotonic clock', mono: usableMs(policy), wall: 0, admits: false },
+    { title: 'after expiry by the wall clock', mono: 0, wall: usableMs(policy), admits: false },
     { title: 'with the wall clock set back', mono: 10, wall: -1e9, admits: true }
   ]
   for (const { title, mono, wall, admits } of pauses) {
@@ -100,7 +100,7 @@
     })
   }
 
-  it('sends a flush again unchanged until its outcome is known, and bills that came later in the next one', () => {
+  it('retries a flush unchanged until its outcome is known, and sends later bills in the next one', () => {
     const bench = new Bench()
     bench.grant(bench.reserve('r1', 100), 1000)
     bench.reserve('r2', 100)
@@ -115,7 +115,7 @@
     expect(next).to.deep.include({ seq: 2, bills: [{ requestId: 'r2', budget: 'b', team: 't', tokens: 60, runner: 'r' }] })
   })
 
-  it('gives a transfer once for each id, and only what the table knows as its own', () => {
+  it('transfers tokens once for each id, and only those recorded for it in the table', () => {
     const bench = new Bench()
     bench.grant(bench.reserve('r1', 100), 1000)
     const ask: BudgetEvent = { kind: 'giveAsked', transferId: 't1', budget: 'b', to: 'vm2~a', wanted: 300, atLeast: 300, sameDomain: true }
@@ -126,7 +126,7 @@
     expect(given).to.nested.include({ 'transfer.tokens': 600 })
   })
 
-  it('stops spending a closed allotment and reports what is in doubt', () => {
+  it('stops spending a closed allotment and reports the tokens in doubt', () => {
     const bench = new Bench()
     bench.grant(bench.reserve('r1', 100), 1000)
     bench.reserve('r2', 70)
@@ -138,7 +138,7 @@
     expect(bench.settle('r2', 10)).to.deep.equal([])
   })
 
-  it('draining, refuses and returns all that is free', () => {
+  it('refuses requests and returns all free tokens while draining', () => {
     const bench = new Bench()
     bench.grant(bench.reserve('r1', 100), 1000)
     const flush = bench.send({ kind: 'drain' }).find(action => action.kind === 'flush')
@@ -146,7 +146,7 @@
     expect(kinds(bench.reserve('r2', 1))).to.deep.equal(['draining'])
   })
 
-  it('renews an idle allotment well before it lapses', () => {
+  it('renews an idle allotment well before it expires', () => {
     const bench = new Bench()
     bench.settle('r1', 0)
     bench.grant(bench.reserve('r1', 100), 1000)
@@ -154,7 +154,7 @@
     expect(kinds(bench.pass(policy.lapseMs / 4 + 1))).to.include('flush')
   })
 
-  describe('with bounds on what is used without telling', () => {
+  describe('with bounds on unreported use', () => {
     const bounded = { ...policy, boundsUse: true, demandFrom: 'reservations' as const, flushMs: 60_000 }
     const LARGEST = 2_000
 
@@ -164,7 +164,7 @@
       return bench
     }
 
-    /** Reserves until a request has to wait; answers how many were admitted and what the last one led to. */
+    /** Reserves until a request has to wait; returns the number of admitted requests and the last actions. */
     function fill (bench: Bench): { readonly admitted: number, readonly last: readonly BudgetAction[] } {
       for (let admitted = 0; ; admitted += 1) {
         const last = bench.send({ kind: 'reserve', reservationId: `f${admitted}`, budget: 'b', tokens: LARGEST, giveUpAfterMs: 10_000 })
@@ -172,7 +172,7 @@
       }
     }
 
-    it('admits what the first report allows, then reports anew before it admits more', () => {
+    it('admits as much as the first report allows, then reports again before it admits more', () => {
       const bench = boundedBench()
       const { admitted, last } = fill(bench)
       expect(admitted).to.be.greaterThan(1).and.below(100)
@@ -182,21 +182,21 @@
       expect(kinds(after)).to.include('admit')
     })
 
-    it('admits no more while the outcome of the report is not known', () => {
+    it('admits no more while the outcome of the report is unknown', () => {
       const bench = boundedBench()
       const flush = fill(bench).last.find(action => action.kind === 'flush')
       const after = bench.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
       expect(kinds(after)).not.to.include('admit')
     })
 
-    it('admits more with time while nothing can be told', () => {
+    it('admits more with time while no report can be written', () => {
       const bench = boundedBench()
       const flush = fill(bench).last.find(action => action.kind === 'flush')
       bench.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
       expect([kinds(bench.pass(900)).includes('admit'), kinds(bench.pass(1_200)).includes('admit')]).to.deep.equal([false, true])
     })
 
-    it('sends the same report with each try of a flush', () => {
+    it('sends the same report with each retry of a flush', () => {
       const bench = boundedBench()
       const first = fill(bench).last.find(action => action.kind === 'flush')
       bench.send({ kind: 'flushAnswered', seq: first?.seq ?? 0, outcome: { kind: 'unavailable' } })
@@ -205,7 +205,7 @@
     })
   })
 
-  it('asks the table again at once when what was paid changes', () => {
+  it('queries the table again immediately when the paid amount changes', () => {
     const bench = new Bench()
     const asked = bench.answer(bench.reserve('r1', 100), { kind: 'short', left: 0, elsewhere: 0, sentAt: { mono: 0, wall: 0 } })
     bench.send({ kind: 'giveAnswered', transferId: asked.find(action => action.kind === 'askGive')?.transferId ?? '' })
@@ -214,7 +214,7 @@
     expect([kinds(before), kinds(bench.reserve('r3', 100))]).to.deep.equal([['budgetSpent'], ['draw']])
   })
 
-  it('returns its free tokens when what was paid is lowered', () => {
+  it('returns its free tokens when the paid amount is lowered', () => {
     const bench = new Bench()
     bench.grant(bench.reserve('r1', 100), 1000)
     const flush = bench.send({ kind: 'paidChanged', budget: 'b', isLowered: true }).find(action => action.kind === 'flush')
--- a/packages/decisions/src/budget/budgetLedger.ts
+++ b/packages/decisions/src/budget/budgetLedger.ts
@@ -1,7 +1,6 @@
 /**
- * The budget decider of one holder. It admits requests from tokens it durably holds, makes bills
- * durable in group commits, and asks for tokens ahead of need. It does no I/O: the shell carries
- * out its actions and reports the outcomes as events.
+ * Budget decider of one holder. Admits requests from durably allotted tokens, writes bills in group commits and draws tokens
+ * ahead of need. Does no I/O: the shell carries out its actions and reports the outcomes as events.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import { Failure } from '../codes/failure.js'
@@ -21,12 +20,12 @@
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
-/** Milliseconds that a request waits when the caller names no limit. */
+/** Maximum wait of a request without its own limit. */
 const DEFAULT_GIVE_UP_MS = 10_000
 
 const UNAVAILABLE: DrawOutcome = { kind: 'unavailable' }
 
-/** Budgets of one holder; entries exist only for budgets drawn on. */
+/** Budgets of one holder; an entry is created on first use. */
 export class BudgetLedger implements BudgetDecider {
   private readonly entries = new EntrySet()
   private readonly queue: FlushQueue
@@ -38,11 +37,6 @@
   private readonly steps: BudgetStep
   private draining = false
 
-  /**
-   * @param holder - holder id of this process
-   * @param policy - sizes and times
-   * @param owners - who owns which budget
-   */
   constructor (private readonly holder: string, private readonly policy: BudgetPolicy = defaultBudgetPolicy, private readonly owners: BudgetOwnership = ownedByAll(() => 1)) {
     this.queue = new FlushQueue(policy)
     this.giving = new BudgetGiving(holder, policy, this.queue)
@@ -65,34 +59,24 @@
     return [...this.entries.all.values()].map(entry => entry.view())
   }
 
-  /**
-   * One budget as this holder sees it.
-   * @param budget - budget id
-   */
+  /** State of one budget at this holder. */
   view (budget: string): BudgetView | undefined {
     return this.entries.all.get(budget)?.view()
   }
 
-  /** Whether everything owed is durable and nothing is held any more. */
+  /** Whether all bills are durable and no tokens are allotted. */
   get isSettled (): boolean {
     return this.queue.isEmpty && this.entries.holdNothing
   }
 
-  /**
-   * Whether a reservation may still be spent; asked again right before the run is dispatched.
-   * @param reservationId - the reservation
-   * @param now - both clocks
-   */
+  /** Whether a reservation may still be spent; checked again right before the run is dispatched. */
   isValid (reservationId: string, now: Instant): boolean {
     const reservation = this.settlement.find(reservationId)
     if (reservation === undefined) return false
     return reservation.own === 0 || this.entries.all.get(reservation.budget)?.isUsable(now) === true
   }
 
-  /**
-   * Whether a transfer from or to a holder is not known to be recorded.
-   * @param holder - holder id
-   */
+  /** Whether a transfer from or to a holder may be unrecorded. */
   hasTransferWith (holder: string): boolean {
     return this.queue.hasTransferWith(holder)
   }
@@ -132,7 +116,7 @@
     return this.step(entry, now)
   }
 
-  /** Counts as an ask, so that what is held is not returned as idle; draws go out with the next tick. */
+  /** Counts as a request, so that the allotment is not returned as idle. */
   private prepare ({ budget }: EventOf<'prepare'>, now: Instant): readonly BudgetAction[] {
     if (this.draining || !this.owners.owns(this.holder, budget)) return []
     const entry = this.entryOf(budget)
@@ -171,7 +155,7 @@
     const entry = this.entries.withDraw(event.drawId)
     if (entry === undefined) return []
     const isClosed = event.outcome.kind === 'closed'
-    // An open flush of this budget has to fail first: a reopened row would take its bills a second time.
+    // An open flush of this budget has to fail first: a reopened row would accept its bills a second time.
     const outcome = isClosed && this.settlement.isFlushing(entry.budget) ? UNAVAILABLE : event.outcome
     const closed = outcome.kind === 'closed' ? this.settlement.close(entry) : []
     this.supply.drawn(entry, outcome, now)
@@ -214,7 +198,7 @@
     const entry = this.entries.withOperation(event.recallId)
     if (entry === undefined) return []
     entry.unreachable = event.unreachable ?? 0
-    // What came back can be drawn now.
+    // The returned tokens can be drawn now.
     entry.nextDrawAt = 0
     this.supply.endStage(entry, event.recallId, now)
     return this.step(entry, now)
@@ -230,7 +214,7 @@
     return [{ kind: 'gift', giftId, tokens, left }, ...supply]
   }
 
-  /** Sees to it that the next needs of a holder that does not own the budget can be met here. */
+  /** Prepares for further grant requests of a holder that does not own the budget. */
   private supplyOther (entry: BudgetEntry, asked: EventOf<'giftAsked'>, given: number, now: Instant): readonly BudgetAction[] {
     if (this.draining || !entry.isOwned) return []
     entry.noteNeedOfOther(asked.tokens, given, now.mono)
@@ -256,7 +240,7 @@
     if (entry === undefined) return []
     entry.forgetShortage()
     if (isLowered) {
-      // What was given counts as spent already, and nobody may use it any more.
+      // Granted tokens count as spent already; after the paid amount was lowered they may not be used.
       entry.purse.take(Infinity)
       this.upkeep.returnFree(entry, 0, now)
     }
--- a/packages/decisions/src/budget/budgetOwners.spec.ts
+++ b/packages/decisions/src/budget/budgetOwners.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Who owns a budget, and what a holder that does not own it does: it asks the owners at once, draws only what they lack,
- * and returns what it has left over.
+ * Ownership of budgets, and holders that do not own one: they request grants from the owners, draw only if no owner answers, and
+ * return the rest.
  */
 import { expect } from 'chai'
 import { BudgetLedger } from './budgetLedger.js'
@@ -33,7 +33,7 @@
     })
   }
 
-  it('moves nothing when a VM begins again, and only what a VM owned when it goes', () => {
+  it('moves no budget when a VM restarts, and only those of a removed VM', () => {
     const holders = vms(60)
     const view = ownersAt('vm0~a', holders)
     const before = budgets.map(budget => holders.filter(holder => view.owns(holder, budget)))
@@ -52,7 +52,7 @@
   ...defaultBudgetPolicy, horizonMs: 45_000, rateWindowMs: 3_000, boundsUse: true, demandFrom: 'reservations', evenPart: 0.5, giftAfterMs: 20, flushMs: 100, patienceMs: 30, otherVmRetryMs: 20
 }
 
-/** A ledger of a holder that owns no budget, or all. */
+/** Ledger of a holder that owns all budgets or none. */
 class Holder {
   mono = 1_000
   readonly ledger: BudgetLedger
@@ -78,19 +78,19 @@
 const reserve = (tokens: number): BudgetEvent => ({ kind: 'reserve', reservationId: 'r1', budget: 'b', tokens, giveUpAfterMs: 150 })
 
 describe('a holder that does not own a budget', () => {
-  it('holds nothing of it ahead of need', () => {
+  it('draws nothing ahead of need', () => {
     expect(new Holder(false).kinds({ kind: 'prepare', budget: 'b' })).to.deep.equal([])
     expect(new Holder(true).kinds({ kind: 'prepare', budget: 'b' })).to.deep.equal(['draw'])
   })
 
-  it('asks the owners at once, and serves by what they gave', () => {
+  it('requests a grant from the owners immediately and serves from it', () => {
     const holder = new Holder(false)
     const [ask] = holder.send(reserve(1_000))
     expect(ask).to.include({ kind: 'askGift', tokens: 1_000 })
     expect(holder.kinds({ kind: 'giftAnswered', giftId: ask?.kind === 'askGift' ? ask.giftId : '', budget: 'b', tokens: 1_000, isReached: true })).to.deep.equal(['admit'])
   })
 
-  it('asks the owners again, and draws nothing, where they had too little', () => {
+  it('requests a grant again, and draws nothing, if the owners granted too little', () => {
     const holder = new Holder(false)
     const [ask] = holder.send(reserve(1_000))
     const asks: BudgetAction[] = []
@@ -103,7 +103,7 @@
     expect(asks.filter(({ kind }) => kind === 'askGift').length).to.equal(1)
   })
 
-  it('draws just what waits where no owner answers, and returns what is left over', () => {
+  it('draws only the waiting amount if no owner answers, and returns the rest', () => {
     const holder = new Holder(false)
     const [ask] = holder.send(reserve(1_000))
     holder.mono += 5
@@ -116,8 +116,8 @@
   })
 })
 
-describe('a holder with much demand for a budget that it does not own', () => {
-  it('draws ahead of need until the demand is over, and returns the rest then', () => {
+describe('a holder with high demand for a budget that it does not own', () => {
+  it('draws ahead of need until the demand ends, and then returns the rest', () => {
     const holder = new Holder(false)
     const drawn: BudgetAction[] = []
     for (let index = 0; index < 40; index += 1) {
@@ -145,7 +145,7 @@
 })
 
 describe('an owner of a budget', () => {
-  it('reports at once where the last report allows too little, and draws by what other holders ask for', () => {
+  it('reports immediately if the last report allows too little, and draws for the demand of other holders', () => {
     const owner = new Holder(true)
     owner.grant(owner.send({ kind: 'prepare', budget: 'b' }), 20_000)
     const gift = owner.send({ kind: 'giftAsked', giftId: 'g1', budget: 'b', tokens: 9_000, to: 'vm2~a' })
--- a/packages/decisions/src/budget/budgetOwners.ts
+++ b/packages/decisions/src/budget/budgetOwners.ts
@@ -1,37 +1,28 @@
 /**
- * Which holders own a budget: they draw it from the table ahead of need, report what is used of it, and
- * give to all other holders what their requests need. In a small fleet everybody owns every budget.
- *
- * A holder may use a part of its allotment without telling, which has to exceed a request by far. With an
- * allotment at each of 60 VMs it is less than one large request: of paid requests 28 in 100 were refused on a calm
- * day in virtual time, and 77 in 100 while connections were silent.
+ * Selects the owners of each budget: they draw it from the table ahead of need, report its use and grant tokens to all other
+ * holders. In a small fleet all holders own every budget.
+ * The unreported use that a holder is allowed must be much larger than one request. With allotments at 60 VMs it would be
+ * smaller than one large request, and paid requests would be refused.
  */
 import { vmOf } from '../names/nameTypes.js'
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
-/** VMs up to which each owns every budget: callers may be at any of few, and each alone may be the one that is not cut off. */
+/** Up to this many VMs, each owns every budget: any one of a few VMs may be the only one that is not cut off. */
 export const ALL_OWN_UP_TO = 8
 /**
- * Owners of one budget in a larger fleet. A few ends of VMs and a cut of a failure domain mostly leave some, and where none answers
- * a VM draws for itself. What each may use without reporting is lost when all end, and towards the end of a budget its tokens
- * lie apart at all of them: of 7,956 requests before 79 VMs that are cut off and then ended, 1,663 that fitted into what was paid
- * were refused with eight owners, 1,473 with four and 1,431 with three, of a calm day 106, 28 and 30; store calls 13,040, 4,588 and 3,672.
+ * Owners of one budget in a larger fleet. Some usually survive the failure of a few VMs or the partition of a failure domain; if
+ * none answers, a VM draws for itself. More owners lose more unreported tokens when all terminate, fragment the last tokens of a
+ * budget and cause more table calls.
  */
 const OWNERS = 4
 
-/** Who owns which budget. */
 export interface BudgetOwnership {
-  /**
-   * Whether a holder owns a budget.
-   * @param holder - holder id
-   * @param budget - budget id
-   */
   owns (holder: string, budget: string): boolean
-  /** Owners of each budget. */
+  /** Number of owners of each budget. */
   readonly count: number
 }
 
-/** Owners by rendezvous hashing over the names of the VMs, so that a restart moves nothing. */
+/** Owners by rendezvous hashing over VM names, so that a restarted process keeps its budgets. */
 export class RendezvousOwners implements BudgetOwnership {
   private holders: readonly string[]
   private readonly byBudget = new Map<string, ReadonlySet<string>>()
@@ -42,8 +33,8 @@
   }
 
   /**
-   * Takes who is present.
-   * @param others - the other holders that can be asked
+   * Replaces the list of present holders.
+   * @param others - the other reachable holders
    */
   refresh (others: readonly string[]): void {
     const holders = [this.self, ...others]
@@ -77,7 +68,7 @@
   }
 }
 
-/** Every holder owns every budget; for fleets without links between holders. */
+/** Ownership of every budget by every holder, for fleets without links between holders. */
 export function ownedByAll (holders: () => number): BudgetOwnership {
   return {
     owns: () => true,
--- a/packages/decisions/src/budget/budgetPlans.spec.ts
+++ b/packages/decisions/src/budget/budgetPlans.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Transactions of draws and top-ups when they are repeated or race.
+ * Transactions of draws and top-ups, repeated and in conflict.
  */
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
@@ -9,7 +9,7 @@
 import { flushKeys, planFlush } from './flushPlan.js'
 import { RowSet, type PlanKey, type PlanRow } from './rowSet.js'
 
-/** The least table: rows, versions, and transactions that check them. */
+/** Minimal table: rows, versions, and transactions that check them. */
 class Rows {
   private readonly rows = new Map<string, PlanRow>()
   private version = 0
@@ -49,7 +49,7 @@
     return paid
   }
 
-  /** Counter-example: a top-up without an operation id. */
+  /** Counterexample: a top-up without an operation id. */
   topUpBlindly (tokens: number): void {
     this.run(topUpKeys('', 'b'), rows => applyTopUp(budgetOf(rows, 'b'), 'b', tokens).map(row => {
       putBudget(rows, row)
@@ -71,15 +71,15 @@
 
   const draws: ReadonlyArray<{ title: string, order: Partial<DrawOrder>, holder?: string, expected: object }> = [
     { title: 'grant a share of what is left ahead of need', order: {}, expected: { kind: 'write', tokens: 500, left: 500, spent: 0, paid: 1000 } },
-    { title: 'grant what is needed now beyond the share', order: { atLeast: 700 }, expected: { kind: 'write', tokens: 700, left: 300, spent: 0, paid: 1000 } },
-    { title: 'grant all that is left when that serves some', order: { atLeast: 1200, least: 900 }, expected: { kind: 'write', tokens: 1000, left: 0, spent: 0, paid: 1000 } },
-    { title: 'grant nothing when it serves nobody', order: { atLeast: 1200 }, expected: { kind: 'short', left: 1000 } },
-    { title: 'grant no crumbs ahead of need', order: { tokens: 10_000 }, expected: { kind: 'short', left: 1000 } },
-    { title: 'know no other budget', order: { budget: 'x' }, expected: { kind: 'unknownBudget' } },
-    { title: 'notice that the row they counted on is gone', order: { expectsRow: true }, expected: { kind: 'closed' } }
+    { title: 'grant more than the share if it is needed now', order: { atLeast: 700 }, expected: { kind: 'write', tokens: 700, left: 300, spent: 0, paid: 1000 } },
+    { title: 'grant all that is left if that serves a request', order: { atLeast: 1200, least: 900 }, expected: { kind: 'write', tokens: 1000, left: 0, spent: 0, paid: 1000 } },
+    { title: 'grant nothing if that serves no request', order: { atLeast: 1200 }, expected: { kind: 'short', left: 1000 } },
+    { title: 'grant no small remainder ahead of need', order: { tokens: 10_000 }, expected: { kind: 'short', left: 1000 } },
+    { title: 'report an unknown budget', order: { budget: 'x' }, expected: { kind: 'unknownBudget' } },
+    { title: 'detect that the expected row was removed', order: { expectsRow: true }, expected: { kind: 'closed' } }
   ]
   for (const { title, order, expected } of draws) {
-    it(`of draws ${title}`, () => {
+    it(`draws ${title}`, () => {
       const rows = new Rows()
       rows.topUp('a', 1000)
       expect(rows.draw(order)).to.deep.equal(expected)
@@ -94,11 +94,11 @@
   })
 
   const declared: ReadonlyArray<{ title: string, versions: readonly (readonly [version: number, tokens: number])[], draw: number, paid: number, granted: number }> = [
-    { title: 'makes a budget of the first amount', versions: [[1, 1000]], draw: 300, paid: 1000, granted: 300 },
-    { title: 'takes a higher amount of a newer version', versions: [[1, 100], [2, 1000]], draw: 300, paid: 1000, granted: 300 },
+    { title: 'creates a budget from the first amount', versions: [[1, 1000]], draw: 300, paid: 1000, granted: 300 },
+    { title: 'accepts a higher amount of a newer version', versions: [[1, 100], [2, 1000]], draw: 300, paid: 1000, granted: 300 },
     { title: 'ignores an older version', versions: [[2, 1000], [1, 100]], draw: 300, paid: 1000, granted: 300 },
     { title: 'ignores another amount of the same version', versions: [[1, 1000], [1, 5000]], draw: 300, paid: 1000, granted: 300 },
-    { title: 'grants nothing beyond a lowered amount', versions: [[1, 1000], [2, 100]], draw: 300, paid: 100, granted: 0 }
+    { title: 'grants nothing above a lowered amount', versions: [[1, 1000], [2, 100]], draw: 300, paid: 100, granted: 0 }
   ]
   for (const { title, versions, draw, paid, granted } of declared) {
     it(`with declared amounts ${title}`, () => {
@@ -110,7 +110,7 @@
     })
   }
 
-  it('lowers the paid amount as tokens come back when more is allotted than is declared', () => {
+  it('lowers the paid amount as tokens are returned while more is allotted than declared', () => {
     const rows = new Rows()
     rows.draw({ tokens: 600, atLeast: 600, declared: { version: 1, tokens: 1000 } })
     rows.draw({ drawId: 'd2', tokens: 10, atLeast: 10, declared: { version: 2, tokens: 100 } })
--- a/packages/decisions/src/budget/budgetPlans.ts
+++ b/packages/decisions/src/budget/budgetPlans.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions for draws and top-ups: from the rows as read to the rows to be written. A draw and
- * a top-up are known by id, so that one whose answer was lost is found to have taken effect.
+ * Transactions for draws and top-ups: compute the rows to write from the rows read. Both are identified by id, so that a
+ * retry after a lost answer finds the earlier effect.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '../codes/failure.js'
@@ -11,7 +11,7 @@
 import { withHeld } from './reportBound.js'
 import type { PlanKey, RowSet } from './rowSet.js'
 
-/** Who draws. */
+/** The holder that draws. */
 export interface Drawer {
   readonly holder: string
   readonly domain: string
@@ -22,46 +22,41 @@
   readonly evenPart: number
 }
 
-/** What is drawn. */
 export interface DrawOrder {
   readonly drawId: string
   readonly budget: string
   readonly tokens: number
-  /** Needed now by all that wait; 0 for a draw ahead of need. */
+  /** Tokens needed by all waiting requests; 0 for a draw ahead of need. */
   readonly atLeast: number
-  /** Smallest useful amount; `atLeast` when absent. */
+  /** Smallest useful amount; defaults to `atLeast`. */
   readonly least?: number
-  /** Whether there is no demand that asks for more than what is dealt out evenly. */
+  /** Whether demand does not exceed the fair share. */
   readonly isForEvenPart?: boolean
-  /** Opens a row that was closed, or removed after it was closed. */
+  /** Reopens a row that was closed, or removed after it was closed. */
   readonly reopen?: boolean
-  /** Whether the holder counts on a row it wrote before. */
+  /** Whether the holder expects a row that it wrote before. */
   readonly expectsRow?: boolean
-  /** What the configuration of the drawing VM says was paid, where it says so. */
+  /** Paid amount from the configuration of the drawing VM, if declared. */
   readonly declared?: DeclaredPaid
-  /** What the holder may use without telling from now on; absent where the row has a report already. */
+  /** First report of the allotment; absent if the row has a report already. */
   readonly report?: ReportRow
 }
 
-/** What a draw comes to. */
+/** Result of planning a draw. */
 export type DrawPlan =
-  /** The rows are changed in the row set; send it. */
+  /** The row set contains the changes to write. */
   | { readonly kind: 'write', readonly tokens: number, readonly left: number, readonly spent: number, readonly paid: number }
   /** The draw took effect earlier. */
   | { readonly kind: 'done', readonly tokens: number, readonly left: number }
-  /** Too little is left. The budget row is changed all the same when the declared amount was new. */
+  /** Too few tokens are left. The budget row is still changed if the declared amount was new. */
   | { readonly kind: 'short', readonly left: number, readonly isRowChanged?: true }
   | { readonly kind: 'unknownBudget' }
   | { readonly kind: 'closed' }
 
-/** Least part of the wanted amount for which a draw ahead of need is worth a write. */
+/** Minimum fraction of the wanted amount for which a draw ahead of need is worth a write. */
 const LEAST_AHEAD_PART = 1 / 16
 
-/**
- * Rows that a draw reads.
- * @param holder - holder id
- * @param budget - budget id
- */
+/** Rows that a draw reads. */
 export function drawKeys (holder: string, budget: string): readonly PlanKey[] {
   return [
     { table: budgetTables.budgets, key: budget },
@@ -69,30 +64,19 @@
   ]
 }
 
-/**
- * The budget row of a row set.
- * @param rows - the row set
- * @param budget - budget id
- */
+/** Reads the budget row from a row set. */
 export function budgetOf (rows: RowSet, budget: string): BudgetRow | undefined {
   return rows.get(budgetRowSchema, budgetTables.budgets, budget)
 }
 
-/**
- * The allotment row of a holder.
- * @param rows - the row set
- * @param budget - budget id
- * @param holder - holder id
- */
+/** Reads the allotment row of a holder from a row set. */
 export function allotmentOf (rows: RowSet, budget: string, holder: string): AllotmentRow | undefined {
   return rows.get(allotmentRowSchema, budgetTables.allotments, allotmentKey(budget, holder))
 }
 
 /**
- * Puts an allotment row into a row set. With a new one go its index row and the register row of
- * its holder, so that recovery always finds it.
- * @param rows - the row set
- * @param row - new value
+ * Writes an allotment row to a row set. A new one gets its index row and the registration row of its holder, so that
+ * recovery always finds it.
  */
 export function putAllotment (rows: RowSet, row: AllotmentRow): void {
   if (rows.version(budgetTables.allotments, allotmentKey(row.budget, row.holder)) === null) {
@@ -103,11 +87,7 @@
   rows.set(budgetTables.allotments, allotmentKey(row.budget, row.holder), row)
 }
 
-/**
- * Puts a budget row into a row set.
- * @param rows - the row set
- * @param row - new value
- */
+/** Writes a budget row to a row set. */
 export function putBudget (rows: RowSet, row: BudgetRow): void {
   rows.set(budgetTables.budgets, row.budget, row)
 }
@@ -117,7 +97,7 @@
   return order.atLeast > 0 || granted >= usefulTokens(order, budget, drawer) * LEAST_AHEAD_PART
 }
 
-/** A draw for no demand asks for any amount; what is dealt out evenly is all that it can have. */
+/** A draw without demand requests any amount, but gets at most its fair share. */
 function usefulTokens ({ tokens, isForEvenPart }: DrawOrder, budget: BudgetRow, drawer: Drawer): number {
   return isForEvenPart === true ? evenOf(budget, drawer) : tokens
 }
@@ -126,7 +106,7 @@
   return evenTokens(paid - spent, holders, evenPart)
 }
 
-/** Tokens that a holder may take ahead of need. */
+/** Tokens that a holder may draw ahead of need. */
 function shareOf (order: DrawOrder, budget: BudgetRow, allotment: AllotmentRow, drawer: Drawer): number {
   const even = evenOf(budget, drawer) - allotment.held
   if (order.isForEvenPart === true) return Math.max(0, even)
@@ -136,8 +116,6 @@
 /**
  * Plans a draw.
  * @param rows - rows of {@link drawKeys}
- * @param order - what is drawn
- * @param drawer - who draws
  */
 export function planDraw (rows: RowSet, order: DrawOrder, drawer: Drawer): Either<Failure, DrawPlan> {
   const stored = budgetOf(rows, order.budget)
@@ -164,11 +142,7 @@
   })
 }
 
-/**
- * Rows that a top-up reads.
- * @param operationId - id of the operation
- * @param budget - budget id
- */
+/** Rows that a top-up reads. */
 export function topUpKeys (operationId: string, budget: string): readonly PlanKey[] {
   return [
     { table: budgetTables.topUps, key: operationId },
@@ -176,20 +150,19 @@
   ]
 }
 
-/** What a top-up comes to. */
+/** Result of planning a top-up. */
 export type TopUpPlan = { readonly kind: 'write' | 'done' }
 
 /**
- * Plans a top-up or, with negative tokens, the lowering of a budget.
+ * Plans a top-up or, with negative tokens, a reduction of the budget.
  * @param rows - rows of {@link topUpKeys}
- * @param topUp - the operation
  */
 export function planTopUp (rows: RowSet, topUp: TopUpRow): Either<Failure, TopUpPlan> {
   const earlier = rows.get(topUpRowSchema, budgetTables.topUps, topUp.operationId)
   if (earlier !== undefined) {
     const same = earlier.budget === topUp.budget && earlier.tokens === topUp.tokens
     if (same) return Right({ kind: 'done' })
-    return Left(new Failure('topUpConflict', `operation ${topUp.operationId} added ${earlier.tokens} to ${earlier.budget}`))
+    return Left(new Failure('topUpConflict', `operation ${topUp.operationId} already added ${earlier.tokens} tokens to ${earlier.budget}`))
   }
   return applyTopUp(budgetOf(rows, topUp.budget), topUp.budget, topUp.tokens).map(row => {
     putBudget(rows, row)
--- a/packages/decisions/src/budget/budgetPolicy.ts
+++ b/packages/decisions/src/budget/budgetPolicy.ts
@@ -1,68 +1,67 @@
 /**
- * Sizes and times of the budget policy: how much a holder allots itself, gives and returns. All
- * functions are pure; docs/design/budgets.md has the measurements behind the defaults.
+ * Budget policy: how many tokens a holder draws, transfers and returns, and when. The functions are pure.
+ * Measurements for the defaults are in docs/design/budgets.md.
  */
 
 /** Settings of the policy; times in milliseconds, amounts in tokens. */
 export interface BudgetPolicy {
-  /** Demand that an allotment covers; has to exceed the partition to survive. */
+  /** Period of demand that an allotment covers; must exceed the longest partition to survive. */
   readonly horizonMs: number
   /** Time constant of the demand rate. */
   readonly rateWindowMs: number
   /**
-   * What the demand rate counts: `bills`, exactly what was used, or `reservations`, at once and at their
-   * most, with the rate of a short past taken for the whole window. The second suits short windows.
+   * What the demand rate counts: `bills` count actual use; `reservations` count the worst case immediately and extrapolate
+   * a history shorter than the window, which suits short windows.
    */
   readonly demandFrom: 'bills' | 'reservations'
-  /** Whether a holder bounds what it uses without telling, see reportBound; needed where the end of a VM is settled by that bound. */
+  /** Whether a holder bounds its unreported use, see reportBound; required if recovery bills a terminated VM by that bound. */
   readonly boundsUse: boolean
-  /** Least allotment aimed at. */
+  /** Minimum desired allotment. */
   readonly minTokens: number
-  /** A holder takes at most the unallotted remainder divided by this times the number of holders. */
+  /** A draw ahead of need is limited to the unallotted tokens divided by this value times the number of holders. */
   readonly shareDivisor: number
   /**
-   * Part of the unspent tokens that is dealt out to all VMs evenly, also of budgets that nobody asked
-   * them for: callers move between VMs at any time, and a VM that is cut off from the table can draw
-   * nothing. The rest goes where the demand is. 0 deals nothing out.
+   * Fraction of the unspent tokens that is divided evenly among all VMs, including VMs without demand: callers move between
+   * VMs at any time, and a VM that is cut off from the table cannot draw. The rest follows demand. 0 disables fair shares.
    */
   readonly evenPart: number
-  /** Refill when less than this part of the level after the last draw is free. */
+  /** Refill when less than this fraction of the level after the last draw is free. */
   readonly lowWater: number
-  /** Return what exceeds this many targets. */
+  /** Return free tokens when they exceed the desired allotment by this factor. */
   readonly excessFactor: number
-  /** A budget not asked for this long is returned whole. */
+  /** Return all free tokens of a budget without requests for this long. */
   readonly idleReturnMs: number
-  /** Bills wait at most this long for others that go in the same flush. */
+  /** Maximum time that a bill waits to be batched into a flush. */
   readonly flushMs: number
-  /** Pause after a table call that failed, before the next try; doubles up to `retryMaxMs`. */
+  /** Backoff after a failed table call; doubles up to `retryMaxMs`. */
   readonly retryMs: number
   readonly retryMaxMs: number
   /**
-   * Milliseconds that a request waits for the table before other holders are asked for a gift; at once where the
-   * table is known not to help. Absent where holders have no links to each other.
+   * Milliseconds that a request waits for the table before a grant is requested from other holders; no wait if a draw is known
+   * to be futile. Absent if holders have no links to each other.
    */
   readonly giftAfterMs?: number
-  /** Pause between rounds of draw, transfer and recall for one budget. */
+  /** Backoff between rounds of draw, transfer and recall for one budget; doubles up to `roundMaxMs`. */
   readonly roundMs: number
   readonly roundMaxMs: number
-  /** How long a request waits when the table or holders cannot be reached. */
+  /** Maximum wait of a request while the table or other holders are unreachable. */
   readonly patienceMs: number
-  /** Milliseconds to come back after where another VM may have tokens; absent where callers come back to the same VM. */
+  /** Retry-After in milliseconds if another VM may have tokens; absent if callers retry at the same VM. */
   readonly otherVmRetryMs?: number
-  /** Own demand that a holder keeps back when asked to return tokens. */
+  /** Period of local demand that a holder retains on a recall. */
   readonly recallKeepMs: number
-  /** How long after its last contact with the table an allotment may be taken by recovery. */
+  /** Time after the last contact with the table when recovery may close an allotment. */
   readonly lapseMs: number
   /** Margin for clocks that run at different rates. */
   readonly marginMs: number
-  /** Longest time between a reservation and the end of its run. */
+  /** Maximum time between a reservation and the end of its run. */
   readonly requestTimeoutMs: number
-  /** Pause before the next draw ahead of need once nothing was left. */
+  /** Pause before the next draw ahead of need when nothing was left; also after a recall, so that the tokens are not drawn back. */
   readonly emptyPauseMs: number
-  /** Draws that share a transaction, and budgets that share a flush; bounded by what the table takes at once. */
+  /** Maximum draws in a transaction and budgets in a flush, under the transaction limits of the table. */
   readonly drawsAtOnce: number
   readonly budgetsAtOnce: number
-  /** Budgets to which one flush returns tokens. */
+  /** Maximum budgets to which one flush returns tokens. */
   readonly returnsAtOnce: number
 }
 
@@ -70,7 +69,6 @@
 const MINUTE = 60 * SECOND
 const HOUR = 60 * MINUTE
 
-/** Defaults, chosen by measurement. */
 export const defaultBudgetPolicy: BudgetPolicy = {
   horizonMs: 120 * MINUTE,
   rateWindowMs: 20 * MINUTE,
@@ -89,7 +87,7 @@
   roundMaxMs: 2 * SECOND,
   patienceMs: 2 * SECOND,
   recallKeepMs: 20 * SECOND,
-  // Leaves time to recover before engines forget their runs, which is after two hours.
+  // Leaves time for recovery before engines discard their run records after two hours.
   lapseMs: 100 * MINUTE,
   marginMs: MINUTE,
   requestTimeoutMs: MINUTE,
@@ -99,35 +97,28 @@
   returnsAtOnce: 100
 }
 
-/** Part of the lapse after which an idle allotment is renewed. */
+/** Fraction of the expiry time after which an idle allotment is renewed. */
 const RENEW_PART = 0.25
 
-/** Requests of the largest size seen that the least allotment covers. */
+/** The minimum allotment covers this many requests of the largest size seen. */
 const LARGEST_COVERED = 4
-/** Part of the allotment that is used at most before the next refill. */
+/** Maximum fraction of the level used before a refill. */
 const MOST_USED_PART = 0.25
-/** Requests of the largest size seen that are used before the next refill. */
+/** Number of requests of the largest size seen before a refill. */
 const LARGEST_USED = 2
 
-/**
- * Milliseconds after a contact during which a holder may reserve.
- * @param policy - the policy
- */
+/** Milliseconds after its last contact with the table for which a holder may reserve. */
 export function usableMs (policy: BudgetPolicy): number {
   return policy.lapseMs - policy.marginMs - policy.requestTimeoutMs
 }
 
-/**
- * Milliseconds after a contact when an idle allotment is renewed.
- * @param policy - the policy
- */
+/** Milliseconds after its last contact with the table when an idle allotment is renewed. */
 export function renewAfterMs (policy: BudgetPolicy): number {
   return policy.lapseMs * RENEW_PART
 }
 
 /**
- * Allotment to aim at.
- * @param policy - the policy
+ * Desired allotment of a holder.
  * @param ratePerMs - demand in tokens a millisecond
  * @param largest - largest reservation seen
  */
@@ -136,10 +127,9 @@
 }
 
 /**
- * Free tokens below which the allotment is refilled: a small part of it was used, and enough for
- * several requests, so that a small allotment does not cost a draw for each of them.
- * @param policy - the policy
- * @param level - free tokens right after the last draw, or the target if that is less
+ * Free tokens below which the allotment is refilled. Allows use by several requests, so that a small allotment does not
+ * need a draw for each of them.
+ * @param level - free tokens right after the last draw, or the desired allotment if lower
  * @param largest - largest reservation seen
  */
 export function lowWaterMark (policy: BudgetPolicy, level: number, largest: number): number {
@@ -148,18 +138,16 @@
 }
 
 /**
- * Tokens that the table grants.
- * @param wanted - amount wanted
- * @param atLeast - amount needed now
+ * Tokens granted to a draw.
  * @param left - unallotted tokens
- * @param share - tokens that this holder may take ahead of need
+ * @param share - tokens that this holder may draw ahead of need
  */
 export function grantTokens (wanted: number, atLeast: number, left: number, share: number): number {
   return Math.max(0, Math.min(left, Math.max(wanted, atLeast), Math.max(atLeast, share)))
 }
 
 /**
- * Tokens that one holder may take ahead of need from what is left.
+ * Tokens that one holder may draw ahead of need.
  * @param left - unallotted tokens
  * @param holders - number of VMs that may draw
  * @param shareDivisor - see {@link BudgetPolicy}
@@ -169,10 +157,8 @@
 }
 
 /**
- * Tokens given to another holder: what it needs now if there is as much, more only up to half.
+ * Tokens to transfer to another holder: the amount needed now as far as free, more only up to half of the free tokens.
  * @param free - tokens free here
- * @param wanted - amount wanted
- * @param atLeast - amount needed now
  */
 export function giveTokens (free: number, wanted: number, atLeast: number): number {
   const half = Math.floor(free / 2)
@@ -180,7 +166,7 @@
 }
 
 /**
- * Tokens that each holder has of those that are dealt out evenly.
+ * Fair share of each holder in the unspent tokens.
  * @param unspent - tokens paid and not billed
  * @param holders - number of VMs
  * @param evenPart - see {@link BudgetPolicy}
@@ -190,9 +176,9 @@
 }
 
 /**
- * Tokens returned on recall: all but what is kept back, and that too when it is needed elsewhere now.
+ * Tokens to return on a recall: all but the retained ones, and those too if needed elsewhere now.
  * @param free - tokens free here
- * @param keep - tokens kept back
+ * @param keep - tokens retained for local demand
  * @param atLeast - amount needed now elsewhere
  */
 export function recallTokens (free: number, keep: number, atLeast: number): number {
--- a/packages/decisions/src/budget/budgetRows.spec.ts
+++ b/packages/decisions/src/budget/budgetRows.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Arithmetic of budget rows: each operation on its own, and any order of them.
+ * Arithmetic of budget rows: single operations, and any order of them.
  */
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -21,28 +21,28 @@
 describe('budget rows', () => {
   const transfer = (tokens: number): Parameters<typeof applyTransfer>[1] => ({ transferId: 't', budget: 'b', from: 'vm1~a', to: 'vm2~a', tokens })
   const cases: ReadonlyArray<readonly [string, Either<Failure, unknown>, string]> = [
-    ['draws what is left', applyDraw(pair, 50, 'd1'), 'ok'],
-    ['draws no more than is left', applyDraw(pair, 51, 'd1'), 'internal'],
+    ['draws all unallotted tokens', applyDraw(pair, 50, 'd1'), 'ok'],
+    ['draws no more than is unallotted', applyDraw(pair, 51, 'd1'), 'internal'],
     ['draws no negative amount', applyDraw(pair, -1, 'd1'), 'amountInvalid'],
     ['draws no fraction', applyDraw(pair, 0.5, 'd1'), 'amountInvalid'],
     ['draws nothing into a closed row', applyDraw({ budget, allotment: closed }, 1, 'd1'), 'allotmentClosed'],
-    ['settles what is held', applySettle(allotment, 30), 'ok'],
-    ['settles no more than is held', applySettle(allotment, 31), 'internal'],
+    ['settles the whole allotment', applySettle(allotment, 30), 'ok'],
+    ['settles no more than the allotment', applySettle(allotment, 31), 'internal'],
     ['settles no huge amount', applySettle(allotment, 1e300), 'amountInvalid'],
     ['settles nothing against a closed row', applySettle(closed, 1), 'allotmentClosed'],
-    ['returns what is held', applyReturn(pair, 30), 'ok'],
-    ['returns no more than is held', applyReturn(pair, 31), 'internal'],
+    ['returns the whole allotment', applyReturn(pair, 30), 'ok'],
+    ['returns no more than the allotment', applyReturn(pair, 31), 'internal'],
     ['tops up', applyTopUp(budget, 'b', 1), 'ok'],
     ['tops up a new budget', applyTopUp(undefined, 'b', 1), 'ok'],
-    ['lowers to what is committed', applyTopUp(budget, 'b', -50), 'ok'],
+    ['lowers to the committed amount', applyTopUp(budget, 'b', -50), 'ok'],
     ['lowers no further', applyTopUp(budget, 'b', -51), 'budgetBelowCommitted'],
     ['tops up no missing amount', applyTopUp(budget, 'b', undefined as unknown as number), 'amountInvalid'],
-    ['transfers what is held', applyTransfer({ giver: allotment, receiver: other }, transfer(30)), 'ok'],
-    ['transfers no more than is held', applyTransfer({ giver: allotment, receiver: other }, transfer(31)), 'internal'],
+    ['transfers the whole allotment', applyTransfer({ giver: allotment, receiver: other }, transfer(30)), 'ok'],
+    ['transfers no more than the allotment', applyTransfer({ giver: allotment, receiver: other }, transfer(31)), 'internal'],
     ['transfers nothing from a closed row', applyTransfer({ giver: closed, receiver: other }, transfer(1)), 'allotmentClosed'],
     ['transfers nothing to another domain', applyTransfer({ giver: allotment, receiver: { ...other, domain: 'e' } }, transfer(1)), 'internal'],
-    ['closes with what is owed', applyClose(budget, [allotment], 30), 'ok'],
-    ['closes with no more than is held', applyClose(budget, [allotment], 31), 'internal'],
+    ['closes with the whole allotment owed', applyClose(budget, [allotment], 30), 'ok'],
+    ['closes with no more owed than the allotment', applyClose(budget, [allotment], 31), 'internal'],
     ['closes no row twice', applyClose(budget, [closed], 0), 'allotmentClosed']
   ]
   for (const [title, result, code] of cases) {
@@ -50,7 +50,7 @@
   }
 })
 
-/** One operation on a random holder; amounts are what the holder or the table happens to ask. */
+/** An operation on a random holder with an unchecked amount. */
 const operation = fc.record({ kind: fc.constantFrom('draw', 'settle', 'return', 'transfer', 'topUp', 'close'), holder: fc.nat({ max: 2 }), tokens: fc.integer({ min: -20, max: 200 }) })
 type Operation = typeof operation extends fc.Arbitrary<infer T> ? T : never
 
@@ -79,7 +79,7 @@
   }
 }
 
-/** Counter-example: believes whatever amount is reported. */
+/** Counterexample: trusts any reported amount. */
 const unguarded: Apply = (rows, operation) => {
   if (operation.kind !== 'settle') return guarded(rows, operation)
   const allotments = rows.allotments.map((row, at) => at === operation.holder ? { ...row, held: row.held - operation.tokens, settled: row.settled + operation.tokens } : row)
@@ -103,11 +103,11 @@
 }
 
 describe('budget rows in any order', () => {
-  it('keep spent + allotted <= paid, and allotted equal to what is held', () => {
+  it('preserve spent + allotted <= paid, and allotted equal to the sum of the allotment rows', () => {
     fc.assert(alwaysSound(guarded), { seed: 4, numRuns: 2000 })
   })
 
-  it('do not when amounts are believed', () => {
+  it('do not preserve it when amounts are unchecked', () => {
     expect(fc.check(alwaysSound(unguarded), { seed: 4, numRuns: 2000 }).failed).to.equal(true)
   })
 })
--- a/packages/decisions/src/budget/budgetRows.ts
+++ b/packages/decisions/src/budget/budgetRows.ts
@@ -1,13 +1,12 @@
 /**
- * Arithmetic on budget and allotment rows. Every change of these rows anywhere in the system goes
- * through one of these functions; each refuses an amount that is not a whole number and keeps
- * `spent + allotted <= paid` and `held >= 0`.
+ * Arithmetic on budget and allotment rows. All changes of these rows go through these functions; each rejects amounts that
+ * are not whole numbers and preserves `spent + allotted <= paid` and `held >= 0`.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '../codes/failure.js'
 import type { AllotmentRow, BudgetRow, DeclaredPaid, Transfer } from './budgetTypes.js'
 
-/** Largest amount of tokens in one operation. */
+/** Maximum tokens in one operation. */
 export const MAX_TOKENS = 1_000_000_000_000
 
 /** A budget row and the allotment row that changes with it. */
@@ -16,22 +15,18 @@
   readonly allotment: AllotmentRow
 }
 
-/** Both allotment rows of a transfer. */
 export interface TransferPair {
   readonly giver: AllotmentRow
   readonly receiver: AllotmentRow
 }
 
-/**
- * Whether a value is a whole number of tokens from 0 to {@link MAX_TOKENS}.
- * @param tokens - any value
- */
+/** Whether a value is a whole number of tokens from 0 to {@link MAX_TOKENS}. */
 export function isAmount (tokens: unknown): tokens is number {
   return Number.isSafeInteger(tokens) && (tokens as number) >= 0 && (tokens as number) <= MAX_TOKENS
 }
 
 function invalidAmount<T> (tokens: unknown): Either<Failure, T> {
-  return Left(new Failure('amountInvalid', `${String(tokens)} is not a valid amount of tokens`))
+  return Left(new Failure('amountInvalid', `${String(tokens)} is not a valid number of tokens`))
 }
 
 function broken<T> (detail: string): Either<Failure, T> {
@@ -42,20 +37,12 @@
   return Left(new Failure('allotmentClosed', `the allotment of ${row.holder} in ${row.budget} is closed`))
 }
 
-/**
- * Tokens of a budget that no holder has.
- * @param row - the budget row
- */
+/** Tokens of a budget that are neither spent nor allotted. */
 export function unallotted (row: BudgetRow): number {
   return row.paid - row.spent - row.allotted
 }
 
-/**
- * A fresh, empty allotment row.
- * @param budget - budget id
- * @param holder - holder id
- * @param domain - failure domain of the holder
- */
+/** Creates an empty allotment row. */
 export function emptyAllotment (budget: string, holder: string, domain: string): AllotmentRow {
   return { budget, holder, domain, held: 0, settled: 0, state: 'open' }
 }
@@ -67,9 +54,8 @@
 }
 
 /**
- * Adds paid tokens, or lowers the budget when `tokens` is negative.
- * @param row - the budget row, absent for a new budget
- * @param budget - budget id
+ * Adds paid tokens, or lowers the budget if `tokens` is negative.
+ * @param row - undefined for a new budget
  * @param tokens - whole tokens, not 0
  */
 export function applyTopUp (row: BudgetRow | undefined, budget: string, tokens: number): Either<Failure, BudgetRow> {
@@ -85,10 +71,8 @@
 }
 
 /**
- * Takes what a configuration says was paid; an older version changes nothing.
- * @param row - the budget row, absent for a new budget
- * @param budget - budget id
- * @param declared - tokens paid in all, and the version that says so
+ * Applies the paid amount of a configuration; ignores a version that is not newer.
+ * @param row - undefined for a new budget
  */
 export function applyDeclared (row: BudgetRow | undefined, budget: string, declared: DeclaredPaid): BudgetRow {
   const before = row ?? { budget, paid: 0, spent: 0, allotted: 0 }
@@ -101,10 +85,7 @@
   return { ...row, paid: Math.max(row.declared.tokens, row.spent + row.allotted) }
 }
 
-/**
- * Moves billed tokens of an allotment to `spent` of its budget.
- * @param pair - both rows
- */
+/** Moves billed tokens of an allotment to `spent` of its budget. */
 export function fold (pair: RowPair): RowPair {
   const { budget, allotment } = pair
   return {
@@ -113,12 +94,7 @@
   }
 }
 
-/**
- * Allots tokens to a holder.
- * @param pair - both rows
- * @param tokens - amount granted
- * @param drawId - id of the draw
- */
+/** Allots tokens to a holder. */
 export function applyDraw (pair: RowPair, tokens: number, drawId: string): Either<Failure, RowPair> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (pair.allotment.state === 'closed') return closed(pair.allotment)
@@ -128,44 +104,32 @@
     .map(row => ({ budget: row, allotment: granted }))
 }
 
-/**
- * Bills tokens against an allotment.
- * @param row - the allotment row
- * @param tokens - billed amount
- */
+/** Bills tokens against an allotment. */
 export function applySettle (row: AllotmentRow, tokens: number): Either<Failure, AllotmentRow> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (row.state === 'closed') return closed(row)
-  if (tokens > row.held) return broken(`${row.holder} settles ${tokens} of ${row.held} tokens in ${row.budget}`)
+  if (tokens > row.held) return broken(`${row.holder} settles ${tokens} tokens with only ${row.held} allotted in ${row.budget}`)
   return Right({ ...row, held: row.held - tokens, settled: row.settled + tokens })
 }
 
-/**
- * Gives unspent tokens back to the budget.
- * @param pair - both rows
- * @param tokens - amount returned
- */
+/** Returns unspent tokens to the budget. */
 export function applyReturn (pair: RowPair, tokens: number): Either<Failure, RowPair> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (pair.allotment.state === 'closed') return closed(pair.allotment)
-  if (tokens > pair.allotment.held) return broken(`${pair.allotment.holder} returns more than it holds`)
+  if (tokens > pair.allotment.held) return broken(`${pair.allotment.holder} returns more than its allotment`)
   const { budget, allotment } = fold(pair)
   return checkBudget({ ...budget, allotted: budget.allotted - tokens })
     .map(row => ({ budget: withDeclaredPaid(row), allotment: { ...allotment, held: allotment.held - tokens } }))
 }
 
-/**
- * Records a transfer between two holders.
- * @param pair - allotment rows of giver and receiver
- * @param transfer - what moved
- */
+/** Records a transfer between two holders. */
 export function applyTransfer (pair: TransferPair, transfer: Transfer): Either<Failure, TransferPair> {
   const { giver, receiver } = pair
   if (!isAmount(transfer.tokens)) return invalidAmount(transfer.tokens)
   if (giver.state === 'closed') return closed(giver)
   if (receiver.state === 'closed') return closed(receiver)
-  if (giver.domain !== receiver.domain) return broken('a transfer between failure domains')
-  if (transfer.tokens > giver.held) return broken(`${giver.holder} gave more than it holds in ${giver.budget}`)
+  if (giver.domain !== receiver.domain) return broken('transfer between different failure domains')
+  if (transfer.tokens > giver.held) return broken(`${giver.holder} transferred more than its allotment in ${giver.budget}`)
   return Right({
     giver: { ...giver, held: giver.held - transfer.tokens },
     receiver: { ...receiver, held: receiver.held + transfer.tokens }
@@ -173,10 +137,9 @@
 }
 
 /**
- * Closes the allotments of ended holders of one domain: what they still owed is billed, the rest goes back.
- * @param budget - the budget row
- * @param allotments - open rows of the ended holders
- * @param billed - tokens of runs that no segment has billed
+ * Closes the allotments of terminated holders of one domain: bills what they owe and returns the rest.
+ * @param allotments - open rows of the terminated holders
+ * @param billed - tokens of runs that are not billed in a segment
  */
 export function applyClose (
   budget: BudgetRow, allotments: readonly AllotmentRow[], billed: number
@@ -186,7 +149,7 @@
   if (already !== undefined) return closed(already)
   const held = allotments.reduce((sum, row) => sum + row.held, 0)
   const settled = allotments.reduce((sum, row) => sum + row.settled, 0)
-  if (billed > held) return broken(`${billed} tokens are owed but only ${held} are held in ${budget.budget}`)
+  if (billed > held) return broken(`${billed} tokens are owed but only ${held} are allotted in ${budget.budget}`)
   const after = { ...budget, spent: budget.spent + settled + billed, allotted: budget.allotted - settled - held }
   return checkBudget(after).map(row => ({
     budget: withDeclaredPaid(row),
--- a/packages/decisions/src/budget/budgetSettlement.ts
+++ b/packages/decisions/src/budget/budgetSettlement.ts
@@ -1,6 +1,5 @@
 /**
- * Reservations and bills of one holder: what a run cost is queued for the next flush, and the
- * outcome of a flush moves it from owed to settled.
+ * Reservations and bills of one holder: queues the cost of a run for the next flush, and applies the outcomes of flushes.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
@@ -13,28 +12,22 @@
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
-/** A running request. */
+/** Reservation of a running request. */
 export interface OpenReservation extends ReservedTokens {
   readonly budget: string
 }
 
-/** What the outcome of a flush came to. */
+/** Effects of a flush outcome. */
 export interface FlushResult {
   readonly changed: readonly BudgetEntry[]
   readonly actions: readonly BudgetAction[]
 }
 
-/** Reservations and bills. */
 export class BudgetSettlement {
   private readonly reservations = new Map<string, OpenReservation>()
-  /** What the open flush reports. */
+  /** Reports of the open flush. */
   private reported: { readonly seq: number, readonly reports: readonly BudgetReport[] } | undefined
 
-  /**
-   * @param entries - budgets of the holder
-   * @param queue - what has to become durable
-   * @param policy - what the demand rate counts, and whether flushes report what may be used until the next one
-   */
   constructor (
     private readonly entries: ReadonlyMap<string, BudgetEntry>,
     private readonly queue: FlushQueue,
@@ -42,28 +35,19 @@
   ) {}
 
   /**
-   * Notes an admitted request.
-   * @param reservationId - id of the reservation
-   * @param budget - budget id
-   * @param reserved - the worst case, and where its tokens come from
+   * Opens the reservation of an admitted request.
+   * @param reserved - worst-case cost by source
    */
   open (reservationId: string, budget: string, reserved: ReservedTokens): void {
     this.reservations.set(reservationId, { budget, ...reserved })
   }
 
-  /**
-   * An open reservation; undefined once it ended or its allotment was closed.
-   * @param reservationId - id of the reservation
-   */
+  /** Finds an open reservation; undefined once it ended or its allotment was closed. */
   find (reservationId: string): OpenReservation | undefined {
     return this.reservations.get(reservationId)
   }
 
-  /**
-   * Ends a reservation; what was given is used up first. A second end is ignored.
-   * @param event - the end
-   * @param now - both clocks
-   */
+  /** Ends a reservation; granted tokens are used first. A repeated end is ignored. */
   settle (event: EventOf<'settle'>, now: Instant): BudgetEntry | undefined {
     const reservation = this.reservations.get(event.reservationId)
     if (reservation === undefined) return undefined
@@ -78,11 +62,7 @@
     return entry
   }
 
-  /**
-   * Notes that a flush goes out; answers what it reports, the same for each try.
-   * @param flush - the flush
-   * @param now - both clocks
-   */
+  /** Marks a flush as sent and returns its reports, which are the same for every retry. */
   sent (flush: FlushOrder, now: Instant): readonly BudgetReport[] {
     const sums = new Map<string, number>()
     for (const bill of flush.bills) sums.set(bill.budget, (sums.get(bill.budget) ?? 0) + bill.tokens)
@@ -106,21 +86,14 @@
     })
   }
 
-  /**
-   * Whether the outcome of a flush that touches a budget is open.
-   * @param budget - budget id
-   */
+  /** Whether the open flush touches a budget. */
   isFlushing (budget: string): boolean {
     const flush = this.queue.open
     if (flush === undefined) return false
     return [...flush.bills, ...flush.returns, ...flush.transfers].some(item => item.budget === budget)
   }
 
-  /**
-   * Takes the outcome of a flush.
-   * @param event - the outcome
-   * @param now - both clocks
-   */
+  /** Handles the outcome of a flush. */
   flushed (event: EventOf<'flushAnswered'>, now: Instant): FlushResult {
     const { outcome, seq } = event
     if (this.queue.open?.seq !== seq) return { changed: [], actions: [] }
@@ -134,10 +107,7 @@
     return this.refused(flush, outcome, now)
   }
 
-  /**
-   * Gives up an allotment that a recovery closed; its open reservations end without a bill.
-   * @param entry - the budget
-   */
+  /** Drops an allotment that a recovery closed; its open reservations end without a bill. */
   close (entry: BudgetEntry): readonly BudgetAction[] {
     let inDoubt = this.queue.dropBudget(entry.budget).reduce((sum, bill) => sum + bill.tokens, 0)
     for (const [id, item] of this.reservations) {
@@ -181,7 +151,7 @@
     return [...changed]
   }
 
-  /** Nothing was written: what is still possible is queued again for a later number. */
+  /** Nothing was written: queues what can still be written for a flush with a later number. */
   private refused (flush: FlushOrder, outcome: Extract<FlushOutcome, { kind: 'closed' }>, now: Instant): FlushResult {
     for (const item of [...flush.bills, ...flush.returns]) this.entries.get(item.budget)?.bounds.dropped()
     const lost = new Set(outcome.lostTransfers ?? [])
@@ -207,7 +177,7 @@
     return { changed, actions }
   }
 
-  /** Bills for tokens of a lost transfer are in doubt: the recovery of the giver accounts for them. */
+  /** Bills for tokens of a lost transfer are in doubt: the recovery of the sender accounts for them. */
   private dropUncovered (entry: BudgetEntry): readonly BudgetAction[] {
     let inDoubt = 0
     while (entry.unsettled + entry.returning > entry.held) {
@@ -221,7 +191,7 @@
   }
 }
 
-/** A bill is never more than the reservation, and an amount that is no whole number costs the whole reservation. */
+/** A bill is limited to the reservation; an amount that is not a whole number costs the whole reservation. */
 function usedTokens ({ tokens }: Bill, { own, given }: ReservedTokens): number {
   return isAmount(tokens) ? Math.min(tokens, own + given) : own + given
 }
--- a/packages/decisions/src/budget/budgetStep.ts
+++ b/packages/decisions/src/budget/budgetStep.ts
@@ -1,6 +1,5 @@
 /**
- * One step of work on one budget: waiting requests are admitted or refused, tokens are asked for,
- * and while the VM drains, free tokens go back.
+ * Processes one budget: admits or refuses waiting requests, requests tokens, and returns free tokens while the VM drains.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
@@ -10,7 +9,6 @@
 import type { BudgetUpkeep } from './budgetUpkeep.js'
 import type { EntrySet } from './entrySet.js'
 
-/** What the step works with. */
 export interface BudgetStepParts {
   readonly entries: EntrySet
   readonly supply: BudgetSupply
@@ -18,15 +16,12 @@
   readonly gifts: BudgetGifts
 }
 
-/** Steps of one holder. */
 export class BudgetStep {
   constructor (private readonly parts: BudgetStepParts) {}
 
   /**
-   * Does one step.
-   * @param entry - the budget
-   * @param draining - whether free tokens go back
-   * @param now - both clocks
+   * Processes one budget.
+   * @param draining - whether free tokens are returned
    */
   take (entry: BudgetEntry, draining: boolean, now: Instant): readonly BudgetAction[] {
     const { entries, supply, upkeep, gifts } = this.parts
--- a/packages/decisions/src/budget/budgetSupply.ts
+++ b/packages/decisions/src/budget/budgetSupply.ts
@@ -1,7 +1,6 @@
 /**
- * How a holder gets tokens: a draw ahead of need, or, when requests wait, a round of draw from the
- * table, transfer within the failure domain, recall from everywhere and a second draw. When a
- * waiting request is refused is decided in budgetRefusal.
+ * Acquires tokens for a holder: a draw ahead of need or, if requests wait, a round of a draw from the table, a transfer within
+ * the failure domain, a recall from all domains and a second draw. budgetRefusal decides when a waiting request is refused.
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
@@ -14,14 +13,12 @@
 
 const nextStage: Readonly<Partial<Record<RoundStage, RoundStage>>> = { draw: 'give', give: 'recall', recall: 'redraw' }
 
-/** Gets tokens for the entries of one holder. */
 export class BudgetSupply {
   private operations = 0
 
   /**
-   * @param holder - holder id, part of the ids of its operations
-   * @param policy - sizes and times
-   * @param settlement - is told of each admitted request
+   * @param holder - holder id, prefix of operation ids
+   * @param settlement - opens a reservation for each admitted request
    */
   constructor (
     private readonly holder: string,
@@ -29,23 +26,14 @@
     private readonly settlement: Pick<BudgetSettlement, 'open'>
   ) {}
 
-  /**
-   * Admits what fits, refuses what cannot be served, and goes on with the search for tokens.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Admits requests that fit, refuses those that cannot be served, and advances the acquisition of tokens. */
   serve (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const admitted = this.admit(entry, now)
     const refused = this.refuse(entry, now)
     return [...admitted, ...refused, ...this.advance(entry, now)]
   }
 
-  /**
-   * Takes the answer of a draw.
-   * @param entry - the budget
-   * @param outcome - how the draw ended
-   * @param now - both clocks
-   */
+  /** Handles the outcome of a draw. */
   drawn (entry: BudgetEntry, outcome: DrawOutcome, now: Instant): void {
     const { draw } = entry
     const drawId = draw?.drawId ?? ''
@@ -57,12 +45,7 @@
     this.endStage(entry, drawId, now)
   }
 
-  /**
-   * Ends the transfer or recall stage of a round.
-   * @param entry - the budget
-   * @param operationId - id of the operation that ended
-   * @param now - both clocks
-   */
+  /** Ends the current stage of a round and selects the next one. */
   endStage (entry: BudgetEntry, operationId: string, now: Instant): void {
     const round = entry.round
     if (round === undefined || round.operationId !== operationId) return
@@ -78,11 +61,7 @@
     this.endRound(entry, now)
   }
 
-  /**
-   * Whether the allotment should be refilled.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Whether the allotment should be refilled. */
   isLow (entry: BudgetEntry, now: Instant): boolean {
     if (!entry.isWanted) return false
     return entry.free < lowWaterMark(this.policy, entry.enough(now), entry.aim.largest)
@@ -168,9 +147,8 @@
   }
 
   /**
-   * The owners of a budget draw for all; the table is asked only where none of them answers. After the end of 79 VMs, when owners had
-   * nothing yet, all others drew too: 20 at each row, whose transactions queued for a second and conflicted four times of
-   * five, and 87 of 100 requests went on being refused. Where owners alone draw, 4 to 14 of 100 are from the fifth second on.
+   * Whether to leave the draw to the owners; others query the table only if no owner answers. If all holders drew after a mass
+   * failure, their transactions on the budget row would queue and mostly conflict, and requests would go on being refused.
    */
   private isUpToOwners (entry: BudgetEntry, now: Instant): boolean {
     const oldest = entry.waiting[0]
@@ -196,7 +174,7 @@
   private startDraw (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const { budget, need: atLeast, reopen } = entry
     const isUrgent = atLeast > 0
-    // A draw that went out ahead of need is told again, under its id, when requests begin to wait for it.
+    // A draw ahead of need is sent again as urgent, under the same id, once requests wait for it.
     if (entry.draw?.inFlight === true && (entry.draw.isUrgent || !isUrgent)) return []
     const { drawId, since, report } = entry.draw ?? this.freshDraw(entry, now)
     entry.draw = { drawId, inFlight: true, isUrgent, since, ...(report === undefined ? {} : { report }) }
@@ -215,7 +193,7 @@
     return isOpen || this.isLow(entry, now) ? this.startDraw(entry, now) : []
   }
 
-  /** Tokens up to the target, with what waiting requests take on top. */
+  /** Tokens needed to reach the desired allotment in addition to waiting requests. */
   private missing (entry: BudgetEntry, now: Instant): number {
     const target = entry.isWanted ? entry.aim.tokens(now.mono) : 0
     return Math.max(0, target + entry.waitingTokens - Math.max(0, entry.free))
--- a/packages/decisions/src/budget/budgetTypes.ts
+++ b/packages/decisions/src/budget/budgetTypes.ts
@@ -1,17 +1,17 @@
 /**
- * Budgets as the deciders see them: events in, actions out. A budget is prepaid in tokens; the
- * table keeps, for each budget, what was paid, spent and allotted to holders, and every
- * transaction keeps `spent + allotted <= paid`. A holder spends only from its allotment.
+ * Schemas of the budget rows and the events and actions of the budget decider. A budget is prepaid in tokens; the table stores
+ * what was paid, spent and allotted to holders, and every transaction preserves `spent + allotted <= paid`. A holder spends
+ * only from its allotment.
  */
 import * as z from 'zod'
 import type { Instant } from '../clock/clockTypes.js'
 import type { Failure } from '../codes/failure.js'
 import type { ReportAllowance } from './reportBound.js'
 
-/** What a configuration says was paid for a budget in all. */
+/** Total paid for a budget according to a configuration. */
 export const declaredPaidSchema = z.object({
   tokens: z.number().int().nonnegative(),
-  /** Version of the configuration; a lower one never replaces a higher. */
+  /** Configuration version; a lower version never replaces a higher one. */
   version: z.number().int().nonnegative()
 })
 export type DeclaredPaid = z.infer<typeof declaredPaidSchema>
@@ -21,8 +21,8 @@
   budget: z.string(),
   paid: z.number().int().nonnegative(),
   /**
-   * Present where a configuration declares what was paid. While it is below what is spent and
-   * allotted, `paid` stays at that sum, and every token that comes back lowers it.
+   * Set if a configuration declares the paid amount. While it is below `spent + allotted`, `paid` equals that sum and
+   * decreases with every returned token.
    */
   declared: declaredPaidSchema.optional(),
   spent: z.number().int().nonnegative(),
@@ -31,11 +31,11 @@
 })
 export type BudgetRow = z.infer<typeof budgetRowSchema>
 
-/** What a holder told of how much it may use without telling; see reportBound. */
+/** How many tokens a holder may use before its next report; see reportBound. */
 export const reportSchema = z.object({
   tokens: z.number().nonnegative(),
   perMs: z.number().nonnegative(),
-  /** Milliseconds of the table's clock, not after the report was made. */
+  /** Table clock in milliseconds, not later than the report. */
   since: z.number()
 })
 export type ReportRow = z.infer<typeof reportSchema>
@@ -48,29 +48,29 @@
   /** Tokens allotted and not yet settled or returned. */
   held: z.number().int().nonnegative(),
   /**
-   * Tokens billed in segments and not yet moved to `spent` of the budget row. A flush writes only
-   * rows of its own holder, so holders of one budget do not contend; a draw or return moves it.
+   * Tokens billed in segments and not yet added to `spent` of the budget row. A flush writes only rows of its holder, so
+   * holders of one budget do not contend; the next draw or return adds them.
    */
   settled: z.number().int().nonnegative().default(0),
-  /** The last draw that took effect, so that a draw whose answer was lost counts once. */
+  /** Last draw that took effect; makes a retried draw idempotent. */
   lastDraw: z.object({ drawId: z.string(), tokens: z.number().int().nonnegative() }).optional(),
-  /** Present where holders bound what they use without telling. */
+  /** Set if holders bound their unreported use. */
   report: reportSchema.optional(),
-  /** Highest segment that touched this row. */
+  /** Highest segment number that wrote this row. */
   lastSeq: z.number().int().optional(),
-  /** `closed` once recovered: the holder may neither spend nor settle any more. */
+  /** `closed` after recovery: the holder may neither spend nor settle. */
   state: z.enum(['open', 'closed'])
 })
 export type AllotmentRow = z.infer<typeof allotmentRowSchema>
 
-/** Row `holders/<domain>/<holder>`: written once, before the holder takes a transfer. */
+/** Row `holders/<domain>/<holder>`: written once, before the holder accepts a transfer. */
 export const holderRowSchema = z.object({ holder: z.string(), domain: z.string() })
 
-/** Row `places/<holder>`: a name of the addresses on which the process listens, on this very system. */
+/** Row `places/<holder>`: identifies the addresses on which the process listens and the operating system instance. */
 export const placeRowSchema = z.object({
   holder: z.string(),
   place: z.string(),
-  /** Milliseconds of the table's clock at which the process had certainly begun; absent where it does not know. */
+  /** Table clock in milliseconds at which the process had certainly started; absent if unknown. */
   begunBy: z.number().optional()
 })
 
@@ -87,7 +87,7 @@
 })
 export type TopUpRow = z.infer<typeof topUpRowSchema>
 
-/** One bill: what one request cost one budget. */
+/** Cost of one request, billed to one budget. */
 export const billSchema = z.object({
   requestId: z.string(),
   budget: z.string(),
@@ -97,7 +97,7 @@
 })
 export type Bill = z.infer<typeof billSchema>
 
-/** Row `segments/<holder>/<seq>`: bills made durable together, in the transaction that settles them. */
+/** Row `segments/<holder>/<seq>`: bills written in one transaction together with their settlement. */
 export const segmentRowSchema = z.object({
   holder: z.string(),
   seq: z.number().int().nonnegative(),
@@ -105,30 +105,30 @@
 })
 export type SegmentRow = z.infer<typeof segmentRowSchema>
 
-/** Tokens that move between two holders of one domain without the table. */
+/** Tokens moved directly between two holders of one domain; recorded in the table later. */
 export const transferSchema = z.object({
   transferId: z.string(),
   budget: z.string(),
   from: z.string(),
   to: z.string(),
   tokens: z.number().int().positive(),
-  /** Milliseconds for which the receiver may spend before the transfer is recorded, counted from its ask. */
+  /** Milliseconds, from its request, for which the receiver may spend before the transfer is recorded. */
   validForMs: z.number().nonnegative().optional()
 })
 export type Transfer = z.infer<typeof transferSchema>
 
-/** What the ledger is told. */
+/** Input of the budget decider. */
 export type BudgetEvent =
-  /** A request asks for its worst case; answered by `admit` or `refuse` with the same id, at once or after later events. */
+  /** Reserves the worst-case cost of a request; answered by `admit` or `refuse` with the same id, possibly after later events. */
   | { readonly kind: 'reserve', readonly reservationId: string, readonly budget: string, readonly tokens: number, readonly giveUpAfterMs?: number }
-  /** A run ended: the reservation is closed, `bill` says what it cost; no bill when nothing is owed. */
+  /** A run ended; closes the reservation. No `bill` if nothing is owed. */
   | { readonly kind: 'settle', readonly reservationId: string, readonly bill?: Bill }
-  /** The caller gave up while the reservation waited. */
+  /** The caller cancelled a waiting reservation. */
   | { readonly kind: 'withdraw', readonly reservationId: string }
   | { readonly kind: 'tick' }
-  /** Requests for this budget may come at any time: an equal part is held ahead of them. */
+  /** Requests for this budget may arrive at any time; a fair share is drawn ahead of them. */
   | { readonly kind: 'prepare', readonly budget: string }
-  /** Another holder began: it needs its part of what this one holds of the budgets that it owns. */
+  /** Another holder started and needs its share of the budgets that it owns. */
   | { readonly kind: 'holderJoined', readonly holder: string }
   | { readonly kind: 'drawAnswered', readonly drawId: string, readonly outcome: DrawOutcome }
   | { readonly kind: 'flushAnswered', readonly seq: number, readonly outcome: FlushOutcome }
@@ -136,80 +136,80 @@
   | { readonly kind: 'giveAnswered', readonly transferId: string, readonly transfer?: Transfer, readonly askedAt?: Instant }
   | { readonly kind: 'recallAsked', readonly budget: string, readonly wanted: number, readonly atLeast?: number }
   | { readonly kind: 'recallAnswered', readonly recallId: string, readonly returned: number, readonly unreachable?: number }
-  /** Another holder asks for a gift; answered by `gift` with the same id, at once. */
+  /** Another holder requests a grant; answered immediately by `answerGrant` with the same id. */
   | { readonly kind: 'giftAsked', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly to: string }
-  /** The other holders were asked; `tokens` is what all of them gave, `isReached` whether any of them answered. */
+  /** Result of a grant request: `tokens` is the total granted, `isReached` whether any peer answered. */
   | { readonly kind: 'giftAnswered', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly isReached: boolean }
-  /** A holder that ends left tokens to this one. */
+  /** A terminating holder handed its tokens over to this one. */
   | { readonly kind: 'handedOver', readonly budget: string, readonly tokens: number }
-  /** A holder ended: no transfer from or to it may begin, and late answers of it are void. */
+  /** A holder terminated: no transfer from or to it may start, and its late answers are void. */
   | { readonly kind: 'fence', readonly holder: string }
-  /** What was paid for a budget changed: what was learned of a shortage is void, and when it was lowered, free tokens go back. */
+  /** The paid amount changed: a recorded shortage is void, and free tokens are returned if the amount was lowered. */
   | { readonly kind: 'paidChanged', readonly budget: string, readonly isLowered: boolean }
   | { readonly kind: 'drain' }
 
-/** What a draw tells of the spending of all holders. */
+/** Spending of all holders, as returned by a draw. */
 export interface FleetSpending {
-  /** Tokens paid in all. */
+  /** Total tokens paid. */
   readonly paid: number
-  /** Tokens billed in all. */
+  /** Total tokens billed. */
   readonly spent: number
   readonly holders: number
 }
 
-/** How a draw ended. `granted` tokens are durable in the table for this holder. */
+/** Outcome of a draw. `granted` tokens are durably allotted to this holder. */
 export type DrawOutcome =
   | { readonly kind: 'granted', readonly tokens: number, readonly left: number, readonly sentAt: Instant, readonly fleet?: FleetSpending }
-  /** The table was reached but nothing, or less than a useful amount, is left unallotted. `elsewhere` is held by others, `unspent` is `paid` less all that is billed. */
+  /** Less than a useful amount is unallotted. `elsewhere` is allotted to other holders, `unspent` is `paid` minus all bills. */
   | { readonly kind: 'short', readonly left: number, readonly elsewhere: number, readonly unspent?: number, readonly sentAt: Instant }
-  /** The allotment row was closed by a recovery; nothing was drawn. */
+  /** A recovery closed the allotment row; nothing was drawn. */
   | { readonly kind: 'closed' }
   | { readonly kind: 'unknownBudget' }
   | { readonly kind: 'unavailable' }
 
-/** How a flush ended; `closed` names budgets whose allotment was recovered by others meanwhile, and transfers that can no longer be recorded; nothing of the flush was written. */
+/** Outcome of a flush. `closed`: nothing was written, because allotments were recovered by others or transfers can no longer be recorded. */
 export type FlushOutcome =
   | { readonly kind: 'durable', readonly sentAt: Instant }
   | { readonly kind: 'unavailable' }
   | { readonly kind: 'closed', readonly budgets: readonly string[], readonly lostTransfers?: readonly string[] }
 
-/** What the shell has to do. */
+/** Output of the budget decider, carried out by the shell. */
 export type BudgetAction =
   | { readonly kind: 'admit', readonly reservationId: string }
   | { readonly kind: 'refuse', readonly reservationId: string, readonly failure: Failure }
-  /** Allot up to `tokens` more, `atLeast` if possible; less than `least` is of no use. */
+  /** Allots up to `tokens` more, `atLeast` if possible; less than `minUseful` is not drawn. */
   | { readonly kind: 'draw', readonly drawId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number, readonly least?: number, readonly isForEvenPart?: boolean, readonly reopen?: boolean, readonly expectsRow?: boolean, readonly report?: ReportAllowance }
-  /** One transaction: the segment row if absent, settlement of every bill, tokens given back (0 only renews the row), transfers recorded. */
+  /** One transaction: inserts the segment row if absent, settles every bill, returns tokens (0 only renews the row) and records transfers. */
   | { readonly kind: 'flush', readonly seq: number, readonly bills: readonly Bill[], readonly returns: readonly BudgetReturn[], readonly transfers: readonly Transfer[], readonly reports?: readonly BudgetReport[] }
-  /** Ask the holders of the own domain for a transfer. */
+  /** Requests a transfer from the holders of the local domain. */
   | { readonly kind: 'askGive', readonly transferId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number }
-  /** Answer a `giveAsked`: the tokens are subtracted already; no transfer means nothing can be given. */
+  /** Answers `transferRequested`; the tokens are already subtracted. Without `transfer` nothing is transferred. */
   | { readonly kind: 'give', readonly transferId: string, readonly transfer?: Transfer }
-  /** Ask other holders for tokens to use at once, without the table. */
+  /** Requests tokens from other holders for immediate use, without the table. */
   | { readonly kind: 'askGift', readonly giftId: string, readonly budget: string, readonly tokens: number }
-  /** Answer to a `giftAsked`: so many tokens, billed here already, belong to the asker; `left` is what could be given besides. */
+  /** Answers `grantRequested`: `tokens`, already billed here, belong to the requester; `left` could be granted in addition. */
   | { readonly kind: 'gift', readonly giftId: string, readonly tokens: number, readonly left: number }
-  /** Tokens that this holder leaves to another one, billed here already: it ends, and the table cannot take them back. */
+  /** Hands already billed tokens over to another holder on shutdown, when they cannot be returned to the table. */
   | { readonly kind: 'handOver', readonly budget: string, readonly tokens: number }
-  /** Ask holders everywhere to return what they do not need. */
+  /** Requests that holders in all domains return tokens that they do not need. */
   | { readonly kind: 'recall', readonly recallId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number }
-  /** Answer to a `recallAsked`: so much is on its way to the table. */
+  /** Answers `recallRequested`: `tokens` are being returned to the table. */
   | { readonly kind: 'returning', readonly budget: string, readonly tokens: number }
-  /** The allotment of this holder was closed; `inDoubt` tokens were billed here but are accounted for by the recovery. */
+  /** The allotment of this holder was closed; the recovery accounts for the `inDoubt` tokens billed or reserved here. */
   | { readonly kind: 'closed', readonly budget: string, readonly inDoubt: number }
 
-/** What a flush allows a holder to use of a budget until the next one. */
+/** Tokens of a budget that a holder may use until its next flush. */
 export interface BudgetReport extends ReportAllowance {
   readonly budget: string
 }
 
-/** Tokens that go back to the table unspent. */
+/** Unspent tokens to return to the table. */
 export interface BudgetReturn {
   readonly budget: string
   readonly tokens: number
 }
 
-/** One budget as a holder sees it, for operators and metrics. */
+/** State of one budget at one holder, for operators and metrics. */
 export interface BudgetView {
   readonly budget: string
   readonly held: number
@@ -221,9 +221,8 @@
 /** Decides admission, refill, transfer, recall and settlement for one holder. */
 export interface BudgetDecider {
   /**
-   * Takes one event.
-   * @param event - what happened
-   * @param now - both clocks, read when it happened
+   * Handles one event.
+   * @param now - both clocks, read when the event occurred
    */
   handle (event: BudgetEvent, now: Instant): readonly BudgetAction[]
   views (): readonly BudgetView[]
--- a/packages/decisions/src/budget/budgetUpkeep.ts
+++ b/packages/decisions/src/budget/budgetUpkeep.ts
@@ -1,22 +1,19 @@
 /**
- * Slow work on the budgets of one holder: leases of idle allotments are renewed, tokens that are
- * not needed go back, and entries that hold nothing are forgotten. Each tick visits a bounded
- * number of entries, so the work follows the tick and not the number of budgets.
+ * Background maintenance of the budgets of one holder: renews leases of idle allotments, returns excess tokens and removes empty
+ * entries. Each tick visits a bounded number of entries, so that its cost does not depend on the number of budgets.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
 import { renewAfterMs, type BudgetPolicy } from './budgetPolicy.js'
 import type { FlushQueue } from './flushQueue.js'
 
-/** Times between two flushes after which an allotment is reported anew though nothing was billed: before what it allows grows. */
+/** Flush intervals after which an allotment is reported again without bills, before the allowance grows. */
 const REPORT_FLUSHES = 3
-/** Entries visited in one tick. */
 const VISITS_PER_TICK = 32
 
-/** Visits all entries in turn. */
 export class BudgetUpkeep {
   private cursor: Iterator<BudgetEntry> | undefined
-  /** Forgotten budgets whose row in the table may have been closed since. */
+  /** Budgets of removed entries, whose rows in the table may have been closed since. */
   private readonly former = new Set<string>()
 
   constructor (
@@ -26,9 +23,8 @@
   ) {}
 
   /**
-   * Visits the next entries; answers those that need more than upkeep.
-   * @param now - both clocks
-   * @param draining - whether everything free goes back
+   * Maintains the next entries and returns them for processing.
+   * @param draining - whether all free tokens are returned
    */
   visit (now: Instant, draining: boolean): readonly BudgetEntry[] {
     const visited: BudgetEntry[] = []
@@ -46,39 +42,26 @@
     return visited
   }
 
-  /**
-   * Whether this holder had a row of a budget before it forgot the budget.
-   * @param budget - budget id
-   */
+  /** Whether this holder had an allotment row of a budget whose entry was removed. */
   hadRow (budget: string): boolean {
     return this.former.has(budget)
   }
 
-  /**
-   * Renews the lease of an allotment.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Renews the lease of an allotment by an empty return, at most once per `retryMaxMs`. */
   renew (entry: BudgetEntry, now: Instant): void {
     if (entry.renewedAt !== undefined && elapsedMs(entry.renewedAt, now) < this.policy.retryMaxMs) return
     entry.renewedAt = now
     this.queue.addReturn({ budget: entry.budget, tokens: 0 }, now.mono)
   }
 
-  /**
-   * Reports anew, since requests wait for what the last report does not allow. One report at a time.
-   * @param entry - the budget
-   * @param now - both clocks
-   */
+  /** Queues a new report, unless a flush is open. */
   report (entry: BudgetEntry, now: Instant): void {
     if (this.queue.open === undefined) this.queue.addReturn({ budget: entry.budget, tokens: 0 }, now.mono)
   }
 
   /**
    * Returns free tokens above a level.
-   * @param entry - the budget
-   * @param keep - tokens that stay
-   * @param now - both clocks
+   * @param keep - tokens to retain
    */
   returnFree (entry: BudgetEntry, keep: number, now: Instant): void {
     const tokens = entry.free - keep
@@ -88,10 +71,7 @@
     this.queue.addReturn({ budget: entry.budget, tokens }, now.mono)
   }
 
-  /**
-   * Returns all free tokens of all budgets and makes everything queued due.
-   * @param now - both clocks
-   */
+  /** Returns all free tokens of all budgets and makes the queue due. */
   returnAll (now: Instant): void {
     for (const entry of this.entries.values()) this.returnFree(entry, 0, now)
     this.queue.makeDue(now.mono)
@@ -128,7 +108,7 @@
     if (entry.free > target * this.policy.excessFactor) this.returnFree(entry, target, now)
   }
 
-  /** An old report allows much, which is lost to the team when this process ends. */
+  /** The allowance of an old report grows, and the team loses it if this process terminates. */
   private reportIsDue (entry: BudgetEntry, now: Instant): boolean {
     return this.policy.boundsUse && entry.bounds.ageMs(now) > this.policy.flushMs * REPORT_FLUSHES
   }
--- a/packages/decisions/src/budget/demandRate.spec.ts
+++ b/packages/decisions/src/budget/demandRate.spec.ts
@@ -1,12 +1,12 @@
 /**
- * Demand rates: over a whole window, and over a past that is shorter.
+ * Demand rates over a full window and over a shorter history.
  */
 import { expect } from 'chai'
 import { DemandRate } from './demandRate.js'
 
 const WINDOW_MS = 3_000
 
-/** 10 tokens a millisecond for a time, in steps of 10 ms. */
+/** 10 tokens per millisecond for `ms`, in steps of 10 ms. */
 function steady (ms: number, isEarly: boolean): DemandRate {
   const rate = new DemandRate(WINDOW_MS, isEarly)
   for (let mono = 0; mono <= ms; mono += 10) rate.add(100, mono)
@@ -15,16 +15,16 @@
 
 describe('DemandRate', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly ms: number, readonly isEarly: boolean, readonly least: number, readonly most: number }> = [
-    { name: 'begins at nothing', ms: 1_500, isEarly: false, least: 3.5, most: 4.5 },
-    { name: 'reaches the demand after some windows', ms: 12_000, isEarly: false, least: 9.5, most: 10.5 },
-    { name: 'takes a short past for the whole window', ms: 1_500, isEarly: true, least: 9.5, most: 10.5 },
-    { name: 'does not take a first request for a rate', ms: 0, isEarly: true, least: 0.1, most: 0.2 }
+    { name: 'starts from zero', ms: 1_500, isEarly: false, least: 3.5, most: 4.5 },
+    { name: 'converges to the demand after several windows', ms: 12_000, isEarly: false, least: 9.5, most: 10.5 },
+    { name: 'extrapolates a short history to the whole window', ms: 1_500, isEarly: true, least: 9.5, most: 10.5 },
+    { name: 'does not extrapolate a first request to a rate', ms: 0, isEarly: true, least: 0.1, most: 0.2 }
   ]
   for (const { name, ms, isEarly, least, most } of cases) {
     it(name, () => { expect(steady(ms, isEarly).perMs(ms)).to.be.within(least, most) })
   }
 
-  it('is nothing without demand', () => {
+  it('is zero without demand', () => {
     expect(new DemandRate(WINDOW_MS, true).perMs(1_000)).to.equal(0)
   })
 })
--- a/packages/decisions/src/budget/demandRate.ts
+++ b/packages/decisions/src/budget/demandRate.ts
@@ -1,27 +1,26 @@
 /**
- * Demand of one budget at one holder, as an exponentially weighted rate.
+ * Demand for one budget at one holder as an exponentially weighted rate.
  */
 import { FadingSum } from '../clock/fadingSum.js'
 
-/** Part of the window that counts as filled at the least: the first requests are no rate yet. */
+/** Minimum fraction of the window that counts as filled, so that the first requests are not extrapolated too far. */
 const LEAST_PART = 0.25
 
-/** Tokens a millisecond, averaged over a window that fades out. */
+/** Tokens per millisecond, averaged over an exponentially decaying window. */
 export class DemandRate {
   private readonly used: FadingSum
   private since: number | undefined
 
   /**
    * @param windowMs - time constant in milliseconds
-   * @param isEarly - whether a past shorter than the window counts as all there is
+   * @param isEarly - whether a history shorter than the window is extrapolated
    */
   constructor (private readonly windowMs: number, private readonly isEarly = false) {
     this.used = new FadingSum(windowMs)
   }
 
   /**
-   * Counts tokens that were used.
-   * @param tokens - amount
+   * Adds used tokens.
    * @param mono - monotonic milliseconds
    */
   add (tokens: number, mono: number): void {
@@ -30,14 +29,14 @@
   }
 
   /**
-   * The rate in tokens a millisecond.
+   * The rate in tokens per millisecond.
    * @param mono - monotonic milliseconds
    */
   perMs (mono: number): number {
     return this.used.at(mono) / (this.windowMs * this.filledPart(mono))
   }
 
-  /** Part of the window that the past fills. */
+  /** Fraction of the window that the history fills. */
   private filledPart (mono: number): number {
     if (!this.isEarly || this.since === undefined) return 1
     return Math.max(LEAST_PART, 1 - Math.exp((this.since - mono) / this.windowMs))
--- a/packages/decisions/src/budget/flushPlan.ts
+++ b/packages/decisions/src/budget/flushPlan.ts
@@ -1,6 +1,6 @@
 /**
- * The transaction of a flush: the segment row, inserted if absent, decides whether the flush took
- * effect; with it go the settlement of each bill, returned tokens and transfers between holders.
+ * Transaction of a flush: settles bills, returns tokens and records transfers. The segment row, inserted in the same
+ * transaction, shows whether the flush took effect.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '../codes/failure.js'
@@ -10,43 +10,38 @@
 import { segmentRowSchema, transferSchema, type Bill, type BudgetReport, type BudgetReturn, type Transfer } from './budgetTypes.js'
 import type { PlanKey, RowSet } from './rowSet.js'
 
-/** Content of a flush; the same for every try of one number. */
+/** Content of a flush; the same for every retry of a sequence number. */
 export interface FlushOrder {
   readonly seq: number
   readonly bills: readonly Bill[]
   readonly returns: readonly BudgetReturn[]
   readonly transfers: readonly Transfer[]
-  /** What the holder may use of each budget until the next flush. */
+  /** Tokens that the holder may use of each budget until the next flush. */
   readonly reports?: readonly BudgetReport[]
 }
 
-/** A flush with the time of its reports. */
 export interface TimedFlush extends FlushOrder {
-  /** Milliseconds of the table's clock, not after the flush was first sent. */
+  /** Time of the reports: table clock in milliseconds, not later than the first send of the flush. */
   readonly since?: number
 }
 
-/** Who flushes. */
+/** The holder that flushes. */
 export interface Flusher {
   readonly holder: string
   readonly domain: string
 }
 
-/** What a flush comes to. */
+/** Result of planning a flush. */
 export type FlushPlan =
   | { readonly kind: 'write' | 'done' }
-  /** Nothing of this flush may be written: allotments were closed, transfers can no longer be recorded. */
+  /** Nothing may be written: allotments were closed, or transfers can no longer be recorded. */
   | { readonly kind: 'closed', readonly budgets: readonly string[], readonly lostTransfers: readonly string[] }
 
 function ownBudgets (order: FlushOrder): ReadonlySet<string> {
   return new Set([...order.bills.map(bill => bill.budget), ...order.returns.map(item => item.budget)])
 }
 
-/**
- * Rows that a flush reads.
- * @param order - the flush
- * @param flusher - who flushes
- */
+/** Rows that a flush reads. */
 export function flushKeys (order: FlushOrder, flusher: Flusher): readonly PlanKey[] {
   const allotments = new Set([...ownBudgets(order)].map(budget => allotmentKey(budget, flusher.holder)))
   for (const item of order.transfers) {
@@ -69,7 +64,7 @@
   return allotmentOf(rows, budget, holder)?.state === 'closed'
 }
 
-/** The own allotment was closed, or closed and removed, so that nothing can be settled against it. */
+/** Whether the allotment of the holder was closed, or closed and removed, so that nothing can be settled against it. */
 function isLost (rows: RowSet, order: FlushOrder, budget: string, holder: string): boolean {
   if (allotmentOf(rows, budget, holder) !== undefined) return isClosed(rows, budget, holder)
   return !order.transfers.some(item => item.budget === budget && item.to === holder && !isRecorded(rows, item))
@@ -85,7 +80,7 @@
 function recordTransfer (rows: RowSet, transfer: Transfer, domain: string): Either<Failure, void> {
   if (isRecorded(rows, transfer)) return Right(undefined)
   const giver = allotmentOf(rows, transfer.budget, transfer.from)
-  if (giver === undefined) return Left(new Failure('internal', `no allotment of ${transfer.from}`))
+  if (giver === undefined) return Left(new Failure('internal', `${transfer.from} has no allotment to transfer from`))
   const receiver = allotmentOf(rows, transfer.budget, transfer.to) ?? emptyAllotment(transfer.budget, transfer.to, domain)
   return applyTransfer({ giver, receiver }, transfer).ifRight(pair => {
     putAllotment(rows, pair.giver)
@@ -100,12 +95,12 @@
 }
 
 function giveBack (rows: RowSet, item: BudgetReturn, flusher: Flusher): Either<Failure, void> {
-  // Nothing to return only renews the allotment row.
+  // An empty return only renews the allotment row.
   if (item.tokens === 0) return Right(undefined)
   const budget = budgetOf(rows, item.budget)
   const allotment = allotmentOf(rows, item.budget, flusher.holder)
   if (budget === undefined || allotment === undefined) {
-    return Left(new Failure('internal', `no rows to return ${item.budget} to`))
+    return Left(new Failure('internal', `budget or allotment row of ${item.budget} is missing; tokens cannot be returned`))
   }
   return applyReturn({ budget, allotment }, item.tokens).ifRight(pair => {
     putBudget(rows, pair.budget)
@@ -125,8 +120,6 @@
 /**
  * Plans a flush.
  * @param rows - rows of {@link flushKeys}
- * @param order - the flush
- * @param flusher - who flushes
  */
 export function planFlush (rows: RowSet, order: TimedFlush, flusher: Flusher): Either<Failure, FlushPlan> {
   const { holder, domain } = flusher
--- a/packages/decisions/src/budget/flushQueue.ts
+++ b/packages/decisions/src/budget/flushQueue.ts
@@ -1,27 +1,25 @@
 /**
- * Group commit of one holder. What has to become durable is queued and goes out in numbered
- * flushes, one at a time. The content of a number never changes once it was sent, so a flush
- * whose answer was lost can be sent again until the table says what became of it.
+ * Group commit of one holder: queues bills, returns and transfers and sends them in numbered flushes, one at a time. The content
+ * of a sent number never changes, so that a flush can be retried until its outcome is known.
  */
 import type { Bill, BudgetReturn, Transfer } from './budgetTypes.js'
 import type { FlushOrder } from './flushPlan.js'
 
-/** Bounds that keep a flush under the limits of a transaction. */
+/** Limits that keep a flush within the transaction limits of the table. */
 const MAX_FLUSH_BILLS = 150
 const MAX_FLUSH_TRANSFERS = 60
 
-/** Times of a flush queue in milliseconds, and its size. */
+/** Times in milliseconds and batch limits of a flush queue. */
 export interface FlushTimes {
   readonly flushMs: number
   readonly retryMs: number
   readonly retryMaxMs: number
-  /** Budgets in one flush at most. */
+  /** Maximum budgets in a flush. */
   readonly budgetsAtOnce: number
-  /** Budgets to which one flush returns tokens at most: their rows are written by all holders, and each may conflict. */
+  /** Maximum budgets to which a flush returns tokens: all holders write their rows, and each may conflict. */
   readonly returnsAtOnce: number
 }
 
-/** Queue of bills, returns and transfers. */
 export class FlushQueue {
   private bills: Bill[] = []
   private transfers: Transfer[] = []
@@ -35,12 +33,12 @@
 
   constructor (private readonly times: FlushTimes) {}
 
-  /** The flush that was sent and whose outcome is open. */
+  /** The sent flush whose outcome is unknown. */
   get open (): FlushOrder | undefined {
     return this.sent
   }
 
-  /** Whether nothing waits to become durable. */
+  /** Whether nothing is queued or in flight. */
   get isEmpty (): boolean {
     return this.sent === undefined && !this.hasQueued
   }
@@ -51,7 +49,6 @@
 
   /**
    * Queues a bill.
-   * @param bill - the bill
    * @param mono - monotonic milliseconds
    */
   addBill (bill: Bill, mono: number): void {
@@ -60,9 +57,8 @@
   }
 
   /**
-   * Queues tokens to be returned; 0 only renews the row.
-   * @param item - budget and tokens
-   * @param mono - monotonic milliseconds; returned tokens go out at once
+   * Queues a return, due immediately; 0 tokens only renew the row.
+   * @param mono - monotonic milliseconds
    */
   addReturn (item: BudgetReturn, mono: number): void {
     this.returns.set(item.budget, (this.returns.get(item.budget) ?? 0) + item.tokens)
@@ -70,8 +66,8 @@
   }
 
   /**
-   * Queues a transfer to be recorded.
-   * @param transfer - given or received
+   * Queues a transfer to record.
+   * @param transfer - sent or received
    * @param mono - monotonic milliseconds
    */
   addTransfer (transfer: Transfer, mono: number): void {
@@ -80,17 +76,14 @@
   }
 
   /**
-   * Makes what is queued due now.
+   * Makes the queue due now.
    * @param mono - monotonic milliseconds
    */
   makeDue (mono: number): void {
     if (!this.isEmpty) this.schedule(mono)
   }
 
-  /**
-   * Whether a transfer from or to a holder is not known to be recorded.
-   * @param holder - holder id
-   */
+  /** Whether a transfer from or to a holder may be unrecorded. */
   hasTransferWith (holder: string): boolean {
     const all = [...this.transfers, ...this.sent?.transfers ?? []]
     return all.some(item => item.from === holder || item.to === holder)
@@ -111,7 +104,7 @@
   }
 
   /**
-   * Ends the open flush: it is durable, or it is certain that it never will be.
+   * Ends the open flush: it is durable, or certainly never will be.
    * @param mono - monotonic milliseconds
    */
   finish (mono: number): FlushOrder | undefined {
@@ -124,7 +117,7 @@
   }
 
   /**
-   * The outcome of the open flush is not known; the same content is sent again after a pause.
+   * Schedules a retry of the open flush, with the same content, after a backoff.
    * @param mono - monotonic milliseconds
    */
   retry (mono: number): void {
@@ -134,10 +127,7 @@
     this.schedule(this.retryAt)
   }
 
-  /**
-   * Drops queued bills of a budget.
-   * @param budget - budget id
-   */
+  /** Drops everything queued for a budget and returns its bills. */
   dropBudget (budget: string): readonly Bill[] {
     const dropped = this.bills.filter(bill => bill.budget === budget)
     this.bills = this.bills.filter(bill => bill.budget !== budget)
@@ -146,10 +136,7 @@
     return dropped
   }
 
-  /**
-   * Drops the latest queued bill of a budget.
-   * @param budget - budget id
-   */
+  /** Drops the newest queued bill of a budget. */
   dropLatestBill (budget: string): Bill | undefined {
     const index = this.bills.findLastIndex(bill => bill.budget === budget)
     return index < 0 ? undefined : this.bills.splice(index, 1)[0]
--- a/packages/decisions/src/budget/giftPurse.ts
+++ b/packages/decisions/src/budget/giftPurse.ts
@@ -1,30 +1,22 @@
 /**
- * Tokens that another holder gave away. The giver billed them as used before they left it, so they
- * belong to no allotment: whoever has them may use them at any time, with no table at hand, and
- * what is lost with a process was paid for.
+ * Tokens granted by other holders. The granter billed them before it sent them, so they belong to no allotment and may be
+ * used at any time without the table; what is lost with a process counts as spent.
  */
 
-/** Given tokens of one budget that bind nothing. */
+/** Granted tokens of one budget that are not reserved. */
 export class GiftPurse {
   private tokens = 0
 
-  /** Tokens that may be reserved. */
   get free (): number {
     return this.tokens
   }
 
-  /**
-   * Takes in what was given, or what a reservation did not use.
-   * @param tokens - amount
-   */
+  /** Adds granted tokens, or those that a reservation did not use. */
   add (tokens: number): void {
     this.tokens += tokens
   }
 
-  /**
-   * Takes out as much as there is.
-   * @param wanted - amount wanted
-   */
+  /** Removes up to `wanted` tokens and returns their number. */
   take (wanted: number): number {
     const taken = Math.min(this.tokens, wanted)
     this.tokens -= taken
--- a/packages/decisions/src/budget/needsOfOthers.ts
+++ b/packages/decisions/src/budget/needsOfOthers.ts
@@ -1,38 +1,34 @@
 /**
- * What holders that do not own a budget ask one of its owners for: the largest request, and the last one that it could not meet.
+ * Grant requests to an owner of a budget by holders that do not own it: the largest, and the last that could not be met in full.
  */
 
-/** Milliseconds in which a holder that was given too little asks again: it does after 40, and waits for half of an objective at most. */
+/** Time within which a holder that was granted too little requests again: after 40 ms, and for half of its objective at most. */
 const UNMET_MS = 200
 
-/** Needs of other holders for one budget. Times are monotonic milliseconds. */
+/** Demand of other holders for one budget. Times in monotonic milliseconds. */
 export class NeedsOfOthers {
   private most = 0
   private unmet = { tokens: 0, at: -Infinity }
 
   /**
-   * Largest need so far. Reports allow as much only for others: where all own a budget, that billed 1.03 M tokens in place of 0.76 M
-   * at ends of VMs on a day of trouble with seven.
+   * Largest grant request so far. Reports allow this much only for peers that do not own the budget: if all holders own it,
+   * that would bill more tokens when VMs terminate.
    */
   get largest (): number {
     return this.most
   }
 
   /**
-   * Notes what another holder asked for.
-   * @param asked - tokens asked for
-   * @param given - tokens that it got
-   * @param mono - present time
+   * Records a grant request.
+   * @param asked - tokens requested
+   * @param given - tokens granted
    */
   note (asked: number, given: number, mono: number): void {
     this.most = Math.max(this.most, asked)
     this.unmet = { tokens: given < asked ? asked : 0, at: mono }
   }
 
-  /**
-   * Tokens that another holder asked for in vain and is about to ask for again.
-   * @param mono - present time
-   */
+  /** Tokens of an unmet grant request that is about to be repeated. */
   unmetTokens (mono: number): number {
     return mono - this.unmet.at < UNMET_MS ? this.unmet.tokens : 0
   }
--- a/packages/decisions/src/budget/recoveryPlan.ts
+++ b/packages/decisions/src/budget/recoveryPlan.ts
@@ -1,8 +1,7 @@
 /**
- * Recovery of holders that ended: what is owed for their runs is billed from what they held, and
- * the rest goes back to the budget. All ended holders of one failure domain are closed together
- * for a budget, because tokens that one gave may have been spent by another before either could
- * record the transfer.
+ * Recovery of terminated holders: bills what their runs owe from their allotments and returns the rest to the budget. All
+ * terminated holders of one failure domain are closed together for a budget, because tokens that one transferred may have been
+ * spent by another before either recorded the transfer.
  */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '../codes/failure.js'
@@ -12,35 +11,32 @@
 import type { Bill } from './budgetTypes.js'
 import type { PlanKey, RowSet } from './rowSet.js'
 
-/** An allotment to be closed, at the version on which the decision was made. */
+/** An allotment to close, at the row version on which the decision is based. */
 export interface ClosingAllotment {
   readonly holder: string
   readonly version: number
 }
 
-/** A bill and the ended holder that owed it. */
+/** A bill and the terminated holder that owes it. */
 export interface OwedBill {
   readonly holder: string
   readonly bill: Bill
 }
 
-/** What is recovered for one budget. */
+/** Recovery of one budget. */
 export interface RecoveryOrder {
   readonly budget: string
   readonly closing: readonly ClosingAllotment[]
-  /** Runs of ended holders of the domain that no segment has billed. */
+  /** Runs of terminated holders of the domain that are not billed in a segment. */
   readonly owed: readonly OwedBill[]
 }
 
-/** What a recovery comes to; `moved` when a row changed since the decision, which has to be made anew. */
+/** Result of planning a recovery; `stale` if a row changed since the decision, which has to be repeated. */
 export type RecoveryPlan =
   | { readonly kind: 'write', readonly billed: number, readonly returned: number }
   | { readonly kind: 'moved' }
 
-/**
- * Rows that a recovery reads.
- * @param order - the recovery
- */
+/** Rows that a recovery reads. */
 export function recoveryKeys (order: RecoveryOrder): readonly PlanKey[] {
   return [
     { table: budgetTables.budgets, key: order.budget },
@@ -48,7 +44,7 @@
   ]
 }
 
-/** Bills never exceed what was held: a runner that reports more than its cap does not overspend the team. */
+/** Limits bills to the allotment: a runner that reports more than its cap does not overspend the budget of the team. */
 function clip (owed: readonly OwedBill[], held: number): readonly OwedBill[] {
   let left = held
   return owed.map(({ holder, bill }) => {
@@ -69,7 +65,6 @@
 /**
  * Plans a recovery.
  * @param rows - rows of {@link recoveryKeys}
- * @param order - the recovery
  */
 export function planRecovery (rows: RowSet, order: RecoveryOrder): Either<Failure, RecoveryPlan> {
   const budget = budgetOf(rows, order.budget)
@@ -88,16 +83,14 @@
   })
 }
 
-/** What retiring comes to; `kept` when tokens are still held. */
+/** Result of removing an allotment; `notEmpty` if tokens are still allotted. */
 export interface RetirePlan {
   readonly kind: 'write' | 'kept' | 'done'
 }
 
 /**
- * Removes the empty allotment of a holder that drained.
+ * Removes the empty allotment of a drained holder.
  * @param rows - budget row and allotment row
- * @param budgetId - budget id
- * @param holder - holder id
  */
 export function planRetire (rows: RowSet, budgetId: string, holder: string): Either<Failure, RetirePlan> {
   const budget = budgetOf(rows, budgetId)
--- a/packages/decisions/src/budget/recoveryRules.ts
+++ b/packages/decisions/src/budget/recoveryRules.ts
@@ -1,32 +1,30 @@
 /**
- * When a holder counts as ended. Only three things prove it: the platform's list says that it ended
- * the VM after this holder had registered, a later process listens in its place, or its allotment
- * lapsed, so that it may not spend.
+ * Decides when a holder counts as terminated. Only three facts prove it: the platform's VM list reports that the VM was
+ * terminated after the holder registered, a later process listens on its addresses, or its allotment expired, so that it may
+ * not spend.
  */
 import { vmOf } from '../names/nameTypes.js'
 import type { BudgetPolicy } from './budgetPolicy.js'
 
-/** Milliseconds for which engines keep the record of an ended run. */
+/** Time for which engines retain the record of an ended run. */
 export const RUN_RETENTION_MS = 7_200_000
-/** How much later than a registration the list has to be, for clocks of two platform services that differ. */
+/** Minimum age difference between a registration and a VM list, as the clocks of the two platform services differ. */
 export const LIST_MARGIN_MS = 10_000
 
-/** A holder by its registration row. */
 export interface RegisteredHolder {
   readonly holder: string
   readonly domain: string
-  /** Table milliseconds of the registration. */
+  /** Table clock in milliseconds. */
   readonly registeredAt: number
 }
 
-/** Times of the last entries `gone` in the platform's list, by VM. */
+/** Latest time of an entry `gone` in the platform's list, by VM. */
 export class GoneVms {
   private readonly goneAt = new Map<string, number>()
 
   /**
-   * Takes one answer of the list.
-   * @param asOf - platform milliseconds for which it held
-   * @param vms - its entries
+   * Records one answer of the list.
+   * @param asOf - platform clock in milliseconds at which the list was valid
    */
   note (asOf: number, vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>): void {
     for (const { vm, state } of vms) {
@@ -34,10 +32,7 @@
     }
   }
 
-  /**
-   * Whether the platform ended the VM of a holder after it registered.
-   * @param holder - the holder
-   */
+  /** Whether the platform terminated the VM of a holder after the holder registered. */
   proves (holder: RegisteredHolder): boolean {
     const goneAt = this.goneAt.get(vmOf(holder.holder))
     return goneAt !== undefined && goneAt > holder.registeredAt + LIST_MARGIN_MS
@@ -45,46 +40,40 @@
 }
 
 /**
- * Whether an allotment lapsed, so that its holder may not spend from it any more.
- * @param policy - the policy of all holders
- * @param ageMs - milliseconds since its row was last written, by the table's clock
+ * Whether an allotment expired, so that its holder may not spend from it.
+ * @param ageMs - milliseconds since the last write of its row, by the table clock
  */
 export function hasLapsed (policy: BudgetPolicy, ageMs: number): boolean {
   return ageMs > policy.lapseMs + policy.marginMs
 }
 
 /**
- * Whether engines may have forgotten runs that the holder had not billed.
- * @param policy - the policy of all holders
- * @param contactAgeMs - milliseconds since the holder's last own write
+ * Whether engines may have discarded the records of runs that the holder had not billed.
+ * @param contactAgeMs - milliseconds since the last write by the holder
  */
 export function mayBeForgotten (policy: BudgetPolicy, contactAgeMs: number): boolean {
   return contactAgeMs > RUN_RETENTION_MS - policy.marginMs
 }
 
-/** Where a holder listens, and since when. */
+/** A holder with the addresses on which it listens. */
 export interface PlacedHolder {
   readonly holder: string
   readonly place: string
-  /** Table milliseconds at which its process had certainly begun: no earlier process of its VM ran any more. */
+  /** Table clock in milliseconds at which the process had certainly started and no earlier process of its VM was running. */
   readonly since: number
 }
 
 /**
- * Whether a later process of the same VM listens in the place of a holder. Two processes cannot
- * listen on one address of one system, not even when one of them is paused.
- * @param holder - the holder
- * @param placed - all holders with their places
+ * Whether a later process of the same VM listens on the addresses of a holder. Two processes cannot listen on one address of a
+ * system, not even while one is paused.
  */
 export function isSucceeded (holder: string, placed: readonly PlacedHolder[]): boolean {
   return succeededAt(holder, placed) !== undefined
 }
 
 /**
- * Table milliseconds at which the first later process of the same VM listened in the place of a
- * holder; undefined when none does.
- * @param holder - the holder
- * @param placed - all holders with their places
+ * Table clock in milliseconds at which the first later process of the same VM listened on the addresses of a holder;
+ * undefined if there is none.
  */
 export function succeededAt (holder: string, placed: readonly PlacedHolder[]): number | undefined {
   const own = placed.find(item => item.holder === holder)
--- a/packages/decisions/src/budget/reportBound.spec.ts
+++ b/packages/decisions/src/budget/reportBound.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds on what is used without telling: what a holder may use is always what recovery would bill.
+ * Bounds on unreported use: a holder may never use more than recovery would bill.
  */
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -11,15 +11,15 @@
 const row = (over: Partial<AllotmentRow> = {}): AllotmentRow =>
   ({ budget: 'b', holder: 'v~1', domain: 'd', held: 1_000, settled: 0, state: 'open', ...over })
 
-describe('mayBeSpent', () => {
+describe('maxUnreportedSpend', () => {
   const report = { tokens: 100, perMs: 0.5, since: 5_000 }
   const cases: ReadonlyArray<{ readonly name: string, readonly row: AllotmentRow, readonly now: number, readonly spent: number }> = [
-    { name: 'all that is held without a report', row: row(), now: 5_000, spent: 1_000 },
-    { name: 'what the report allows', row: row({ report }), now: 5_000, spent: 100 },
+    { name: 'the whole allotment without a report', row: row(), now: 5_000, spent: 1_000 },
+    { name: 'the allowance of the report', row: row({ report }), now: 5_000, spent: 100 },
     { name: 'no more while a report or a successor may still come', row: row({ report }), now: 6_500, spent: 100 },
-    { name: 'more with the time since', row: row({ report }), now: 6_900, spent: 300 },
-    { name: 'never more than is held', row: row({ report }), now: 50_000, spent: 1_000 },
-    { name: 'no less when the clock of the table seems to go back', row: row({ report }), now: 4_000, spent: 100 }
+    { name: 'more as time passes', row: row({ report }), now: 6_900, spent: 300 },
+    { name: 'never more than the allotment', row: row({ report }), now: 50_000, spent: 1_000 },
+    { name: 'no less if the table clock appears to go back', row: row({ report }), now: 4_000, spent: 100 }
   ]
   for (const { name, row, now, spent } of cases) {
     it(name, () => { expect(mayBeSpent(row, now)).to.equal(spent) })
@@ -28,34 +28,34 @@
 
 describe('allowanceOf', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly allowance: ReturnType<typeof allowanceOf>, readonly tokens: number, readonly perMs: number }> = [
-    { name: 'a tenth of the allotment beyond what is in use', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 10_500, perMs: 20 },
-    { name: 'nothing beyond what is in use where nothing is held', allowance: allowanceOf({ inUse: 500, held: 0, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 500, perMs: 0 },
-    { name: 'the largest request where that is more than a tenth', allowance: allowanceOf({ inUse: 500, held: 50_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 9_500, perMs: 10 },
-    { name: 'no more than its part of what was paid', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 0 }), tokens: 3_500, perMs: 20 },
-    { name: 'what was asked for in vain, whatever its part', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 8_000 }), tokens: 8_500, perMs: 20 },
-    { name: 'no more than is held', allowance: allowanceOf({ inUse: 0, held: 5_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 5_000, perMs: 1 }
+    { name: 'a tenth of the allotment beyond the tokens in use', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 10_500, perMs: 20 },
+    { name: 'nothing beyond the tokens in use without an allotment', allowance: allowanceOf({ inUse: 500, held: 0, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 500, perMs: 0 },
+    { name: 'the largest request if that is more than a tenth', allowance: allowanceOf({ inUse: 500, held: 50_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 9_500, perMs: 10 },
+    { name: 'no more than its share of the paid amount', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 0 }), tokens: 3_500, perMs: 20 },
+    { name: 'an unmet grant request, regardless of its share', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 8_000 }), tokens: 8_500, perMs: 20 },
+    { name: 'no more than the allotment', allowance: allowanceOf({ inUse: 0, held: 5_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 5_000, perMs: 1 }
   ]
   for (const { name, allowance, tokens, perMs } of cases) {
     it(name, () => { expect(allowance).to.deep.equal({ tokens, perMs }) })
   }
 })
 
-describe('mostAtOnce', () => {
-  it('is an equal part of three hundredths of what was paid', () => {
+describe('maxUnreportedTokens', () => {
+  it('is an equal share of three percent of the paid amount', () => {
     expect(mostAtOnce({ paid: 1_000_000, holders: 4 })).to.equal(7_500)
   })
 
-  it('is not known before a draw told what was paid', () => {
+  it('is unlimited before the first draw reports the paid amount', () => {
     expect(mostAtOnce(undefined)).to.equal(Infinity)
   })
 })
 
 describe('ReportBounds', () => {
-  it('has no room before the first report', () => {
+  it('has no capacity before the first report', () => {
     expect(new ReportBounds().room(0, 0, at(0))).to.equal(0)
   })
 
-  it('keeps to both bounds while the outcome of a report is open', () => {
+  it('applies both bounds while the outcome of a report is unknown', () => {
     const bounds = new ReportBounds()
     bounds.begin({ tokens: 1_000, perMs: 0, at: at(0) })
     bounds.send({ tokens: 300, perMs: 0, at: at(100) })
@@ -65,7 +65,7 @@
     expect([open, written]).to.deep.equal([200, 200])
   })
 
-  it('goes back to the known bound when a report was certainly not written', () => {
+  it('reverts to the confirmed bound when a report was certainly not written', () => {
     const bounds = new ReportBounds()
     bounds.begin({ tokens: 1_000, perMs: 0, at: at(0) })
     bounds.send({ tokens: 300, perMs: 0, at: at(100) })
@@ -73,7 +73,7 @@
     expect(bounds.room(500, 0, at(100))).to.equal(500)
   })
 
-  it('tells when there will be room', () => {
+  it('predicts when there will be capacity', () => {
     fc.assert(fc.property(fc.nat(5_000), fc.double({ min: 0.1, max: 5, noNaN: true }), fc.nat(3_000), fc.nat(3_000), fc.nat(5_000), (tokens, perMs, now, inUse, needed) => {
       const bounds = new ReportBounds()
       bounds.begin({ tokens, perMs, at: at(0) })
@@ -83,7 +83,7 @@
     }), { seed: 12 })
   })
 
-  it('never lets a holder use more than recovery bills, whichever report was written', () => {
+  it('never allows a holder to use more than recovery bills, whichever report was written', () => {
     const allowance = fc.record({ tokens: fc.integer({ min: 0, max: 5_000 }), perMs: fc.double({ min: 0, max: 5, noNaN: true }) })
     fc.assert(fc.property(allowance, allowance, fc.nat(2_000), fc.nat(2_000), fc.nat(3_000), fc.boolean(), (first, second, sentAfter, endsAfter, billed, isWritten) => {
       const bounds = new ReportBounds()
--- a/packages/decisions/src/budget/rowSet.ts
+++ b/packages/decisions/src/budget/rowSet.ts
@@ -1,16 +1,16 @@
 /**
- * Rows of one optimistic transaction: read once, changed in memory, then sent with a check on the
- * version of each row that was read. The shapes equal those of the table service.
+ * Rows of one optimistic transaction: read once, changed in memory, then written with a version check on each row read.
+ * The types match those of the table service.
  */
 import type { z } from 'zod'
 
-/** Names one row. */
+/** Table and key of a row. */
 export interface PlanKey {
   readonly table: string
   readonly key: string
 }
 
-/** Condition on a row; `null` when it must not exist. */
+/** Version check on a row; `null` if it must not exist. */
 export interface PlanCheck extends PlanKey {
   readonly version: number | null
 }
@@ -20,7 +20,7 @@
   readonly value: unknown
 }
 
-/** A row as the table service answers it. */
+/** A row as returned by the table service. */
 export interface PlanRow extends PlanKey {
   readonly version: number
   readonly value: unknown
@@ -37,19 +37,14 @@
   private readonly changed = new Map<string, PlanWrite>()
 
   /**
-   * @param keys - rows asked for
-   * @param rows - rows in the same order, `null` where there is none
+   * @param keys - rows read
+   * @param rows - rows in the same order, `null` for absent ones
    */
   constructor (private readonly keys: readonly PlanKey[], rows: readonly (PlanRow | null)[]) {
     keys.forEach((key, index) => this.found.set(nameOf(key), rows[index] ?? null))
   }
 
-  /**
-   * Value of a row with the changes made so far.
-   * @param schema - schema of the row
-   * @param table - table name
-   * @param key - row key
-   */
+  /** Value of a row including the changes made so far. */
   get<T> (schema: z.ZodType<T>, table: string, key: string): T | undefined {
     const name = nameOf({ table, key })
     const write = this.changed.get(name)
@@ -57,31 +52,22 @@
     return value === undefined || value === null ? undefined : schema.parse(value)
   }
 
-  /**
-   * Version of a row as read.
-   * @param table - table name
-   * @param key - row key
-   */
+  /** Version of a row as read; `null` if absent. */
   version (table: string, key: string): number | null {
     return this.found.get(nameOf({ table, key }))?.version ?? null
   }
 
-  /**
-   * Changes a row.
-   * @param table - table name
-   * @param key - row key
-   * @param value - new value
-   */
+  /** Changes a row. */
   set (table: string, key: string, value: unknown): void {
     this.changed.set(nameOf({ table, key }), { table, key, value })
   }
 
-  /** Checks on every row that was read. */
+  /** Version checks on all rows read. */
   checks (): readonly PlanCheck[] {
     return this.keys.map(key => ({ ...key, version: this.version(key.table, key.key) }))
   }
 
-  /** Writes of every row that was changed. */
+  /** Writes of all changed rows. */
   writes (): readonly PlanWrite[] {
     return [...this.changed.values()]
   }
