--- a/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
+++ b/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
@@ -8,7 +8,7 @@
 
 const TICK_MS = 200
 /** Maximum delay until a top-up is noticed. */
-const LOOK_AGAIN_MS = 1_000
+const TOP_UP_NOTICE_MS = 1_000
 const sentAt = { mono: 0, wall: 0 }
 
 const cases: ReadonlyArray<{ title: string, first: DrawOutcome, code: string }> = [
@@ -31,7 +31,7 @@
         if (action.kind === 'admit') results.push('admit')
         if (action.kind === 'refuse') results.push(action.failure.code)
         if (action.kind === 'draw') send({ kind: 'drawAnswered', drawId: action.drawId, outcome })
-        if (action.kind === 'askGive') send({ kind: 'giveAnswered', transferId: action.transferId })
+        if (action.kind === 'requestTransfer') send({ kind: 'transferAnswered', transferId: action.transferId })
         if (action.kind === 'recall') send({ kind: 'recallAnswered', recallId: action.recallId, returned: 0 })
       }
       const reserve = (id: string): void => send({ kind: 'reserve', reservationId: id, budget: 'b', tokens: 100, giveUpAfterMs: 3000 })
@@ -45,7 +45,7 @@
       reserve('r2')
       expect(results).to.deep.equal([code, code])
       outcome = { kind: 'granted', tokens: 10_000, left: 0, sentAt }
-      pass(LOOK_AGAIN_MS)
+      pass(TOP_UP_NOTICE_MS)
       reserve('r3')
       expect(results).to.deep.equal([code, code, 'admit'])
     })
--- a/packages/decisions/src/budget/budgetEntry.ts
+++ b/packages/decisions/src/budget/budgetEntry.ts
@@ -3,20 +3,20 @@
  * for tokens.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
-import { BudgetAim } from './budgetAim.js'
+import { DesiredAllotment } from './desiredAllotment.js'
 import { usableMs, type BudgetPolicy } from './budgetPolicy.js'
-import type { OpenDraw, ReservedTokens, Round, Shortage, WaitingRequest } from './budgetEntryTypes.js'
+import type { OpenDraw, ReservedTokens, AcquisitionRound, Shortage, WaitingRequest } from './budgetEntryTypes.js'
 import type { BudgetView, Transfer } from './budgetTypes.js'
-import { GiftPurse } from './giftPurse.js'
-import { NeedsOfOthers } from './needsOfOthers.js'
+import { GrantPool } from './grantPool.js'
+import { PeerDemand } from './peerDemand.js'
 import { ReceivedTransfers } from './receivedTransfers.js'
 import { allowanceOf, ReportBounds, type ReportAllowance } from './reportBound.js'
 
 /** Fraction of the fair share below which a holder refills without local demand. */
-const LEAST_OF_EVEN = 0.5
+const MIN_FAIR_SHARE_RATIO = 0.5
 
 /** Report age, in flush intervals, that shows an unresponsive table: without bills a report is written every three. */
-const SILENT_FLUSHES = 5
+const UNRESPONSIVE_FLUSHES = 5
 
 /** One budget at one holder. Amounts in tokens, plain times in monotonic milliseconds. */
 export class BudgetEntry {
@@ -34,17 +34,17 @@
   inDoubt = 0
   /** Free tokens after the last draw, transfer or return; base of the low-water mark. */
   level = 0
-  lastAskedAt = 0
+  lastRequestedAt = 0
   /** Whether the allotment is refilled ahead of need; false while draining or idle. */
-  isWanted = true
+  isRefilled = true
   /** Start of the lease: when the last successful table write was sent. */
-  touchedAt: Instant | undefined
+  leaseStartedAt: Instant | undefined
   /** When a renewal was last queued. */
-  renewedAt: Instant | undefined
+  renewalQueuedAt: Instant | undefined
   /** Whether the allotment was closed and the next draw must reopen it. */
   reopen = false
   draw: OpenDraw | undefined
-  round: Round | undefined
+  round: AcquisitionRound | undefined
   shortage: Shortage | undefined
   /** When `shortage` was recorded. */
   shortageAt = 0
@@ -56,55 +56,55 @@
   roundPauseMs = 0
   waiting: WaitingRequest[] = []
   /** Tokens granted by other holders; not part of the allotment. */
-  readonly purse = new GiftPurse()
+  readonly grantedBalance = new GrantPool()
   /** Id of the open grant request. */
-  giftAsk: string | undefined
-  nextGiftAt = 0
+  grantRequestId: string | undefined
+  nextGrantRequestAt = 0
   /** When other holders last granted less than waiting requests need. */
-  giftShortAt = -Infinity
+  grantsShortAt = -Infinity
   /** When a grant request last got no answer from any peer. */
-  othersSilentAt = -Infinity
-  private readonly needs = new NeedsOfOthers()
-  readonly aim: BudgetAim
+  peersUnresponsiveAt = -Infinity
+  private readonly peerDemand = new PeerDemand()
+  readonly desired: DesiredAllotment
   /** Bounds on unreported use. */
   readonly bounds = new ReportBounds()
   private readonly received = new ReceivedTransfers()
 
-  /** @param isOwnedNow - whether this holder owns the budget */
-  constructor (readonly budget: string, private readonly policy: BudgetPolicy, private readonly isOwnedNow: () => boolean = () => true) {
-    this.aim = new BudgetAim(policy, isOwnedNow)
+  /** @param checkOwned - whether this holder owns the budget */
+  constructor (readonly budget: string, private readonly policy: BudgetPolicy, private readonly checkOwned: () => boolean = () => true) {
+    this.desired = new DesiredAllotment(policy, checkOwned)
   }
 
   /** Whether this holder owns the budget. */
   get isOwned (): boolean {
-    return this.isOwnedNow()
+    return this.checkOwned()
   }
 
   /** Whether tokens are drawn ahead of need: this holder owns the budget or has high demand for it. */
-  isSupplied (mono: number): boolean {
-    return this.isOwned || this.aim.isBusy(mono)
+  drawsAhead (mono: number): boolean {
+    return this.isOwned || this.desired.isBusy(mono)
   }
 
   /** Records that requests for this budget arrived, or may arrive at any time. */
-  noteAsked (mono: number): void {
-    this.lastAskedAt = mono
-    this.isWanted = true
+  recordRequest (mono: number): void {
+    this.lastRequestedAt = mono
+    this.isRefilled = true
   }
 
   /**
    * Counts a grant request as demand, because a holder that does not own the budget draws nothing for it.
    * @param tokens - tokens requested
-   * @param given - tokens granted
+   * @param granted - tokens granted
    */
-  noteNeedOfOther (tokens: number, given: number, mono: number): void {
-    this.noteAsked(mono)
-    this.aim.largest = Math.max(this.aim.largest, tokens)
-    this.needs.note(tokens, given, mono)
-    this.aim.rate.add(tokens, mono)
+  recordPeerDemand (tokens: number, granted: number, mono: number): void {
+    this.recordRequest(mono)
+    this.desired.largest = Math.max(this.desired.largest, tokens)
+    this.peerDemand.record(tokens, granted, mono)
+    this.desired.rate.add(tokens, mono)
   }
 
   /** Clears the shortage and all pauses, so that the table is queried again immediately. */
-  forgetShortage (): void {
+  clearShortage (): void {
     this.shortage = undefined
     this.nextDrawAt = 0
     this.drawPauseMs = 0
@@ -118,7 +118,7 @@
   }
 
   /** Free tokens recorded for this holder in the table; only they may be transferred. */
-  get giveable (): number {
+  get transferable (): number {
     return Math.max(0, this.free - this.received.tokens)
   }
 
@@ -128,20 +128,20 @@
   }
 
   /** Tokens needed by waiting requests beyond the free ones. */
-  get need (): number {
+  get deficit (): number {
     return Math.max(0, this.waitingTokens - Math.max(0, this.free))
   }
 
   /** Milliseconds for which tokens of the allotment may still be reserved. */
   leaseLeftMs (now: Instant): number {
-    if (this.touchedAt === undefined) return 0
-    return usableMs(this.policy) - elapsedMs(this.touchedAt, now)
+    if (this.leaseStartedAt === undefined) return 0
+    return usableMs(this.policy) - elapsedMs(this.leaseStartedAt, now)
   }
 
   /** Whether tokens may be reserved now: neither the local allotment nor a received transfer has expired. */
   isUsable (now: Instant): boolean {
-    if (this.received.hasLapsed(now)) return false
-    if (this.touchedAt === undefined) return !this.received.isEmpty && !this.reopen
+    if (this.received.hasExpired(now)) return false
+    if (this.leaseStartedAt === undefined) return !this.received.isEmpty && !this.reopen
     return this.leaseLeftMs(now) > 0
   }
 
@@ -149,15 +149,15 @@
    * Whether a transfer may be requested: not while the local allotment row may be closed, because a transfer
    * to a closed row cannot be recorded.
    */
-  mayAsk (now: Instant): boolean {
+  mayRequestTransfer (now: Instant): boolean {
     if (this.reopen) return false
-    if (this.touchedAt !== undefined) return this.leaseLeftMs(now) > 0
+    if (this.leaseStartedAt !== undefined) return this.leaseLeftMs(now) > 0
     return this.draw === undefined || elapsedMs(this.draw.since, now) < usableMs(this.policy)
   }
 
   /** Whether demand does not exceed the fair share, so that a draw asks only for that. */
-  isForEvenPart (now: Instant): boolean {
-    return this.waiting.length === 0 && this.aim.isEvenPart(now.mono)
+  isFairShareOnly (now: Instant): boolean {
+    return this.waiting.length === 0 && this.desired.isWithinFairShare(now.mono)
   }
 
   /** Allowance of a report made now. */
@@ -165,35 +165,35 @@
     return allowanceOf({
       inUse: this.reserved + this.unsettled + this.waitingTokens,
       held: this.held,
-      largest: this.needs.largest,
-      most: this.needs.largest > 0 ? this.aim.mostAtOnce : Infinity,
-      unmet: this.needs.unmetTokens(now.mono)
+      largestPeerRequest: this.peerDemand.largestRequest,
+      maxUnreported: this.peerDemand.largestRequest > 0 ? this.desired.maxUnreported : Infinity,
+      unmetPeerTokens: this.peerDemand.unmetTokens(now.mono)
     })
   }
 
   /** Free tokens that may be reserved now under the last report. */
   usable (now: Instant): number {
     if (!this.policy.boundsUse) return this.free
-    return Math.min(this.free, this.bounds.room(this.reserved + this.unsettled, this.flushing, now))
+    return Math.min(this.free, this.bounds.capacity(this.reserved + this.unsettled, this.flushing, now))
   }
 
   /** Reserves from granted tokens first, then from the allotment; undefined if both are insufficient. */
   reserve (tokens: number, now: Instant): ReservedTokens | undefined {
-    const own = Math.max(0, tokens - this.purse.free)
-    if (own > 0 && (!this.isUsable(now) || own > this.usable(now))) return undefined
-    this.reserved += own
-    return { own, given: this.purse.take(tokens) }
+    const allotted = Math.max(0, tokens - this.grantedBalance.free)
+    if (allotted > 0 && (!this.isUsable(now) || allotted > this.usable(now))) return undefined
+    this.reserved += allotted
+    return { fromAllotment: allotted, fromGrants: this.grantedBalance.withdraw(tokens) }
   }
 
   /** Milliseconds until the last report allows to reserve `tokens`; undefined if too few are free. */
   untilUsableMs (tokens: number, now: Instant): number | undefined {
     if (!this.policy.boundsUse || tokens > this.free) return undefined
-    return this.bounds.untilRoomMs(tokens, this.reserved + this.unsettled, this.flushing, now)
+    return this.bounds.untilCapacityMs(tokens, this.reserved + this.unsettled, this.flushing, now)
   }
 
   /** Level from which the low-water mark is computed: free tokens after the last draw, or a fraction of the fair share. */
-  enough (now: Instant): number {
-    return Math.min(this.aim.tokens(now.mono), Math.max(this.level, this.aim.evenPart * LEAST_OF_EVEN))
+  refillBase (now: Instant): number {
+    return Math.min(this.desired.tokens(now.mono), Math.max(this.level, this.desired.fairShare * MIN_FAIR_SHARE_RATIO))
   }
 
   /**
@@ -207,24 +207,24 @@
   }
 
   /** Marks a received transfer as recorded in the table. */
-  recorded (transferId: string): void {
+  markRecorded (transferId: string): void {
     this.received.remove(transferId)
   }
 
   /** Revokes a received transfer that can no longer be recorded. */
-  loseTransfer (transferId: string): void {
+  revokeTransfer (transferId: string): void {
     this.held -= this.received.remove(transferId)
   }
 
   /** Whether the table cannot serve a waiting request: it has too few tokens, or did not answer recently. */
-  isOutOfTouch (now: Instant): boolean {
-    return this.shortage?.kind === 'short' || this.shortage?.kind === 'unavailable' || this.bounds.ageMs(now) > this.policy.flushMs * SILENT_FLUSHES
+  isDrawFutile (now: Instant): boolean {
+    return this.shortage?.kind === 'short' || this.shortage?.kind === 'unavailable' || this.bounds.ageMs(now) > this.policy.flushMs * UNRESPONSIVE_FLUSHES
   }
 
   /** Whether nothing is allotted, owed or awaited, so that the entry can be removed. */
   get isEmpty (): boolean {
     return this.held === 0 && this.reserved === 0 && this.unsettled === 0 && this.waiting.length === 0 &&
-      this.draw === undefined && this.round === undefined && this.received.isEmpty && this.purse.free === 0 && this.giftAsk === undefined
+      this.draw === undefined && this.round === undefined && this.received.isEmpty && this.grantedBalance.free === 0 && this.grantRequestId === undefined
   }
 
   /** Drops all tokens after the allotment was closed. */
@@ -236,7 +236,7 @@
     this.flushing = 0
     this.returning = 0
     this.level = 0
-    this.touchedAt = undefined
+    this.leaseStartedAt = undefined
     this.reopen = true
     this.received.clear()
   }
--- a/packages/decisions/src/budget/budgetEntryTypes.ts
+++ b/packages/decisions/src/budget/budgetEntryTypes.ts
@@ -14,9 +14,9 @@
 
 /** Tokens of a reservation by source. */
 export interface ReservedTokens {
-  readonly own: number
+  readonly fromAllotment: number
   /** Tokens granted by other holders. */
-  readonly given: number
+  readonly fromGrants: number
 }
 
 /** Why the last draw failed. */
@@ -28,7 +28,7 @@
 export type RoundStage = 'draw' | 'give' | 'recall' | 'redraw'
 
 /** Current step of a round; `operationId` is set once its action was emitted. */
-export interface Round {
+export interface AcquisitionRound {
   readonly stage: RoundStage
   readonly operationId?: string
 }
--- a/packages/decisions/src/budget/budgetEvenPart.spec.ts
+++ b/packages/decisions/src/budget/budgetFairShare.spec.ts
@@ -14,7 +14,7 @@
 
 const PAID = 600_000
 const policy: BudgetPolicy = {
-  ...defaultBudgetPolicy, evenPart: 1, shareDivisor: 1, boundsUse: true, demandFrom: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, patienceMs: 30, emptyPauseMs: 2_000
+  ...defaultBudgetPolicy, evenPart: 1, shareDivisor: 1, boundsUse: true, demandFrom: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, patienceMs: 30, emptyDrawPauseMs: 2_000
 }
 
 class Holder {
@@ -52,32 +52,32 @@
   }
 
   /** Sends a flush that stays unanswered. */
-  lostFlush (): void {
+  sendLostFlush (): void {
     const flush = this.pass(700).find(action => action.kind === 'flush')
     this.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
   }
 }
 
-interface PartCase {
+interface FairShareCase {
   readonly name: string
   readonly row: Partial<BudgetRow>
   readonly held: number
-  readonly order: { readonly tokens: number, readonly atLeast: number, readonly isForEvenPart?: boolean }
+  readonly order: { readonly tokens: number, readonly atLeast: number, readonly isFairShareOnly?: boolean }
   readonly granted: number | undefined
 }
 
-const parts: readonly PartCase[] = [
-  { name: 'the first holder gets its fair share', row: {}, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
-  { name: 'the last holder gets its fair share', row: { allotted: 500_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 100_000 },
-  { name: 'spent tokens are not shared', row: { spent: 300_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 50_000 },
-  { name: 'allotted tokens count towards the fair share', row: { allotted: 60_000 }, held: 60_000, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: 40_000 },
+const fairShares: readonly FairShareCase[] = [
+  { name: 'the first holder gets its fair share', row: {}, held: 0, order: { tokens: 1e12, atLeast: 0, isFairShareOnly: true }, granted: 100_000 },
+  { name: 'the last holder gets its fair share', row: { allotted: 500_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isFairShareOnly: true }, granted: 100_000 },
+  { name: 'spent tokens are not shared', row: { spent: 300_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isFairShareOnly: true }, granted: 50_000 },
+  { name: 'allotted tokens count towards the fair share', row: { allotted: 60_000 }, held: 60_000, order: { tokens: 1e12, atLeast: 0, isFairShareOnly: true }, granted: 40_000 },
   { name: 'tokens needed now take precedence over fair shares', row: { allotted: 200_000 }, held: 200_000, order: { tokens: 300_000, atLeast: 300_000 }, granted: 300_000 },
   { name: 'demand takes precedence over fair shares', row: { allotted: 300_000 }, held: 0, order: { tokens: 150_000, atLeast: 0 }, granted: 100_000 },
-  { name: 'a small remainder is not worth a write', row: { allotted: 599_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isForEvenPart: true }, granted: undefined }
+  { name: 'a small remainder is not worth a write', row: { allotted: 599_000 }, held: 0, order: { tokens: 1e12, atLeast: 0, isFairShareOnly: true }, granted: undefined }
 ]
 
 describe('fair shares', () => {
-  for (const { name, row, held, order, granted } of parts) {
+  for (const { name, row, held, order, granted } of fairShares) {
     it(name, () => {
       const keys = drawKeys('vm1~a', 'b')
       const budget = { budget: 'b', paid: PAID, spent: 0, allotted: 0, ...row }
@@ -114,7 +114,7 @@
   })
 
   it('are returned in small flushes, because all holders write the budget rows', () => {
-    const queue = new FlushQueue({ ...policy, returnsAtOnce: 3 })
+    const queue = new FlushQueue({ ...policy, maxReturnsPerFlush: 3 })
     for (let i = 0; i < 5; i += 1) queue.addReturn({ budget: `b${i}`, tokens: 10 }, 0)
     queue.addReturn({ budget: 'renewed', tokens: 0 }, 0)
     const first = queue.next(0)
@@ -130,16 +130,16 @@
   })
 
   /** The last report allows 10,000 tokens, and 20 more per millisecond from 1.5 s on. */
-  const waits: ReadonlyArray<{ readonly name: string, readonly askedAfter: number, readonly passed: number, readonly answer: string | undefined, readonly retryAfterMs?: number }> = [
-    { name: 'refused in time, with the wait until its use is allowed', askedAfter: 1_000, passed: 110, answer: 'budgetUnreported', retryAfterMs: 395 },
-    { name: 'refused in time, with a shorter wait if that is long', askedAfter: 0, passed: 110, answer: 'budgetUnreported', retryAfterMs: 500 },
-    { name: 'kept waiting if its use is allowed soon', askedAfter: 1_440, passed: 40, answer: undefined },
-    { name: 'admitted once its use is allowed', askedAfter: 1_440, passed: 100, answer: 'admit' }
+  const waits: ReadonlyArray<{ readonly name: string, readonly requestedAfterMs: number, readonly passedMs: number, readonly answer: string | undefined, readonly retryAfterMs?: number }> = [
+    { name: 'refused in time, with the wait until its use is allowed', requestedAfterMs: 1_000, passedMs: 110, answer: 'budgetUnreported', retryAfterMs: 395 },
+    { name: 'refused in time, with a shorter wait if that is long', requestedAfterMs: 0, passedMs: 110, answer: 'budgetUnreported', retryAfterMs: 500 },
+    { name: 'kept waiting if its use is allowed soon', requestedAfterMs: 1_440, passedMs: 40, answer: undefined },
+    { name: 'admitted once its use is allowed', requestedAfterMs: 1_440, passedMs: 100, answer: 'admit' }
   ]
-  for (const { name, askedAfter, passed, answer, retryAfterMs } of waits) {
+  for (const { name, requestedAfterMs: askedAfter, passedMs: passed, answer, retryAfterMs } of waits) {
     it(`without the table, a request for more than the report allows is ${name}`, () => {
       const holder = new Holder().prepared(100_000)
-      holder.lostFlush()
+      holder.sendLostFlush()
       holder.pass(askedAfter)
       holder.reserve('r1', 10_100)
       const actions = holder.pass(passed).filter(action => action.kind === 'refuse' || action.kind === 'admit')
--- a/packages/decisions/src/budget/budgetKeys.ts
+++ b/packages/decisions/src/budget/budgetKeys.ts
@@ -38,7 +38,7 @@
  * Whether a row is an allotment of a holder. Only the holder itself writes it while it runs.
  * @param row - table and key
  */
-export function isOwnAllotment ({ table, key }: { readonly table: string, readonly key: string }, holder: HolderId): boolean {
+export function isAllotmentOf ({ table, key }: { readonly table: string, readonly key: string }, holder: HolderId): boolean {
   return table === budgetTables.allotments && key.endsWith(`/${holder}`)
 }
 
--- a/packages/decisions/src/budget/budgetLedger.spec.ts
+++ b/packages/decisions/src/budget/budgetLedger.spec.ts
@@ -9,7 +9,7 @@
 const policy = { ...defaultBudgetPolicy, flushMs: 100 }
 
 /** A ledger with its clocks. */
-class Bench {
+class Harness {
   readonly ledger: BudgetLedger
   mono = 0
   wall = 0
@@ -52,9 +52,9 @@
 
 describe('budget ledger', () => {
   it('admits from its allotment without a query', () => {
-    const bench = new Bench()
-    expect(kinds(bench.grant(bench.reserve('r1', 100), 10_000))).to.deep.equal(['admit'])
-    expect(kinds(bench.reserve('r2', 100))).to.deep.equal(['admit'])
+    const harness = new Harness()
+    expect(kinds(harness.grant(harness.reserve('r1', 100), 10_000))).to.deep.equal(['admit'])
+    expect(kinds(harness.reserve('r2', 100))).to.deep.equal(['admit'])
   })
 
   const refusals: ReadonlyArray<{ title: string, outcome: DrawOutcome, code: string }> = [
@@ -63,24 +63,24 @@
   ]
   for (const { title, outcome, code } of refusals) {
     it(`refuses immediately if ${title}`, () => {
-      const bench = new Bench()
-      expect(kinds(bench.answer(bench.reserve('r1', 100), outcome))).to.include(code)
+      const harness = new Harness()
+      expect(kinds(harness.answer(harness.reserve('r1', 100), outcome))).to.include(code)
     })
   }
 
   it('requests a transfer in the domain, recalls from all domains and draws again before it refuses', () => {
-    const bench = new Bench()
+    const harness = new Harness()
     const short: DrawOutcome = { kind: 'short', left: 0, elsewhere: 500, sentAt: { mono: 0, wall: 0 } }
-    const asked = bench.answer(bench.reserve('r1', 100), short)
-    expect(kinds(asked)).to.deep.equal(['askGive'])
-    const give = asked.find(action => action.kind === 'askGive')
-    const recalled = bench.send({ kind: 'giveAnswered', transferId: give?.transferId ?? '' })
+    const requested = harness.answer(harness.reserve('r1', 100), short)
+    expect(kinds(requested)).to.deep.equal(['requestTransfer'])
+    const give = requested.find(action => action.kind === 'requestTransfer')
+    const recalled = harness.send({ kind: 'transferAnswered', transferId: give?.transferId ?? '' })
     expect(kinds(recalled)).to.deep.equal(['recall'])
     const recall = recalled.find(action => action.kind === 'recall')
-    const redraw = bench.send({ kind: 'recallAnswered', recallId: recall?.recallId ?? '', returned: 0, unreachable: 500 })
+    const redraw = harness.send({ kind: 'recallAnswered', recallId: recall?.recallId ?? '', returned: 0, unreachable: 500 })
     expect(kinds(redraw)).to.deep.equal(['draw'])
-    bench.answer(redraw, short)
-    expect(kinds(bench.pass(1000))).to.include('budgetElsewhere')
+    harness.answer(redraw, short)
+    expect(kinds(harness.pass(1000))).to.include('budgetElsewhere')
   })
 
   const pauses: ReadonlyArray<{ title: string, mono: number, wall: number, admits: boolean }> = [
@@ -91,133 +91,133 @@
   ]
   for (const { title, mono, wall, admits } of pauses) {
     it(`${admits ? 'admits' : 'does not admit'} ${title}`, () => {
-      const bench = new Bench()
-      bench.grant(bench.reserve('r1', 100), 100_000)
-      bench.mono += mono
-      bench.wall += wall
-      expect(kinds(bench.reserve('r2', 100)).includes('admit')).to.equal(admits)
-      expect(bench.ledger.isValid('r1', { mono: bench.mono, wall: bench.wall })).to.equal(admits)
+      const harness = new Harness()
+      harness.grant(harness.reserve('r1', 100), 100_000)
+      harness.mono += mono
+      harness.wall += wall
+      expect(kinds(harness.reserve('r2', 100)).includes('admit')).to.equal(admits)
+      expect(harness.ledger.isValid('r1', { mono: harness.mono, wall: harness.wall })).to.equal(admits)
     })
   }
 
   it('retries a flush unchanged until its outcome is known, and sends later bills in the next one', () => {
-    const bench = new Bench()
-    bench.grant(bench.reserve('r1', 100), 1000)
-    bench.reserve('r2', 100)
-    bench.settle('r1', 50)
-    const first = bench.pass(100).find(action => action.kind === 'flush')
-    bench.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'unavailable' } })
-    bench.settle('r2', 60)
-    const again = bench.pass(policy.retryMs).find(action => action.kind === 'flush')
+    const harness = new Harness()
+    harness.grant(harness.reserve('r1', 100), 1000)
+    harness.reserve('r2', 100)
+    harness.settle('r1', 50)
+    const first = harness.pass(100).find(action => action.kind === 'flush')
+    harness.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'unavailable' } })
+    harness.settle('r2', 60)
+    const again = harness.pass(policy.retryMs).find(action => action.kind === 'flush')
     expect(again).to.deep.equal(first)
-    bench.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'durable', sentAt: { mono: 0, wall: 0 } } })
-    const next = bench.pass(100).find(action => action.kind === 'flush')
+    harness.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'durable', sentAt: { mono: 0, wall: 0 } } })
+    const next = harness.pass(100).find(action => action.kind === 'flush')
     expect(next).to.deep.include({ seq: 2, bills: [{ requestId: 'r2', budget: 'b', team: 't', tokens: 60, runner: 'r' }] })
   })
 
   it('transfers tokens once for each id, and only those recorded for it in the table', () => {
-    const bench = new Bench()
-    bench.grant(bench.reserve('r1', 100), 1000)
-    const ask: BudgetEvent = { kind: 'giveAsked', transferId: 't1', budget: 'b', to: 'vm2~a', wanted: 300, atLeast: 300, sameDomain: true }
-    expect(bench.send(ask)).to.deep.equal(bench.send(ask))
-    expect(bench.ledger.view('b')).to.include({ held: 700 })
-    bench.send({ kind: 'giveAnswered', transferId: 't2', askedAt: { mono: 0, wall: 0 }, transfer: { transferId: 't2', budget: 'b', from: 'vm3~a', to: 'vm1~a', tokens: 500, validForMs: 1e6 } })
-    const [given] = bench.send({ ...ask, transferId: 't3', wanted: 5000, atLeast: 5000 })
+    const harness = new Harness()
+    harness.grant(harness.reserve('r1', 100), 1000)
+    const request: BudgetEvent = { kind: 'transferRequested', transferId: 't1', budget: 'b', to: 'vm2~a', wanted: 300, atLeast: 300, sameDomain: true }
+    expect(harness.send(request)).to.deep.equal(harness.send(request))
+    expect(harness.ledger.view('b')).to.include({ held: 700 })
+    harness.send({ kind: 'transferAnswered', transferId: 't2', askedAt: { mono: 0, wall: 0 }, transfer: { transferId: 't2', budget: 'b', from: 'vm3~a', to: 'vm1~a', tokens: 500, validForMs: 1e6 } })
+    const [given] = harness.send({ ...request, transferId: 't3', wanted: 5000, atLeast: 5000 })
     expect(given).to.nested.include({ 'transfer.tokens': 600 })
   })
 
   it('stops spending a closed allotment and reports the tokens in doubt', () => {
-    const bench = new Bench()
-    bench.grant(bench.reserve('r1', 100), 1000)
-    bench.reserve('r2', 70)
-    bench.settle('r1', 50)
-    bench.pass(100)
-    const actions = bench.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'closed', budgets: ['b'] } })
+    const harness = new Harness()
+    harness.grant(harness.reserve('r1', 100), 1000)
+    harness.reserve('r2', 70)
+    harness.settle('r1', 50)
+    harness.pass(100)
+    const actions = harness.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'closed', budgets: ['b'] } })
     expect(actions[0]).to.deep.equal({ kind: 'closed', budget: 'b', inDoubt: 120 })
-    expect(bench.ledger.view('b')).to.include({ held: 0, reserved: 0, unsettled: 0 })
-    expect(bench.settle('r2', 10)).to.deep.equal([])
+    expect(harness.ledger.view('b')).to.include({ held: 0, reserved: 0, unsettled: 0 })
+    expect(harness.settle('r2', 10)).to.deep.equal([])
   })
 
   it('refuses requests and returns all free tokens while draining', () => {
-    const bench = new Bench()
-    bench.grant(bench.reserve('r1', 100), 1000)
-    const flush = bench.send({ kind: 'drain' }).find(action => action.kind === 'flush')
+    const harness = new Harness()
+    harness.grant(harness.reserve('r1', 100), 1000)
+    const flush = harness.send({ kind: 'drain' }).find(action => action.kind === 'flush')
     expect(flush?.returns).to.deep.equal([{ budget: 'b', tokens: 900 }])
-    expect(kinds(bench.reserve('r2', 1))).to.deep.equal(['draining'])
+    expect(kinds(harness.reserve('r2', 1))).to.deep.equal(['draining'])
   })
 
   it('renews an idle allotment well before it expires', () => {
-    const bench = new Bench()
-    bench.settle('r1', 0)
-    bench.grant(bench.reserve('r1', 100), 1000)
-    bench.send({ kind: 'settle', reservationId: 'r1' })
-    expect(kinds(bench.pass(policy.lapseMs / 4 + 1))).to.include('flush')
+    const harness = new Harness()
+    harness.settle('r1', 0)
+    harness.grant(harness.reserve('r1', 100), 1000)
+    harness.send({ kind: 'settle', reservationId: 'r1' })
+    expect(kinds(harness.pass(policy.allotmentExpiryMs / 4 + 1))).to.include('flush')
   })
 
   describe('with bounds on unreported use', () => {
     const bounded = { ...policy, boundsUse: true, demandFrom: 'reservations' as const, flushMs: 60_000 }
     const LARGEST = 2_000
 
-    function boundedBench (): Bench {
-      const bench = new Bench(bounded)
-      bench.grant(bench.reserve('r0', LARGEST), 1_000_000)
-      return bench
+    function boundedHarness (): Harness {
+      const harness = new Harness(bounded)
+      harness.grant(harness.reserve('r0', LARGEST), 1_000_000)
+      return harness
     }
 
     /** Reserves until a request has to wait; returns the number of admitted requests and the last actions. */
-    function fill (bench: Bench): { readonly admitted: number, readonly last: readonly BudgetAction[] } {
+    function fill (harness: Harness): { readonly admitted: number, readonly last: readonly BudgetAction[] } {
       for (let admitted = 0; ; admitted += 1) {
-        const last = bench.send({ kind: 'reserve', reservationId: `f${admitted}`, budget: 'b', tokens: LARGEST, giveUpAfterMs: 10_000 })
+        const last = harness.send({ kind: 'reserve', reservationId: `f${admitted}`, budget: 'b', tokens: LARGEST, giveUpAfterMs: 10_000 })
         if (!kinds(last).includes('admit')) return { admitted, last }
       }
     }
 
     it('admits as much as the first report allows, then reports again before it admits more', () => {
-      const bench = boundedBench()
-      const { admitted, last } = fill(bench)
+      const harness = boundedHarness()
+      const { admitted, last } = fill(harness)
       expect(admitted).to.be.greaterThan(1).and.below(100)
       const flush = last.find(action => action.kind === 'flush')
       expect(flush?.reports?.[0]?.tokens).to.be.greaterThan((admitted + 2) * LARGEST)
-      const after = bench.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'durable', sentAt: { mono: 0, wall: 0 } } })
+      const after = harness.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'durable', sentAt: { mono: 0, wall: 0 } } })
       expect(kinds(after)).to.include('admit')
     })
 
     it('admits no more while the outcome of the report is unknown', () => {
-      const bench = boundedBench()
-      const flush = fill(bench).last.find(action => action.kind === 'flush')
-      const after = bench.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
+      const harness = boundedHarness()
+      const flush = fill(harness).last.find(action => action.kind === 'flush')
+      const after = harness.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
       expect(kinds(after)).not.to.include('admit')
     })
 
     it('admits more with time while no report can be written', () => {
-      const bench = boundedBench()
-      const flush = fill(bench).last.find(action => action.kind === 'flush')
-      bench.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
-      expect([kinds(bench.pass(900)).includes('admit'), kinds(bench.pass(1_200)).includes('admit')]).to.deep.equal([false, true])
+      const harness = boundedHarness()
+      const flush = fill(harness).last.find(action => action.kind === 'flush')
+      harness.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'unavailable' } })
+      expect([kinds(harness.pass(900)).includes('admit'), kinds(harness.pass(1_200)).includes('admit')]).to.deep.equal([false, true])
     })
 
     it('sends the same report with each retry of a flush', () => {
-      const bench = boundedBench()
-      const first = fill(bench).last.find(action => action.kind === 'flush')
-      bench.send({ kind: 'flushAnswered', seq: first?.seq ?? 0, outcome: { kind: 'unavailable' } })
-      const again = bench.pass(policy.retryMs).find(action => action.kind === 'flush')
+      const harness = boundedHarness()
+      const first = fill(harness).last.find(action => action.kind === 'flush')
+      harness.send({ kind: 'flushAnswered', seq: first?.seq ?? 0, outcome: { kind: 'unavailable' } })
+      const again = harness.pass(policy.retryMs).find(action => action.kind === 'flush')
       expect(again).to.deep.equal(first)
     })
   })
 
   it('queries the table again immediately when the paid amount changes', () => {
-    const bench = new Bench()
-    const asked = bench.answer(bench.reserve('r1', 100), { kind: 'short', left: 0, elsewhere: 0, sentAt: { mono: 0, wall: 0 } })
-    bench.send({ kind: 'giveAnswered', transferId: asked.find(action => action.kind === 'askGive')?.transferId ?? '' })
-    const before = bench.reserve('r2', 100)
-    bench.send({ kind: 'paidChanged', budget: 'b', isLowered: false })
-    expect([kinds(before), kinds(bench.reserve('r3', 100))]).to.deep.equal([['budgetSpent'], ['draw']])
+    const harness = new Harness()
+    const requested = harness.answer(harness.reserve('r1', 100), { kind: 'short', left: 0, elsewhere: 0, sentAt: { mono: 0, wall: 0 } })
+    harness.send({ kind: 'transferAnswered', transferId: requested.find(action => action.kind === 'requestTransfer')?.transferId ?? '' })
+    const before = harness.reserve('r2', 100)
+    harness.send({ kind: 'paidChanged', budget: 'b', isLowered: false })
+    expect([kinds(before), kinds(harness.reserve('r3', 100))]).to.deep.equal([['budgetSpent'], ['draw']])
   })
 
   it('returns its free tokens when the paid amount is lowered', () => {
-    const bench = new Bench()
-    bench.grant(bench.reserve('r1', 100), 1000)
-    const flush = bench.send({ kind: 'paidChanged', budget: 'b', isLowered: true }).find(action => action.kind === 'flush')
+    const harness = new Harness()
+    harness.grant(harness.reserve('r1', 100), 1000)
+    const flush = harness.send({ kind: 'paidChanged', budget: 'b', isLowered: true }).find(action => action.kind === 'flush')
     expect(flush?.returns).to.deep.equal([{ budget: 'b', tokens: 900 }])
   })
 })
--- a/packages/decisions/src/budget/budgetLedger.ts
+++ b/packages/decisions/src/budget/budgetLedger.ts
@@ -5,10 +5,10 @@
 import type { Instant } from '../clock/clockTypes.js'
 import { Failure } from '../codes/failure.js'
 import { BudgetEntry } from './budgetEntry.js'
-import { BudgetGifts } from './budgetGifts.js'
-import { BudgetGiving } from './budgetGiving.js'
+import { PeerGrants } from './peerGrants.js'
+import { BudgetTransfers } from './budgetTransfers.js'
 import { ownedByAll, type BudgetOwnership } from './budgetOwners.js'
-import { BudgetUpkeep } from './budgetUpkeep.js'
+import { BudgetMaintenance } from './budgetMaintenance.js'
 import { defaultBudgetPolicy, type BudgetPolicy } from './budgetPolicy.js'
 import { isAmount } from './budgetRows.js'
 import { BudgetSettlement } from './budgetSettlement.js'
@@ -30,25 +30,25 @@
   private readonly entries = new EntrySet()
   private readonly queue: FlushQueue
   private readonly supply: BudgetSupply
-  private readonly giving: BudgetGiving
-  private readonly gifts: BudgetGifts
-  private readonly upkeep: BudgetUpkeep
+  private readonly transfers: BudgetTransfers
+  private readonly grants: PeerGrants
+  private readonly maintenance: BudgetMaintenance
   private readonly settlement: BudgetSettlement
   private readonly steps: BudgetStep
   private draining = false
 
   constructor (private readonly holder: string, private readonly policy: BudgetPolicy = defaultBudgetPolicy, private readonly owners: BudgetOwnership = ownedByAll(() => 1)) {
     this.queue = new FlushQueue(policy)
-    this.giving = new BudgetGiving(holder, policy, this.queue)
-    this.upkeep = new BudgetUpkeep(policy, this.queue, this.entries.all)
+    this.transfers = new BudgetTransfers(holder, policy, this.queue)
+    this.maintenance = new BudgetMaintenance(policy, this.queue, this.entries.all)
     this.settlement = new BudgetSettlement(this.entries.all, this.queue, policy)
     this.supply = new BudgetSupply(holder, policy, this.settlement)
-    this.gifts = new BudgetGifts(holder, policy, this.queue)
-    this.steps = new BudgetStep({ entries: this.entries, supply: this.supply, upkeep: this.upkeep, gifts: this.gifts })
+    this.grants = new PeerGrants(holder, policy, this.queue)
+    this.steps = new BudgetStep({ entries: this.entries, supply: this.supply, maintenance: this.maintenance, grants: this.grants })
   }
 
   handle (event: BudgetEvent, now: Instant): readonly BudgetAction[] {
-    const actions = this.take(event, now)
+    const actions = this.dispatch(event, now)
     const flush = this.queue.next(now.mono)
     if (flush === undefined) return actions
     const reports = this.settlement.sent(flush, now)
@@ -66,14 +66,14 @@
 
   /** Whether all bills are durable and no tokens are allotted. */
   get isSettled (): boolean {
-    return this.queue.isEmpty && this.entries.holdNothing
+    return this.queue.isEmpty && this.entries.areEmpty
   }
 
   /** Whether a reservation may still be spent; checked again right before the run is dispatched. */
   isValid (reservationId: string, now: Instant): boolean {
     const reservation = this.settlement.find(reservationId)
     if (reservation === undefined) return false
-    return reservation.own === 0 || this.entries.all.get(reservation.budget)?.isUsable(now) === true
+    return reservation.fromAllotment === 0 || this.entries.all.get(reservation.budget)?.isUsable(now) === true
   }
 
   /** Whether a transfer from or to a holder may be unrecorded. */
@@ -81,7 +81,7 @@
     return this.queue.hasTransferWith(holder)
   }
 
-  private take (event: BudgetEvent, now: Instant): readonly BudgetAction[] {
+  private dispatch (event: BudgetEvent, now: Instant): readonly BudgetAction[] {
     switch (event.kind) {
       case 'reserve': return this.reserve(event, now)
       case 'settle': return this.settle(event, now)
@@ -91,14 +91,14 @@
       case 'holderJoined': return this.holderJoined(event, now)
       case 'drawAnswered': return this.drawAnswered(event, now)
       case 'flushAnswered': return this.flushAnswered(event, now)
-      case 'giveAsked': return this.giveAsked(event, now)
-      case 'giveAnswered': return this.giveAnswered(event, now)
-      case 'recallAsked': return this.recallAsked(event, now)
+      case 'transferRequested': return this.transferRequested(event, now)
+      case 'transferAnswered': return this.transferAnswered(event, now)
+      case 'recallRequested': return this.recallRequested(event, now)
       case 'recallAnswered': return this.recallAnswered(event, now)
-      case 'giftAsked': return this.giftAsked(event, now)
-      case 'giftAnswered': return this.giftAnswered(event, now)
-      case 'handedOver': return this.handedOver(event, now)
-      case 'fence': this.giving.fence(event.holder, now); return []
+      case 'grantRequested': return this.grantRequested(event, now)
+      case 'grantAnswered': return this.grantAnswered(event, now)
+      case 'handoverReceived': return this.handoverReceived(event, now)
+      case 'fence': this.transfers.fence(event.holder, now); return []
       case 'paidChanged': return this.paidChanged(event, now)
       case 'drain': return this.drain(now)
     }
@@ -110,8 +110,8 @@
     if (!isAmount(tokens) || tokens === 0) return refuse(new Failure('amountInvalid', `${tokens} tokens cannot be reserved`))
     if (this.draining) return refuse(new Failure('draining', 'this VM is draining', { retryAfterMs: 0 }))
     const entry = this.entryOf(budget)
-    entry.noteAsked(now.mono)
-    entry.aim.noteRequest(tokens, now.mono)
+    entry.recordRequest(now.mono)
+    entry.desired.recordRequest(tokens, now.mono)
     entry.waiting.push({ reservationId, tokens, since: now, giveUpAfterMs: event.giveUpAfterMs ?? DEFAULT_GIVE_UP_MS })
     return this.step(entry, now)
   }
@@ -120,7 +120,7 @@
   private prepare ({ budget }: EventOf<'prepare'>, now: Instant): readonly BudgetAction[] {
     if (this.draining || !this.owners.owns(this.holder, budget)) return []
     const entry = this.entryOf(budget)
-    entry.noteAsked(now.mono)
+    entry.recordRequest(now.mono)
     return this.step(entry, now)
   }
 
@@ -128,7 +128,7 @@
     if (this.policy.evenPart === 0 || this.draining) return []
     const { count } = this.owners
     for (const entry of this.entries.all.values()) {
-      if (this.owners.owns(holder, entry.budget)) this.upkeep.returnFree(entry, Math.ceil(entry.free * (count - 1) / count), now)
+      if (this.owners.owns(holder, entry.budget)) this.maintenance.returnFree(entry, Math.ceil(entry.free * (count - 1) / count), now)
     }
     return []
   }
@@ -139,44 +139,44 @@
   }
 
   private withdraw (event: EventOf<'withdraw'>, now: Instant): readonly BudgetAction[] {
-    for (const entry of this.entries.watched) {
+    for (const entry of this.entries.pending) {
       entry.waiting = entry.waiting.filter(item => item.reservationId !== event.reservationId)
     }
     return this.settle({ kind: 'settle', reservationId: event.reservationId }, now)
   }
 
   private tick (now: Instant): readonly BudgetAction[] {
-    const actions = [...this.entries.watched].flatMap(entry => this.step(entry, now))
-    for (const entry of this.upkeep.visit(now, this.draining)) this.entries.watch(entry)
+    const actions = [...this.entries.pending].flatMap(entry => this.step(entry, now))
+    for (const entry of this.maintenance.visit(now, this.draining)) this.entries.setPending(entry)
     return actions
   }
 
   private drawAnswered (event: EventOf<'drawAnswered'>, now: Instant): readonly BudgetAction[] {
-    const entry = this.entries.withDraw(event.drawId)
+    const entry = this.entries.byDraw(event.drawId)
     if (entry === undefined) return []
     const isClosed = event.outcome.kind === 'closed'
     // An open flush of this budget has to fail first: a reopened row would accept its bills a second time.
     const outcome = isClosed && this.settlement.isFlushing(entry.budget) ? UNAVAILABLE : event.outcome
     const closed = outcome.kind === 'closed' ? this.settlement.close(entry) : []
-    this.supply.drawn(entry, outcome, now)
+    this.supply.handleDrawOutcome(entry, outcome, now)
     return [...closed, ...this.step(entry, now)]
   }
 
   private flushAnswered (event: EventOf<'flushAnswered'>, now: Instant): readonly BudgetAction[] {
-    const { changed, actions } = this.settlement.flushed(event, now)
+    const { changed, actions } = this.settlement.handleFlushOutcome(event, now)
     return [...actions, ...changed.flatMap(entry => this.step(entry, now))]
   }
 
-  private giveAsked (event: EventOf<'giveAsked'>, now: Instant): readonly BudgetAction[] {
+  private transferRequested (event: EventOf<'transferRequested'>, now: Instant): readonly BudgetAction[] {
     const entry = this.entries.all.get(event.budget)
-    const transfer = this.giving.give(event, this.draining ? undefined : entry, now)
-    if (entry !== undefined) this.entries.watch(entry)
-    return [{ kind: 'give', transferId: event.transferId, transfer }]
+    const transfer = this.transfers.answerRequest(event, this.draining ? undefined : entry, now)
+    if (entry !== undefined) this.entries.setPending(entry)
+    return [{ kind: 'answerTransfer', transferId: event.transferId, transfer }]
   }
 
-  private giveAnswered (event: EventOf<'giveAnswered'>, now: Instant): readonly BudgetAction[] {
+  private transferAnswered (event: EventOf<'transferAnswered'>, now: Instant): readonly BudgetAction[] {
     if (event.transfer !== undefined) return this.receive(event.transfer, event.askedAt ?? now, now)
-    const entry = this.entries.withOperation(event.transferId)
+    const entry = this.entries.byOperation(event.transferId)
     if (entry === undefined) return []
     this.supply.endStage(entry, event.transferId, now)
     return this.step(entry, now)
@@ -184,18 +184,18 @@
 
   private receive (transfer: Transfer, askedAt: Instant, now: Instant): readonly BudgetAction[] {
     const entry = this.entryOf(transfer.budget)
-    if (!this.giving.receive(transfer, entry, askedAt, now)) return []
+    if (!this.transfers.receive(transfer, entry, askedAt, now)) return []
     return this.step(entry, now)
   }
 
-  private recallAsked (event: EventOf<'recallAsked'>, now: Instant): readonly BudgetAction[] {
+  private recallRequested (event: EventOf<'recallRequested'>, now: Instant): readonly BudgetAction[] {
     const entry = this.entries.all.get(event.budget)
-    const tokens = entry === undefined ? 0 : this.giving.returnOnRecall(event, entry, now)
-    return [{ kind: 'returning', budget: event.budget, tokens }]
+    const tokens = entry === undefined ? 0 : this.transfers.returnOnRecall(event, entry, now)
+    return [{ kind: 'answerRecall', budget: event.budget, tokens }]
   }
 
   private recallAnswered (event: EventOf<'recallAnswered'>, now: Instant): readonly BudgetAction[] {
-    const entry = this.entries.withOperation(event.recallId)
+    const entry = this.entries.byOperation(event.recallId)
     if (entry === undefined) return []
     entry.unreachable = event.unreachable ?? 0
     // The returned tokens can be drawn now.
@@ -204,47 +204,47 @@
     return this.step(entry, now)
   }
 
-  private giftAsked (event: EventOf<'giftAsked'>, now: Instant): readonly BudgetAction[] {
+  private grantRequested (event: EventOf<'grantRequested'>, now: Instant): readonly BudgetAction[] {
     const { budget, giftId, to } = event
     const isOwned = !this.draining && this.owners.owns(this.holder, budget)
     const entry = isOwned ? this.entryOf(budget) : this.entries.all.get(budget)
-    const tokens = this.gifts.give(event, this.draining ? undefined : entry, now)
-    const left = entry === undefined ? 0 : this.gifts.left(entry, now)
-    const supply = entry === undefined || this.owners.owns(to, budget) ? [] : this.supplyOther(entry, event, tokens, now)
-    return [{ kind: 'gift', giftId, tokens, left }, ...supply]
+    const tokens = this.grants.answerRequest(event, this.draining ? undefined : entry, now)
+    const left = entry === undefined ? 0 : this.grants.left(entry, now)
+    const supply = entry === undefined || this.owners.owns(to, budget) ? [] : this.supplyPeer(entry, event, tokens, now)
+    return [{ kind: 'answerGrant', giftId, tokens, left }, ...supply]
   }
 
   /** Prepares for further grant requests of a holder that does not own the budget. */
-  private supplyOther (entry: BudgetEntry, asked: EventOf<'giftAsked'>, given: number, now: Instant): readonly BudgetAction[] {
+  private supplyPeer (entry: BudgetEntry, event: EventOf<'grantRequested'>, granted: number, now: Instant): readonly BudgetAction[] {
     if (this.draining || !entry.isOwned) return []
-    entry.noteNeedOfOther(asked.tokens, given, now.mono)
-    if (given < asked.tokens && entry.free > 0) this.upkeep.report(entry, now)
+    entry.recordPeerDemand(event.tokens, granted, now.mono)
+    if (granted < event.tokens && entry.free > 0) this.maintenance.report(entry, now)
     return this.step(entry, now)
   }
 
-  private giftAnswered (event: EventOf<'giftAnswered'>, now: Instant): readonly BudgetAction[] {
+  private grantAnswered (event: EventOf<'grantAnswered'>, now: Instant): readonly BudgetAction[] {
     const entry = this.entries.all.get(event.budget)
     if (entry === undefined) return []
-    this.gifts.answered(entry, event, now)
+    this.grants.answered(entry, event, now)
     return this.step(entry, now)
   }
 
-  private handedOver ({ budget, tokens }: EventOf<'handedOver'>, now: Instant): readonly BudgetAction[] {
+  private handoverReceived ({ budget, tokens }: EventOf<'handoverReceived'>, now: Instant): readonly BudgetAction[] {
     const entry = this.entryOf(budget)
-    entry.purse.add(tokens)
+    entry.grantedBalance.add(tokens)
     return this.step(entry, now)
   }
 
   private paidChanged ({ budget, isLowered }: EventOf<'paidChanged'>, now: Instant): readonly BudgetAction[] {
     const entry = this.entries.all.get(budget)
     if (entry === undefined) return []
-    entry.forgetShortage()
+    entry.clearShortage()
     if (isLowered) {
       // Granted tokens count as spent already; after the paid amount was lowered they may not be used.
-      entry.purse.take(Infinity)
-      this.upkeep.returnFree(entry, 0, now)
+      entry.grantedBalance.withdraw(Infinity)
+      this.maintenance.returnFree(entry, 0, now)
     }
-    this.entries.watch(entry)
+    this.entries.setPending(entry)
     return this.step(entry, now)
   }
 
@@ -257,24 +257,24 @@
         actions.push({ kind: 'refuse', reservationId: item.reservationId, failure })
       }
       entry.waiting = []
-      entry.isWanted = false
-      actions.push(...this.gifts.handOver(entry, now))
-      this.entries.watch(entry)
+      entry.isRefilled = false
+      actions.push(...this.grants.handover(entry, now))
+      this.entries.setPending(entry)
     }
-    this.upkeep.returnAll(now)
+    this.maintenance.returnAll(now)
     return actions
   }
 
   private step (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
-    return this.steps.take(entry, this.draining, now)
+    return this.steps.process(entry, this.draining, now)
   }
 
   private entryOf (budget: string): BudgetEntry {
     let entry = this.entries.all.get(budget)
     if (entry === undefined) {
       entry = new BudgetEntry(budget, this.policy, () => this.owners.owns(this.holder, budget))
-      entry.isWanted = !this.draining
-      entry.reopen = this.upkeep.hadRow(budget)
+      entry.isRefilled = !this.draining
+      entry.reopen = this.maintenance.hadRow(budget)
       this.entries.all.set(budget, entry)
     }
     return entry
--- a/packages/decisions/src/budget/budgetUpkeep.ts
+++ b/packages/decisions/src/budget/budgetMaintenance.ts
@@ -8,13 +8,13 @@
 import type { FlushQueue } from './flushQueue.js'
 
 /** Flush intervals after which an allotment is reported again without bills, before the allowance grows. */
-const REPORT_FLUSHES = 3
+const REPORT_INTERVAL_FLUSHES = 3
 const VISITS_PER_TICK = 32
 
-export class BudgetUpkeep {
+export class BudgetMaintenance {
   private cursor: Iterator<BudgetEntry> | undefined
   /** Budgets of removed entries, whose rows in the table may have been closed since. */
-  private readonly former = new Set<string>()
+  private readonly removedBudgets = new Set<string>()
 
   constructor (
     private readonly policy: BudgetPolicy,
@@ -31,26 +31,26 @@
     const count = Math.min(VISITS_PER_TICK, this.entries.size)
     while (visited.length < count) {
       this.cursor ??= this.entries.values()
-      const step = this.cursor.next()
-      if (step.done === true) {
+      const next = this.cursor.next()
+      if (next.done === true) {
         this.cursor = undefined
         break
       }
-      this.look(step.value, now, draining)
-      visited.push(step.value)
+      this.maintain(next.value, now, draining)
+      visited.push(next.value)
     }
     return visited
   }
 
   /** Whether this holder had an allotment row of a budget whose entry was removed. */
   hadRow (budget: string): boolean {
-    return this.former.has(budget)
+    return this.removedBudgets.has(budget)
   }
 
   /** Renews the lease of an allotment by an empty return, at most once per `retryMaxMs`. */
   renew (entry: BudgetEntry, now: Instant): void {
-    if (entry.renewedAt !== undefined && elapsedMs(entry.renewedAt, now) < this.policy.retryMaxMs) return
-    entry.renewedAt = now
+    if (entry.renewalQueuedAt !== undefined && elapsedMs(entry.renewalQueuedAt, now) < this.policy.retryMaxMs) return
+    entry.renewalQueuedAt = now
     this.queue.addReturn({ budget: entry.budget, tokens: 0 }, now.mono)
   }
 
@@ -61,10 +61,10 @@
 
   /**
    * Returns free tokens above a level.
-   * @param keep - tokens to retain
+   * @param retained - tokens to retain
    */
-  returnFree (entry: BudgetEntry, keep: number, now: Instant): void {
-    const tokens = entry.free - keep
+  returnFree (entry: BudgetEntry, retained: number, now: Instant): void {
+    const tokens = entry.free - retained
     if (tokens <= 0) return
     entry.returning += tokens
     entry.level = Math.max(0, entry.free)
@@ -77,43 +77,43 @@
     this.queue.makeDue(now.mono)
   }
 
-  private look (entry: BudgetEntry, now: Instant, draining: boolean): void {
+  private maintain (entry: BudgetEntry, now: Instant, draining: boolean): void {
     if (entry.isEmpty && !this.isRecent(entry, now)) {
-      this.forget(entry)
+      this.remove(entry)
       return
     }
     if (draining) this.returnFree(entry, 0, now)
-    else if (!this.isRecent(entry, now)) this.retire(entry, now)
-    else this.trim(entry, now)
-    if (entry.held > 0 && this.renewIsDue(entry, now)) this.renew(entry, now)
-    else if (entry.held > 0 && this.reportIsDue(entry, now)) this.report(entry, now)
+    else if (!this.isRecent(entry, now)) this.returnIdle(entry, now)
+    else this.returnExcess(entry, now)
+    if (entry.held > 0 && this.isRenewalDue(entry, now)) this.renew(entry, now)
+    else if (entry.held > 0 && this.isReportDue(entry, now)) this.report(entry, now)
   }
 
-  private forget (entry: BudgetEntry): void {
+  private remove (entry: BudgetEntry): void {
     this.entries.delete(entry.budget)
-    if (entry.touchedAt !== undefined || entry.reopen) this.former.add(entry.budget)
+    if (entry.leaseStartedAt !== undefined || entry.reopen) this.removedBudgets.add(entry.budget)
   }
 
   private isRecent (entry: BudgetEntry, now: Instant): boolean {
-    return now.mono - entry.lastAskedAt < this.policy.idleReturnMs
+    return now.mono - entry.lastRequestedAt < this.policy.idleReturnMs
   }
 
-  private retire (entry: BudgetEntry, now: Instant): void {
-    entry.isWanted = false
+  private returnIdle (entry: BudgetEntry, now: Instant): void {
+    entry.isRefilled = false
     this.returnFree(entry, 0, now)
   }
 
-  private trim (entry: BudgetEntry, now: Instant): void {
-    const target = entry.aim.tokens(now.mono)
-    if (entry.free > target * this.policy.excessFactor) this.returnFree(entry, target, now)
+  private returnExcess (entry: BudgetEntry, now: Instant): void {
+    const desired = entry.desired.tokens(now.mono)
+    if (entry.free > desired * this.policy.excessFactor) this.returnFree(entry, desired, now)
   }
 
   /** The allowance of an old report grows, and the team loses it if this process terminates. */
-  private reportIsDue (entry: BudgetEntry, now: Instant): boolean {
-    return this.policy.boundsUse && entry.bounds.ageMs(now) > this.policy.flushMs * REPORT_FLUSHES
+  private isReportDue (entry: BudgetEntry, now: Instant): boolean {
+    return this.policy.boundsUse && entry.bounds.ageMs(now) > this.policy.flushMs * REPORT_INTERVAL_FLUSHES
   }
 
-  private renewIsDue (entry: BudgetEntry, now: Instant): boolean {
-    return entry.touchedAt === undefined || elapsedMs(entry.touchedAt, now) > renewAfterMs(this.policy)
+  private isRenewalDue (entry: BudgetEntry, now: Instant): boolean {
+    return entry.leaseStartedAt === undefined || elapsedMs(entry.leaseStartedAt, now) > renewAfterMs(this.policy)
   }
 }
--- a/packages/decisions/src/budget/budgetOwners.spec.ts
+++ b/packages/decisions/src/budget/budgetOwners.spec.ts
@@ -85,29 +85,29 @@
 
   it('requests a grant from the owners immediately and serves from it', () => {
     const holder = new Holder(false)
-    const [ask] = holder.send(reserve(1_000))
-    expect(ask).to.include({ kind: 'askGift', tokens: 1_000 })
-    expect(holder.kinds({ kind: 'giftAnswered', giftId: ask?.kind === 'askGift' ? ask.giftId : '', budget: 'b', tokens: 1_000, isReached: true })).to.deep.equal(['admit'])
+    const [request] = holder.send(reserve(1_000))
+    expect(request).to.include({ kind: 'requestGrant', tokens: 1_000 })
+    expect(holder.kinds({ kind: 'grantAnswered', giftId: request?.kind === 'requestGrant' ? request.giftId : '', budget: 'b', tokens: 1_000, isReached: true })).to.deep.equal(['admit'])
   })
 
   it('requests a grant again, and draws nothing, if the owners granted too little', () => {
     const holder = new Holder(false)
-    const [ask] = holder.send(reserve(1_000))
-    const asks: BudgetAction[] = []
-    const drawn = holder.send({ kind: 'giftAnswered', giftId: ask?.kind === 'askGift' ? ask.giftId : '', budget: 'b', tokens: 0, isReached: true })
+    const [request] = holder.send(reserve(1_000))
+    const later: BudgetAction[] = []
+    const drawn = holder.send({ kind: 'grantAnswered', giftId: request?.kind === 'requestGrant' ? request.giftId : '', budget: 'b', tokens: 0, isReached: true })
     for (let tick = 0; tick < 3; tick += 1) {
       holder.mono += 40
-      asks.push(...holder.send({ kind: 'tick' }))
+      later.push(...holder.send({ kind: 'tick' }))
     }
-    expect([...drawn, ...asks].filter(({ kind }) => kind === 'draw')).to.deep.equal([])
-    expect(asks.filter(({ kind }) => kind === 'askGift').length).to.equal(1)
+    expect([...drawn, ...later].filter(({ kind }) => kind === 'draw')).to.deep.equal([])
+    expect(later.filter(({ kind }) => kind === 'requestGrant').length).to.equal(1)
   })
 
   it('draws only the waiting amount if no owner answers, and returns the rest', () => {
     const holder = new Holder(false)
-    const [ask] = holder.send(reserve(1_000))
+    const [request] = holder.send(reserve(1_000))
     holder.mono += 5
-    const drawn = holder.send({ kind: 'giftAnswered', giftId: ask?.kind === 'askGift' ? ask.giftId : '', budget: 'b', tokens: 0, isReached: false })
+    const drawn = holder.send({ kind: 'grantAnswered', giftId: request?.kind === 'requestGrant' ? request.giftId : '', budget: 'b', tokens: 0, isReached: false })
     expect(drawn.find(action => action.kind === 'draw')).to.include({ tokens: 1_000, atLeast: 1_000 })
     expect(holder.grant(drawn, 1_000).map(({ kind }) => kind)).to.include('admit')
     holder.send({ kind: 'settle', reservationId: 'r1', bill: { requestId: 'r1', budget: 'b', team: 'b', tokens: 400, runner: '' } })
@@ -122,8 +122,8 @@
     const drawn: BudgetAction[] = []
     for (let index = 0; index < 40; index += 1) {
       const actions = holder.send({ kind: 'reserve', reservationId: `r${index}`, budget: 'b', tokens: 1_000, giveUpAfterMs: 150 })
-      const ask = actions.find(action => action.kind === 'askGift')
-      if (ask !== undefined) drawn.push(...holder.send({ kind: 'giftAnswered', giftId: ask.giftId, budget: 'b', tokens: 1_000, isReached: true }))
+      const request = actions.find(action => action.kind === 'requestGrant')
+      if (request !== undefined) drawn.push(...holder.send({ kind: 'grantAnswered', giftId: request.giftId, budget: 'b', tokens: 1_000, isReached: true }))
       drawn.push(...actions)
       holder.mono += 100
     }
@@ -148,14 +148,14 @@
   it('reports immediately if the last report allows too little, and draws for the demand of other holders', () => {
     const owner = new Holder(true)
     owner.grant(owner.send({ kind: 'prepare', budget: 'b' }), 20_000)
-    const gift = owner.send({ kind: 'giftAsked', giftId: 'g1', budget: 'b', tokens: 9_000, to: 'vm2~a' })
-    expect(gift.map(({ kind }) => kind)).to.deep.equal(['gift', 'flush'])
-    expect(gift.find(action => action.kind === 'gift')).to.include({ tokens: 2_000 })
+    const gift = owner.send({ kind: 'grantRequested', giftId: 'g1', budget: 'b', tokens: 9_000, to: 'vm2~a' })
+    expect(gift.map(({ kind }) => kind)).to.deep.equal(['answerGrant', 'flush'])
+    expect(gift.find(action => action.kind === 'answerGrant')).to.include({ tokens: 2_000 })
     const flush = gift.find(action => action.kind === 'flush')
     expect(flush?.reports).to.deep.equal([{ budget: 'b', tokens: 11_000, perMs: 4 }])
     owner.send({ kind: 'flushAnswered', seq: 1, outcome: { kind: 'durable', sentAt: { mono: owner.mono, wall: owner.mono } } })
-    const next = owner.send({ kind: 'giftAsked', giftId: 'g2', budget: 'b', tokens: 9_000, to: 'vm2~a' })
-    expect(next.map(({ kind }) => kind)).to.deep.equal(['gift', 'draw'])
-    expect(next.find(action => action.kind === 'gift')).to.include({ tokens: 9_000 })
+    const next = owner.send({ kind: 'grantRequested', giftId: 'g2', budget: 'b', tokens: 9_000, to: 'vm2~a' })
+    expect(next.map(({ kind }) => kind)).to.deep.equal(['answerGrant', 'draw'])
+    expect(next.find(action => action.kind === 'answerGrant')).to.include({ tokens: 9_000 })
   })
 })
--- a/packages/decisions/src/budget/budgetOwners.ts
+++ b/packages/decisions/src/budget/budgetOwners.ts
@@ -8,13 +8,13 @@
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
 /** Up to this many VMs, each owns every budget: any one of a few VMs may be the only one that is not cut off. */
-export const ALL_OWN_UP_TO = 8
+export const MAX_VMS_ALL_OWN = 8
 /**
  * Owners of one budget in a larger fleet. Some usually survive the failure of a few VMs or the partition of a failure domain; if
  * none answers, a VM draws for itself. More owners lose more unreported tokens when all terminate, fragment the last tokens of a
  * budget and cause more table calls.
  */
-const OWNERS = 4
+const OWNERS_PER_BUDGET = 4
 
 export interface BudgetOwnership {
   owns (holder: string, budget: string): boolean
@@ -34,17 +34,17 @@
 
   /**
    * Replaces the list of present holders.
-   * @param others - the other reachable holders
+   * @param peers - the other reachable holders
    */
-  refresh (others: readonly string[]): void {
-    const holders = [this.self, ...others]
+  refresh (peers: readonly string[]): void {
+    const holders = [this.self, ...peers]
     if (holders.length === this.holders.length && holders.every((holder, index) => holder === this.holders[index])) return
     this.holders = holders
     this.byBudget.clear()
   }
 
   get count (): number {
-    return this.isOwnedByAll ? this.holders.length : OWNERS
+    return this.isOwnedByAll ? this.holders.length : OWNERS_PER_BUDGET
   }
 
   owns (holder: string, budget: string): boolean {
@@ -52,17 +52,17 @@
   }
 
   private get isOwnedByAll (): boolean {
-    return this.holders.length <= ALL_OWN_UP_TO
+    return this.holders.length <= MAX_VMS_ALL_OWN
   }
 
   private ownersOf (budget: string): ReadonlySet<string> {
-    const known = this.byBudget.get(budget)
-    if (known !== undefined) return known
+    const cached = this.byBudget.get(budget)
+    if (cached !== undefined) return cached
     const hash = hashName(budget)
     const ranked = this.holders
       .map(holder => ({ holder, weight: pairWeight(hash, hashName(vmOf(holder))) }))
       .sort((a, b) => b.weight - a.weight)
-    const owners = new Set(ranked.slice(0, OWNERS).map(({ holder }) => holder))
+    const owners = new Set(ranked.slice(0, OWNERS_PER_BUDGET).map(({ holder }) => holder))
     this.byBudget.set(budget, owners)
     return owners
   }
--- a/packages/decisions/src/budget/budgetPlans.spec.ts
+++ b/packages/decisions/src/budget/budgetPlans.spec.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '../codes/failure.js'
-import { budgetOf, drawKeys, planDraw, planTopUp, putBudget, topUpKeys, type DrawOrder } from './budgetPlans.js'
+import { budgetOf, drawKeys, planDraw, planTopUp, putBudget, topUpKeys, type DrawRequest } from './budgetPlans.js'
 import { applyTopUp } from './budgetRows.js'
 import { flushKeys, planFlush } from './flushPlan.js'
 import { RowSet, type PlanKey, type PlanRow } from './rowSet.js'
@@ -28,13 +28,13 @@
     return done.caseOf({ Left: failure => failure.code, Right: plan => plan.kind })
   }
 
-  draw (order: Partial<DrawOrder>, holder = 'vm1~a'): unknown {
+  draw (order: Partial<DrawRequest>, holder = 'vm1~a'): unknown {
     const whole = { drawId: 'd1', budget: 'b', tokens: 600, atLeast: 0, ...order }
     const drawer = { holder, domain: 'd', holders: 2, shareDivisor: 1, evenPart: 0 }
     return this.run(drawKeys(holder, whole.budget), rows => planDraw(rows, whole, drawer)).extract()
   }
 
-  giveBack (tokens: number): void {
+  returnTokens (tokens: number): void {
     const order = { seq: this.version, bills: [], returns: [{ budget: 'b', tokens }], transfers: [] }
     const flusher = { holder: 'vm1~a', domain: 'd' }
     this.run(flushKeys(order, flusher), rows => planFlush(rows, order, flusher))
@@ -69,10 +69,10 @@
     expect(blind.paid).to.equal(20)
   })
 
-  const draws: ReadonlyArray<{ title: string, order: Partial<DrawOrder>, holder?: string, expected: object }> = [
+  const draws: ReadonlyArray<{ title: string, order: Partial<DrawRequest>, holder?: string, expected: object }> = [
     { title: 'grant a share of what is left ahead of need', order: {}, expected: { kind: 'write', tokens: 500, left: 500, spent: 0, paid: 1000 } },
     { title: 'grant more than the share if it is needed now', order: { atLeast: 700 }, expected: { kind: 'write', tokens: 700, left: 300, spent: 0, paid: 1000 } },
-    { title: 'grant all that is left if that serves a request', order: { atLeast: 1200, least: 900 }, expected: { kind: 'write', tokens: 1000, left: 0, spent: 0, paid: 1000 } },
+    { title: 'grant all that is left if that serves a request', order: { atLeast: 1200, minUseful: 900 }, expected: { kind: 'write', tokens: 1000, left: 0, spent: 0, paid: 1000 } },
     { title: 'grant nothing if that serves no request', order: { atLeast: 1200 }, expected: { kind: 'short', left: 1000 } },
     { title: 'grant no small remainder ahead of need', order: { tokens: 10_000 }, expected: { kind: 'short', left: 1000 } },
     { title: 'report an unknown budget', order: { budget: 'x' }, expected: { kind: 'unknownBudget' } },
@@ -115,9 +115,9 @@
     rows.draw({ tokens: 600, atLeast: 600, declared: { version: 1, tokens: 1000 } })
     rows.draw({ drawId: 'd2', tokens: 10, atLeast: 10, declared: { version: 2, tokens: 100 } })
     const before = rows.paid
-    rows.giveBack(350)
+    rows.returnTokens(350)
     const between = rows.paid
-    rows.giveBack(250)
+    rows.returnTokens(250)
     expect([before, between, rows.paid]).to.deep.equal([600, 250, 100])
   })
 })
--- a/packages/decisions/src/budget/budgetPlans.ts
+++ b/packages/decisions/src/budget/budgetPlans.ts
@@ -5,10 +5,10 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '../codes/failure.js'
 import { allotmentKey, budgetTables, holderKey, holdingKey } from './budgetKeys.js'
-import { evenTokens, grantTokens, shareOfLeft } from './budgetPolicy.js'
+import { fairShareTokens, drawableTokens, shareOfLeft } from './budgetPolicy.js'
 import { applyDeclared, applyDraw, applyTopUp, emptyAllotment, unallotted } from './budgetRows.js'
 import { allotmentRowSchema, budgetRowSchema, topUpRowSchema, type AllotmentRow, type BudgetRow, type DeclaredPaid, type ReportRow, type TopUpRow } from './budgetTypes.js'
-import { withHeld } from './reportBound.js'
+import { withAllotment } from './reportBound.js'
 import type { PlanKey, RowSet } from './rowSet.js'
 
 /** The holder that draws. */
@@ -22,16 +22,16 @@
   readonly evenPart: number
 }
 
-export interface DrawOrder {
+export interface DrawRequest {
   readonly drawId: string
   readonly budget: string
   readonly tokens: number
   /** Tokens needed by all waiting requests; 0 for a draw ahead of need. */
   readonly atLeast: number
   /** Smallest useful amount; defaults to `atLeast`. */
-  readonly least?: number
+  readonly minUseful?: number
   /** Whether demand does not exceed the fair share. */
-  readonly isForEvenPart?: boolean
+  readonly isFairShareOnly?: boolean
   /** Reopens a row that was closed, or removed after it was closed. */
   readonly reopen?: boolean
   /** Whether the holder expects a row that it wrote before. */
@@ -54,7 +54,7 @@
   | { readonly kind: 'closed' }
 
 /** Minimum fraction of the wanted amount for which a draw ahead of need is worth a write. */
-const LEAST_AHEAD_PART = 1 / 16
+const MIN_AHEAD_RATIO = 1 / 16
 
 /** Rows that a draw reads. */
 export function drawKeys (holder: string, budget: string): readonly PlanKey[] {
@@ -92,52 +92,52 @@
   rows.set(budgetTables.budgets, row.budget, row)
 }
 
-function worthDrawing (granted: number, order: DrawOrder, budget: BudgetRow, drawer: Drawer): boolean {
-  if (granted === 0 || granted < (order.least ?? order.atLeast)) return false
-  return order.atLeast > 0 || granted >= usefulTokens(order, budget, drawer) * LEAST_AHEAD_PART
+function isWorthDrawing (granted: number, request: DrawRequest, budget: BudgetRow, drawer: Drawer): boolean {
+  if (granted === 0 || granted < (request.minUseful ?? request.atLeast)) return false
+  return request.atLeast > 0 || granted >= usefulTokens(request, budget, drawer) * MIN_AHEAD_RATIO
 }
 
 /** A draw without demand requests any amount, but gets at most its fair share. */
-function usefulTokens ({ tokens, isForEvenPart }: DrawOrder, budget: BudgetRow, drawer: Drawer): number {
-  return isForEvenPart === true ? evenOf(budget, drawer) : tokens
+function usefulTokens ({ tokens, isFairShareOnly: onlyFairShare }: DrawRequest, budget: BudgetRow, drawer: Drawer): number {
+  return onlyFairShare === true ? fairShareOf(budget, drawer) : tokens
 }
 
-function evenOf ({ paid, spent }: BudgetRow, { holders, evenPart }: Drawer): number {
-  return evenTokens(paid - spent, holders, evenPart)
+function fairShareOf ({ paid, spent }: BudgetRow, { holders, evenPart }: Drawer): number {
+  return fairShareTokens(paid - spent, holders, evenPart)
 }
 
 /** Tokens that a holder may draw ahead of need. */
-function shareOf (order: DrawOrder, budget: BudgetRow, allotment: AllotmentRow, drawer: Drawer): number {
-  const even = evenOf(budget, drawer) - allotment.held
-  if (order.isForEvenPart === true) return Math.max(0, even)
-  return Math.max(shareOfLeft(unallotted(budget), drawer.holders, drawer.shareDivisor), even)
+function aheadTokens (request: DrawRequest, budget: BudgetRow, allotment: AllotmentRow, drawer: Drawer): number {
+  const fairShare = fairShareOf(budget, drawer) - allotment.held
+  if (request.isFairShareOnly === true) return Math.max(0, fairShare)
+  return Math.max(shareOfLeft(unallotted(budget), drawer.holders, drawer.shareDivisor), fairShare)
 }
 
 /**
  * Plans a draw.
  * @param rows - rows of {@link drawKeys}
  */
-export function planDraw (rows: RowSet, order: DrawOrder, drawer: Drawer): Either<Failure, DrawPlan> {
-  const stored = budgetOf(rows, order.budget)
-  const budget = order.declared === undefined ? stored : applyDeclared(stored, order.budget, order.declared)
+export function planDraw (rows: RowSet, request: DrawRequest, drawer: Drawer): Either<Failure, DrawPlan> {
+  const stored = budgetOf(rows, request.budget)
+  const budget = request.declared === undefined ? stored : applyDeclared(stored, request.budget, request.declared)
   if (budget === undefined) return Right({ kind: 'unknownBudget' })
-  const found = allotmentOf(rows, order.budget, drawer.holder)
-  const fresh = emptyAllotment(order.budget, drawer.holder, drawer.domain)
-  const isGone = found === undefined ? order.expectsRow === true : found.state === 'closed'
-  if (isGone && order.reopen !== true) return Right({ kind: 'closed' })
-  const allotment = found?.state === 'closed' ? { ...fresh, lastSeq: found.lastSeq } : found ?? fresh
+  const found = allotmentOf(rows, request.budget, drawer.holder)
+  const empty = emptyAllotment(request.budget, drawer.holder, drawer.domain)
+  const isRemoved = found === undefined ? request.expectsRow === true : found.state === 'closed'
+  if (isRemoved && request.reopen !== true) return Right({ kind: 'closed' })
+  const allotment = found?.state === 'closed' ? { ...empty, lastSeq: found.lastSeq } : found ?? empty
   const left = unallotted(budget)
-  if (allotment.lastDraw?.drawId === order.drawId) return Right({ kind: 'done', tokens: allotment.lastDraw.tokens, left })
-  const granted = grantTokens(order.tokens, order.atLeast, left, shareOf(order, budget, allotment, drawer))
-  if (!worthDrawing(granted, order, budget, drawer)) {
+  if (allotment.lastDraw?.drawId === request.drawId) return Right({ kind: 'done', tokens: allotment.lastDraw.tokens, left })
+  const granted = drawableTokens(request.tokens, request.atLeast, left, aheadTokens(request, budget, allotment, drawer))
+  if (!isWorthDrawing(granted, request, budget, drawer)) {
     if (budget === stored) return Right({ kind: 'short', left })
     putBudget(rows, budget)
     return Right({ kind: 'short', left, isRowChanged: true })
   }
-  return applyDraw({ budget, allotment }, granted, order.drawId).map(pair => {
+  return applyDraw({ budget, allotment }, granted, request.drawId).map(pair => {
     putBudget(rows, pair.budget)
     const { spent, paid } = pair.budget
-    putAllotment(rows, order.report === undefined ? pair.allotment : { ...pair.allotment, report: withHeld(order.report, granted) })
+    putAllotment(rows, request.report === undefined ? pair.allotment : { ...pair.allotment, report: withAllotment(request.report, granted) })
     return { kind: 'write', tokens: granted, left: unallotted(pair.budget), spent, paid }
   })
 }
--- a/packages/decisions/src/budget/budgetPolicy.ts
+++ b/packages/decisions/src/budget/budgetPolicy.ts
@@ -26,7 +26,7 @@
    */
   readonly evenPart: number
   /** Refill when less than this fraction of the level after the last draw is free. */
-  readonly lowWater: number
+  readonly lowWaterRatio: number
   /** Return free tokens when they exceed the desired allotment by this factor. */
   readonly excessFactor: number
   /** Return all free tokens of a budget without requests for this long. */
@@ -49,20 +49,20 @@
   /** Retry-After in milliseconds if another VM may have tokens; absent if callers retry at the same VM. */
   readonly otherVmRetryMs?: number
   /** Period of local demand that a holder retains on a recall. */
-  readonly recallKeepMs: number
+  readonly recallRetainMs: number
   /** Time after the last contact with the table when recovery may close an allotment. */
-  readonly lapseMs: number
+  readonly allotmentExpiryMs: number
   /** Margin for clocks that run at different rates. */
   readonly marginMs: number
   /** Maximum time between a reservation and the end of its run. */
   readonly requestTimeoutMs: number
   /** Pause before the next draw ahead of need when nothing was left; also after a recall, so that the tokens are not drawn back. */
-  readonly emptyPauseMs: number
+  readonly emptyDrawPauseMs: number
   /** Maximum draws in a transaction and budgets in a flush, under the transaction limits of the table. */
   readonly drawsAtOnce: number
-  readonly budgetsAtOnce: number
+  readonly maxBudgetsPerFlush: number
   /** Maximum budgets to which one flush returns tokens. */
-  readonly returnsAtOnce: number
+  readonly maxReturnsPerFlush: number
 }
 
 const SECOND = 1000
@@ -77,7 +77,7 @@
   minTokens: 8_192,
   shareDivisor: 0.5,
   evenPart: 0,
-  lowWater: 0.9,
+  lowWaterRatio: 0.9,
   excessFactor: 2,
   idleReturnMs: 6 * HOUR,
   flushMs: 5 * SECOND,
@@ -86,35 +86,35 @@
   roundMs: 500,
   roundMaxMs: 2 * SECOND,
   patienceMs: 2 * SECOND,
-  recallKeepMs: 20 * SECOND,
+  recallRetainMs: 20 * SECOND,
   // Leaves time for recovery before engines discard their run records after two hours.
-  lapseMs: 100 * MINUTE,
+  allotmentExpiryMs: 100 * MINUTE,
   marginMs: MINUTE,
   requestTimeoutMs: MINUTE,
-  emptyPauseMs: 30 * SECOND,
+  emptyDrawPauseMs: 30 * SECOND,
   drawsAtOnce: 100,
-  budgetsAtOnce: 100,
-  returnsAtOnce: 100
+  maxBudgetsPerFlush: 100,
+  maxReturnsPerFlush: 100
 }
 
 /** Fraction of the expiry time after which an idle allotment is renewed. */
-const RENEW_PART = 0.25
+const RENEWAL_RATIO = 0.25
 
 /** The minimum allotment covers this many requests of the largest size seen. */
-const LARGEST_COVERED = 4
+const MIN_REQUESTS_COVERED = 4
 /** Maximum fraction of the level used before a refill. */
-const MOST_USED_PART = 0.25
+const MAX_USED_RATIO = 0.25
 /** Number of requests of the largest size seen before a refill. */
-const LARGEST_USED = 2
+const REQUESTS_PER_REFILL = 2
 
 /** Milliseconds after its last contact with the table for which a holder may reserve. */
 export function usableMs (policy: BudgetPolicy): number {
-  return policy.lapseMs - policy.marginMs - policy.requestTimeoutMs
+  return policy.allotmentExpiryMs - policy.marginMs - policy.requestTimeoutMs
 }
 
 /** Milliseconds after its last contact with the table when an idle allotment is renewed. */
 export function renewAfterMs (policy: BudgetPolicy): number {
-  return policy.lapseMs * RENEW_PART
+  return policy.allotmentExpiryMs * RENEWAL_RATIO
 }
 
 /**
@@ -122,8 +122,8 @@
  * @param ratePerMs - demand in tokens a millisecond
  * @param largest - largest reservation seen
  */
-export function targetTokens (policy: BudgetPolicy, ratePerMs: number, largest: number): number {
-  return Math.ceil(Math.max(ratePerMs * policy.horizonMs, policy.minTokens, largest * LARGEST_COVERED))
+export function desiredTokens (policy: BudgetPolicy, ratePerMs: number, largest: number): number {
+  return Math.ceil(Math.max(ratePerMs * policy.horizonMs, policy.minTokens, largest * MIN_REQUESTS_COVERED))
 }
 
 /**
@@ -133,8 +133,8 @@
  * @param largest - largest reservation seen
  */
 export function lowWaterMark (policy: BudgetPolicy, level: number, largest: number): number {
-  const used = Math.min(Math.max(level * (1 - policy.lowWater), largest * LARGEST_USED), level * MOST_USED_PART)
-  return level - used
+  const usable = Math.min(Math.max(level * (1 - policy.lowWaterRatio), largest * REQUESTS_PER_REFILL), level * MAX_USED_RATIO)
+  return level - usable
 }
 
 /**
@@ -142,7 +142,7 @@
  * @param left - unallotted tokens
  * @param share - tokens that this holder may draw ahead of need
  */
-export function grantTokens (wanted: number, atLeast: number, left: number, share: number): number {
+export function drawableTokens (wanted: number, atLeast: number, left: number, share: number): number {
   return Math.max(0, Math.min(left, Math.max(wanted, atLeast), Math.max(atLeast, share)))
 }
 
@@ -160,7 +160,7 @@
  * Tokens to transfer to another holder: the amount needed now as far as free, more only up to half of the free tokens.
  * @param free - tokens free here
  */
-export function giveTokens (free: number, wanted: number, atLeast: number): number {
+export function transferableTokens (free: number, wanted: number, atLeast: number): number {
   const half = Math.floor(free / 2)
   return Math.max(0, Math.min(free, Math.max(atLeast, Math.min(wanted, half))))
 }
@@ -169,18 +169,18 @@
  * Fair share of each holder in the unspent tokens.
  * @param unspent - tokens paid and not billed
  * @param holders - number of VMs
- * @param evenPart - see {@link BudgetPolicy}
+ * @param fairShareRatio - see {@link BudgetPolicy}
  */
-export function evenTokens (unspent: number, holders: number, evenPart: number): number {
-  return Math.floor(Math.max(0, unspent) * evenPart / Math.max(1, holders))
+export function fairShareTokens (unspent: number, holders: number, fairShareRatio: number): number {
+  return Math.floor(Math.max(0, unspent) * fairShareRatio / Math.max(1, holders))
 }
 
 /**
  * Tokens to return on a recall: all but the retained ones, and those too if needed elsewhere now.
  * @param free - tokens free here
- * @param keep - tokens retained for local demand
+ * @param retained - tokens retained for local demand
  * @param atLeast - amount needed now elsewhere
  */
-export function recallTokens (free: number, keep: number, atLeast: number): number {
-  return Math.max(0, Math.min(free, Math.max(free - Math.ceil(keep), atLeast)))
+export function recallableTokens (free: number, retained: number, atLeast: number): number {
+  return Math.max(0, Math.min(free, Math.max(free - Math.ceil(retained), atLeast)))
 }
--- a/packages/decisions/src/budget/budgetRows.spec.ts
+++ b/packages/decisions/src/budget/budgetRows.spec.ts
@@ -37,10 +37,10 @@
     ['lowers to the committed amount', applyTopUp(budget, 'b', -50), 'ok'],
     ['lowers no further', applyTopUp(budget, 'b', -51), 'budgetBelowCommitted'],
     ['tops up no missing amount', applyTopUp(budget, 'b', undefined as unknown as number), 'amountInvalid'],
-    ['transfers the whole allotment', applyTransfer({ giver: allotment, receiver: other }, transfer(30)), 'ok'],
-    ['transfers no more than the allotment', applyTransfer({ giver: allotment, receiver: other }, transfer(31)), 'internal'],
-    ['transfers nothing from a closed row', applyTransfer({ giver: closed, receiver: other }, transfer(1)), 'allotmentClosed'],
-    ['transfers nothing to another domain', applyTransfer({ giver: allotment, receiver: { ...other, domain: 'e' } }, transfer(1)), 'internal'],
+    ['transfers the whole allotment', applyTransfer({ sender: allotment, receiver: other }, transfer(30)), 'ok'],
+    ['transfers no more than the allotment', applyTransfer({ sender: allotment, receiver: other }, transfer(31)), 'internal'],
+    ['transfers nothing from a closed row', applyTransfer({ sender: closed, receiver: other }, transfer(1)), 'allotmentClosed'],
+    ['transfers nothing to another domain', applyTransfer({ sender: allotment, receiver: { ...other, domain: 'e' } }, transfer(1)), 'internal'],
     ['closes with the whole allotment owed', applyClose(budget, [allotment], 30), 'ok'],
     ['closes with no more owed than the allotment', applyClose(budget, [allotment], 31), 'internal'],
     ['closes no row twice', applyClose(budget, [closed], 0), 'allotmentClosed']
@@ -74,8 +74,8 @@
     case 'topUp': return applyTopUp(rows.budget, 'b', tokens).map(after => ({ ...rows, budget: after })).orDefault(rows)
     case 'close': return applyClose(rows.budget, [row], tokens)
       .map(after => ({ budget: after.budget, allotments: put(after.allotments[0] ?? row) })).orDefault(rows)
-    default: return applyTransfer({ giver: row, receiver: rows.allotments[next] ?? other }, { transferId: 't', budget: 'b', from: '', to: '', tokens })
-      .map(after => ({ ...rows, allotments: rows.allotments.map((item, at) => at === holder ? after.giver : at === next ? after.receiver : item) })).orDefault(rows)
+    default: return applyTransfer({ sender: row, receiver: rows.allotments[next] ?? other }, { transferId: 't', budget: 'b', from: '', to: '', tokens })
+      .map(after => ({ ...rows, allotments: rows.allotments.map((item, at) => at === holder ? after.sender : at === next ? after.receiver : item) })).orDefault(rows)
   }
 }
 
--- a/packages/decisions/src/budget/budgetRows.ts
+++ b/packages/decisions/src/budget/budgetRows.ts
@@ -16,7 +16,7 @@
 }
 
 export interface TransferPair {
-  readonly giver: AllotmentRow
+  readonly sender: AllotmentRow
   readonly receiver: AllotmentRow
 }
 
@@ -29,7 +29,7 @@
   return Left(new Failure('amountInvalid', `${String(tokens)} is not a valid number of tokens`))
 }
 
-function broken<T> (detail: string): Either<Failure, T> {
+function invariantViolation<T> (detail: string): Either<Failure, T> {
   return Left(new Failure('internal', detail))
 }
 
@@ -48,8 +48,8 @@
 }
 
 function checkBudget (row: BudgetRow): Either<Failure, BudgetRow> {
-  if (row.spent < 0 || row.allotted < 0) return broken(`negative amounts in budget ${row.budget}`)
-  if (row.spent + row.allotted > row.paid) return broken(`budget ${row.budget} would be overspent`)
+  if (row.spent < 0 || row.allotted < 0) return invariantViolation(`negative amounts in budget ${row.budget}`)
+  if (row.spent + row.allotted > row.paid) return invariantViolation(`budget ${row.budget} would be overspent`)
   return Right(row)
 }
 
@@ -86,7 +86,7 @@
 }
 
 /** Moves billed tokens of an allotment to `spent` of its budget. */
-export function fold (pair: RowPair): RowPair {
+export function foldSettled (pair: RowPair): RowPair {
   const { budget, allotment } = pair
   return {
     budget: { ...budget, spent: budget.spent + allotment.settled, allotted: budget.allotted - allotment.settled },
@@ -98,7 +98,7 @@
 export function applyDraw (pair: RowPair, tokens: number, drawId: string): Either<Failure, RowPair> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (pair.allotment.state === 'closed') return closed(pair.allotment)
-  const { budget, allotment } = fold(pair)
+  const { budget, allotment } = foldSettled(pair)
   const granted = { ...allotment, held: allotment.held + tokens, lastDraw: { drawId, tokens } }
   return checkBudget({ ...budget, allotted: budget.allotted + tokens })
     .map(row => ({ budget: row, allotment: granted }))
@@ -108,7 +108,7 @@
 export function applySettle (row: AllotmentRow, tokens: number): Either<Failure, AllotmentRow> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (row.state === 'closed') return closed(row)
-  if (tokens > row.held) return broken(`${row.holder} settles ${tokens} tokens with only ${row.held} allotted in ${row.budget}`)
+  if (tokens > row.held) return invariantViolation(`${row.holder} settles ${tokens} tokens with only ${row.held} allotted in ${row.budget}`)
   return Right({ ...row, held: row.held - tokens, settled: row.settled + tokens })
 }
 
@@ -116,22 +116,22 @@
 export function applyReturn (pair: RowPair, tokens: number): Either<Failure, RowPair> {
   if (!isAmount(tokens)) return invalidAmount(tokens)
   if (pair.allotment.state === 'closed') return closed(pair.allotment)
-  if (tokens > pair.allotment.held) return broken(`${pair.allotment.holder} returns more than its allotment`)
-  const { budget, allotment } = fold(pair)
+  if (tokens > pair.allotment.held) return invariantViolation(`${pair.allotment.holder} returns more than its allotment`)
+  const { budget, allotment } = foldSettled(pair)
   return checkBudget({ ...budget, allotted: budget.allotted - tokens })
     .map(row => ({ budget: withDeclaredPaid(row), allotment: { ...allotment, held: allotment.held - tokens } }))
 }
 
 /** Records a transfer between two holders. */
 export function applyTransfer (pair: TransferPair, transfer: Transfer): Either<Failure, TransferPair> {
-  const { giver, receiver } = pair
+  const { sender: giver, receiver } = pair
   if (!isAmount(transfer.tokens)) return invalidAmount(transfer.tokens)
   if (giver.state === 'closed') return closed(giver)
   if (receiver.state === 'closed') return closed(receiver)
-  if (giver.domain !== receiver.domain) return broken('transfer between different failure domains')
-  if (transfer.tokens > giver.held) return broken(`${giver.holder} transferred more than its allotment in ${giver.budget}`)
+  if (giver.domain !== receiver.domain) return invariantViolation('transfer between different failure domains')
+  if (transfer.tokens > giver.held) return invariantViolation(`${giver.holder} transferred more than its allotment in ${giver.budget}`)
   return Right({
-    giver: { ...giver, held: giver.held - transfer.tokens },
+    sender: { ...giver, held: giver.held - transfer.tokens },
     receiver: { ...receiver, held: receiver.held + transfer.tokens }
   })
 }
@@ -145,11 +145,11 @@
   budget: BudgetRow, allotments: readonly AllotmentRow[], billed: number
 ): Either<Failure, { readonly budget: BudgetRow, readonly allotments: readonly AllotmentRow[] }> {
   if (!isAmount(billed)) return invalidAmount(billed)
-  const already = allotments.find(row => row.state === 'closed')
-  if (already !== undefined) return closed(already)
+  const alreadyClosed = allotments.find(row => row.state === 'closed')
+  if (alreadyClosed !== undefined) return closed(alreadyClosed)
   const held = allotments.reduce((sum, row) => sum + row.held, 0)
   const settled = allotments.reduce((sum, row) => sum + row.settled, 0)
-  if (billed > held) return broken(`${billed} tokens are owed but only ${held} are allotted in ${budget.budget}`)
+  if (billed > held) return invariantViolation(`${billed} tokens are owed but only ${held} are allotted in ${budget.budget}`)
   const after = { ...budget, spent: budget.spent + settled + billed, allotted: budget.allotted - settled - held }
   return checkBudget(after).map(row => ({
     budget: withDeclaredPaid(row),
--- a/packages/decisions/src/budget/budgetSettlement.ts
+++ b/packages/decisions/src/budget/budgetSettlement.ts
@@ -7,7 +7,7 @@
 import type { BudgetPolicy } from './budgetPolicy.js'
 import { isAmount } from './budgetRows.js'
 import type { Bill, BudgetAction, BudgetEvent, BudgetReport, FlushOutcome } from './budgetTypes.js'
-import type { FlushOrder } from './flushPlan.js'
+import type { FlushBatch } from './flushPlan.js'
 import type { FlushQueue } from './flushQueue.js'
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
@@ -26,7 +26,7 @@
 export class BudgetSettlement {
   private readonly reservations = new Map<string, OpenReservation>()
   /** Reports of the open flush. */
-  private reported: { readonly seq: number, readonly reports: readonly BudgetReport[] } | undefined
+  private sentReports: { readonly seq: number, readonly reports: readonly BudgetReport[] } | undefined
 
   constructor (
     private readonly entries: ReadonlyMap<string, BudgetEntry>,
@@ -54,27 +54,27 @@
     this.reservations.delete(event.reservationId)
     const entry = this.entries.get(reservation.budget)
     if (entry === undefined) return undefined
-    entry.reserved -= reservation.own
+    entry.reserved -= reservation.fromAllotment
     const used = event.bill === undefined ? 0 : usedTokens(event.bill, reservation)
-    const ofGiven = Math.min(used, reservation.given)
-    entry.purse.add(reservation.given - ofGiven)
-    if (event.bill !== undefined && reservation.own > 0) this.bill(entry, { ...event.bill, budget: reservation.budget, tokens: used - ofGiven }, now)
+    const fromGrants = Math.min(used, reservation.fromGrants)
+    entry.grantedBalance.add(reservation.fromGrants - fromGrants)
+    if (event.bill !== undefined && reservation.fromAllotment > 0) this.bill(entry, { ...event.bill, budget: reservation.budget, tokens: used - fromGrants }, now)
     return entry
   }
 
   /** Marks a flush as sent and returns its reports, which are the same for every retry. */
-  sent (flush: FlushOrder, now: Instant): readonly BudgetReport[] {
+  sent (flush: FlushBatch, now: Instant): readonly BudgetReport[] {
     const sums = new Map<string, number>()
     for (const bill of flush.bills) sums.set(bill.budget, (sums.get(bill.budget) ?? 0) + bill.tokens)
     for (const [budget, tokens] of sums) {
       const entry = this.entries.get(budget)
       if (entry !== undefined) entry.flushing = tokens
     }
-    if (this.reported?.seq !== flush.seq) this.reported = { seq: flush.seq, reports: this.reportsOf(flush, now) }
-    return this.reported.reports
+    if (this.sentReports?.seq !== flush.seq) this.sentReports = { seq: flush.seq, reports: this.reportsOf(flush, now) }
+    return this.sentReports.reports
   }
 
-  private reportsOf (flush: FlushOrder, now: Instant): readonly BudgetReport[] {
+  private reportsOf (flush: FlushBatch, now: Instant): readonly BudgetReport[] {
     if (!this.policy.boundsUse) return []
     const budgets = new Set([...flush.bills, ...flush.returns].map(item => item.budget))
     return [...budgets].flatMap(budget => {
@@ -94,7 +94,7 @@
   }
 
   /** Handles the outcome of a flush. */
-  flushed (event: EventOf<'flushAnswered'>, now: Instant): FlushResult {
+  handleFlushOutcome (event: EventOf<'flushAnswered'>, now: Instant): FlushResult {
     const { outcome, seq } = event
     if (this.queue.open?.seq !== seq) return { changed: [], actions: [] }
     if (outcome.kind === 'unavailable') {
@@ -103,7 +103,7 @@
     }
     const flush = this.queue.finish(now.mono)
     if (flush === undefined) return { changed: [], actions: [] }
-    if (outcome.kind === 'durable') return { changed: this.durable(flush, outcome.sentAt), actions: [] }
+    if (outcome.kind === 'durable') return { changed: this.applyDurable(flush, outcome.sentAt), actions: [] }
     return this.refused(flush, outcome, now)
   }
 
@@ -113,7 +113,7 @@
     for (const [id, item] of this.reservations) {
       if (item.budget !== entry.budget) continue
       this.reservations.delete(id)
-      inDoubt += item.own
+      inDoubt += item.fromAllotment
     }
     entry.reset()
     entry.inDoubt += inDoubt
@@ -122,11 +122,11 @@
 
   private bill (entry: BudgetEntry, bill: Bill, now: Instant): void {
     entry.unsettled += bill.tokens
-    if (this.policy.demandFrom === 'bills') entry.aim.rate.add(bill.tokens, now.mono)
+    if (this.policy.demandFrom === 'bills') entry.desired.rate.add(bill.tokens, now.mono)
     this.queue.addBill(bill, now.mono)
   }
 
-  private durable (flush: FlushOrder, sentAt: Instant): readonly BudgetEntry[] {
+  private applyDurable (flush: FlushBatch, sentAt: Instant): readonly BudgetEntry[] {
     const changed = new Set<BudgetEntry>()
     for (const bill of flush.bills) {
       const entry = this.entries.get(bill.budget)
@@ -143,16 +143,16 @@
       entry.returning -= item.tokens
       changed.add(entry)
     }
-    for (const item of flush.transfers) this.entries.get(item.budget)?.recorded(item.transferId)
+    for (const item of flush.transfers) this.entries.get(item.budget)?.markRecorded(item.transferId)
     for (const entry of changed) {
-      entry.touchedAt = sentAt
+      entry.leaseStartedAt = sentAt
       entry.bounds.written()
     }
     return [...changed]
   }
 
   /** Nothing was written: queues what can still be written for a flush with a later number. */
-  private refused (flush: FlushOrder, outcome: Extract<FlushOutcome, { kind: 'closed' }>, now: Instant): FlushResult {
+  private refused (flush: FlushBatch, outcome: Extract<FlushOutcome, { kind: 'closed' }>, now: Instant): FlushResult {
     for (const item of [...flush.bills, ...flush.returns]) this.entries.get(item.budget)?.bounds.dropped()
     const lost = new Set(outcome.lostTransfers ?? [])
     const closed = new Set(outcome.budgets)
@@ -170,7 +170,7 @@
     for (const item of flush.transfers) {
       const entry = this.entries.get(item.budget)
       if (entry === undefined || !lost.has(item.transferId) || closed.has(item.budget)) continue
-      entry.loseTransfer(item.transferId)
+      entry.revokeTransfer(item.transferId)
       actions.push(...this.dropUncovered(entry))
       changed.push(entry)
     }
@@ -192,6 +192,6 @@
 }
 
 /** A bill is limited to the reservation; an amount that is not a whole number costs the whole reservation. */
-function usedTokens ({ tokens }: Bill, { own, given }: ReservedTokens): number {
+function usedTokens ({ tokens }: Bill, { fromAllotment: own, fromGrants: given }: ReservedTokens): number {
   return isAmount(tokens) ? Math.min(tokens, own + given) : own + given
 }
--- a/packages/decisions/src/budget/budgetStep.ts
+++ b/packages/decisions/src/budget/budgetStep.ts
@@ -3,33 +3,33 @@
  */
 import type { Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
-import type { BudgetGifts } from './budgetGifts.js'
+import type { PeerGrants } from './peerGrants.js'
 import type { BudgetSupply } from './budgetSupply.js'
 import type { BudgetAction } from './budgetTypes.js'
-import type { BudgetUpkeep } from './budgetUpkeep.js'
+import type { BudgetMaintenance } from './budgetMaintenance.js'
 import type { EntrySet } from './entrySet.js'
 
-export interface BudgetStepParts {
+export interface BudgetStepDeps {
   readonly entries: EntrySet
   readonly supply: BudgetSupply
-  readonly upkeep: BudgetUpkeep
-  readonly gifts: BudgetGifts
+  readonly maintenance: BudgetMaintenance
+  readonly grants: PeerGrants
 }
 
 export class BudgetStep {
-  constructor (private readonly parts: BudgetStepParts) {}
+  constructor (private readonly parts: BudgetStepDeps) {}
 
   /**
    * Processes one budget.
    * @param draining - whether free tokens are returned
    */
-  take (entry: BudgetEntry, draining: boolean, now: Instant): readonly BudgetAction[] {
-    const { entries, supply, upkeep, gifts } = this.parts
+  process (entry: BudgetEntry, draining: boolean, now: Instant): readonly BudgetAction[] {
+    const { entries, supply, maintenance: upkeep, grants: gifts } = this.parts
     if (entry.waiting.length > 0 && entry.held > 0 && !entry.isUsable(now)) upkeep.renew(entry, now)
     const actions = [...supply.serve(entry, now), ...gifts.ask(entry, now)]
     if (entry.waiting.some(item => item.tokens <= entry.free && item.tokens > entry.usable(now))) upkeep.report(entry, now)
     if (draining) upkeep.returnFree(entry, 0, now)
-    entries.watch(entry, this.isOpen(entry, now))
+    entries.setPending(entry, this.isOpen(entry, now))
     return actions
   }
 
--- a/packages/decisions/src/budget/budgetSupply.ts
+++ b/packages/decisions/src/budget/budgetSupply.ts
@@ -6,15 +6,15 @@
 import type { BudgetEntry } from './budgetEntry.js'
 import type { OpenDraw, RoundStage, Shortage } from './budgetEntryTypes.js'
 import { lowWaterMark, type BudgetPolicy } from './budgetPolicy.js'
-import { mayLookAgain, refusalOf } from './budgetRefusal.js'
+import { mayRetryTable, refusalOf } from './budgetRefusal.js'
 import type { BudgetSettlement } from './budgetSettlement.js'
 import type { BudgetAction, DrawOutcome } from './budgetTypes.js'
-import { withHeld } from './reportBound.js'
+import { withAllotment } from './reportBound.js'
 
-const nextStage: Readonly<Partial<Record<RoundStage, RoundStage>>> = { draw: 'give', give: 'recall', recall: 'redraw' }
+const nextStages: Readonly<Partial<Record<RoundStage, RoundStage>>> = { draw: 'give', give: 'recall', recall: 'redraw' }
 
 export class BudgetSupply {
-  private operations = 0
+  private operationCount = 0
 
   /**
    * @param holder - holder id, prefix of operation ids
@@ -34,14 +34,14 @@
   }
 
   /** Handles the outcome of a draw. */
-  drawn (entry: BudgetEntry, outcome: DrawOutcome, now: Instant): void {
+  handleDrawOutcome (entry: BudgetEntry, outcome: DrawOutcome, now: Instant): void {
     const { draw } = entry
     const drawId = draw?.drawId ?? ''
     entry.draw = outcome.kind === 'unavailable' && entry.draw !== undefined ? { ...entry.draw, inFlight: false } : undefined
-    if (outcome.kind === 'granted' && outcome.fleet !== undefined) entry.aim.noteFleet(outcome.fleet)
-    if (outcome.kind === 'granted' && draw?.report !== undefined) entry.bounds.begin(withHeld(draw.report, outcome.tokens))
-    if (outcome.kind === 'granted') this.granted(entry, outcome.tokens, outcome.sentAt)
-    else this.notGranted(entry, outcome, now)
+    if (outcome.kind === 'granted' && outcome.fleet !== undefined) entry.desired.updateFleet(outcome.fleet)
+    if (outcome.kind === 'granted' && draw?.report !== undefined) entry.bounds.begin(withAllotment(draw.report, outcome.tokens))
+    if (outcome.kind === 'granted') this.applyGranted(entry, outcome.tokens, outcome.sentAt)
+    else this.applyNotGranted(entry, outcome, now)
     this.endStage(entry, drawId, now)
   }
 
@@ -54,7 +54,7 @@
       return
     }
     const stage = this.stageAfter(entry, round.stage, now)
-    if (stage !== undefined && entry.need > 0) {
+    if (stage !== undefined && entry.deficit > 0) {
       entry.round = { stage }
       return
     }
@@ -63,8 +63,8 @@
 
   /** Whether the allotment should be refilled. */
   isLow (entry: BudgetEntry, now: Instant): boolean {
-    if (!entry.isWanted) return false
-    return entry.free < lowWaterMark(this.policy, entry.enough(now), entry.aim.largest)
+    if (!entry.isRefilled) return false
+    return entry.free < lowWaterMark(this.policy, entry.refillBase(now), entry.desired.largest)
   }
 
   private endRound (entry: BudgetEntry, now: Instant): void {
@@ -75,14 +75,14 @@
 
   private stageAfter (entry: BudgetEntry, stage: RoundStage, now: Instant): RoundStage | undefined {
     if (this.policy.giftAfterMs !== undefined) return undefined
-    const next = stage === 'draw' && !entry.mayAsk(now) ? 'recall' : nextStage[stage]
-    const reachable = entry.shortage === undefined || entry.shortage.kind === 'short'
-    return next === 'recall' && !reachable ? undefined : next
+    const next = stage === 'draw' && !entry.mayRequestTransfer(now) ? 'recall' : nextStages[stage]
+    const isTableReachable = entry.shortage === undefined || entry.shortage.kind === 'short'
+    return next === 'recall' && !isTableReachable ? undefined : next
   }
 
-  private granted (entry: BudgetEntry, tokens: number, sentAt: Instant): void {
+  private applyGranted (entry: BudgetEntry, tokens: number, sentAt: Instant): void {
     entry.held += tokens
-    entry.touchedAt = sentAt
+    entry.leaseStartedAt = sentAt
     entry.reopen = false
     entry.shortage = undefined
     entry.drawPauseMs = 0
@@ -90,7 +90,7 @@
     entry.level = Math.max(0, entry.free)
   }
 
-  private notGranted (entry: BudgetEntry, outcome: DrawOutcome, now: Instant): void {
+  private applyNotGranted (entry: BudgetEntry, outcome: DrawOutcome, now: Instant): void {
     if (outcome.kind === 'closed') {
       entry.reset()
       return
@@ -100,7 +100,7 @@
     const { retryMs, retryMaxMs } = this.policy
     entry.drawPauseMs = outcome.kind === 'unavailable'
       ? Math.min(retryMaxMs, Math.max(retryMs, entry.drawPauseMs * 2))
-      : this.policy.emptyPauseMs
+      : this.policy.emptyDrawPauseMs
     entry.nextDrawAt = now.mono + entry.drawPauseMs
   }
 
@@ -119,7 +119,7 @@
       const reserved = entry.reserve(item.tokens, now)
       if (reserved === undefined) return true
       this.settlement.open(item.reservationId, entry.budget, reserved)
-      if (this.policy.demandFrom === 'reservations') entry.aim.rate.add(item.tokens, now.mono)
+      if (this.policy.demandFrom === 'reservations') entry.desired.rate.add(item.tokens, now.mono)
       actions.push({ kind: 'admit', reservationId: item.reservationId })
       return false
     })
@@ -140,8 +140,8 @@
   private advance (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     if (entry.round !== undefined) return this.runStage(entry, now)
     if (entry.waiting.length === 0) return this.drawAhead(entry, now)
-    if (this.isUpToOwners(entry, now)) return []
-    if (now.mono < entry.nextRoundAt && !mayLookAgain(entry, now)) return []
+    if (this.leavesDrawToOwners(entry, now)) return []
+    if (now.mono < entry.nextRoundAt && !mayRetryTable(entry, now)) return []
     entry.round = { stage: 'draw' }
     return this.runStage(entry, now)
   }
@@ -150,15 +150,15 @@
    * Whether to leave the draw to the owners; others query the table only if no owner answers. If all holders drew after a mass
    * failure, their transactions on the budget row would queue and mostly conflict, and requests would go on being refused.
    */
-  private isUpToOwners (entry: BudgetEntry, now: Instant): boolean {
+  private leavesDrawToOwners (entry: BudgetEntry, now: Instant): boolean {
     const oldest = entry.waiting[0]
-    return this.policy.giftAfterMs !== undefined && !entry.isSupplied(now.mono) && oldest !== undefined && entry.othersSilentAt < oldest.since.mono
+    return this.policy.giftAfterMs !== undefined && !entry.drawsAhead(now.mono) && oldest !== undefined && entry.peersUnresponsiveAt < oldest.since.mono
   }
 
   private runStage (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     if (entry.round === undefined || entry.round.operationId !== undefined) return []
     const { stage } = entry.round
-    const { budget, need } = entry
+    const { budget, deficit: need } = entry
     if (stage === 'draw' || stage === 'redraw') {
       const actions = this.startDraw(entry, now)
       entry.round = { stage, operationId: entry.draw?.drawId ?? '' }
@@ -166,23 +166,23 @@
     }
     const operationId = this.nextId(stage)
     entry.round = { stage, operationId }
-    const wanted = Math.max(need, this.missing(entry, now))
-    if (stage === 'give') return [{ kind: 'askGive', transferId: operationId, budget, tokens: wanted, atLeast: need }]
+    const wanted = Math.max(need, this.refillTokens(entry, now))
+    if (stage === 'give') return [{ kind: 'requestTransfer', transferId: operationId, budget, tokens: wanted, atLeast: need }]
     return [{ kind: 'recall', recallId: operationId, budget, tokens: wanted, atLeast: need }]
   }
 
   private startDraw (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
-    const { budget, need: atLeast, reopen } = entry
+    const { budget, deficit: atLeast, reopen } = entry
     const isUrgent = atLeast > 0
     // A draw ahead of need is sent again as urgent, under the same id, once requests wait for it.
     if (entry.draw?.inFlight === true && (entry.draw.isUrgent || !isUrgent)) return []
-    const { drawId, since, report } = entry.draw ?? this.freshDraw(entry, now)
+    const { drawId, since, report } = entry.draw ?? this.newDraw(entry, now)
     entry.draw = { drawId, inFlight: true, isUrgent, since, ...(report === undefined ? {} : { report }) }
-    const tokens = Math.max(atLeast, this.missing(entry, now))
-    return [{ kind: 'draw', drawId, budget, tokens, atLeast, least: this.least(entry), isForEvenPart: entry.isForEvenPart(now), reopen, expectsRow: entry.touchedAt !== undefined, ...(report === undefined ? {} : { report }) }]
+    const tokens = Math.max(atLeast, this.refillTokens(entry, now))
+    return [{ kind: 'draw', drawId, budget, tokens, atLeast, minUseful: this.minUsefulTokens(entry), isFairShareOnly: entry.isFairShareOnly(now), reopen, expectsRow: entry.leaseStartedAt !== undefined, ...(report === undefined ? {} : { report }) }]
   }
 
-  private freshDraw (entry: BudgetEntry, now: Instant): Pick<OpenDraw, 'drawId' | 'since' | 'report'> {
+  private newDraw (entry: BudgetEntry, now: Instant): Pick<OpenDraw, 'drawId' | 'since' | 'report'> {
     const draw = { drawId: this.nextId('draw'), since: now }
     return this.policy.boundsUse && entry.bounds.isEmpty ? { ...draw, report: { ...entry.allowance(now), at: now } } : draw
   }
@@ -194,18 +194,18 @@
   }
 
   /** Tokens needed to reach the desired allotment in addition to waiting requests. */
-  private missing (entry: BudgetEntry, now: Instant): number {
-    const target = entry.isWanted ? entry.aim.tokens(now.mono) : 0
-    return Math.max(0, target + entry.waitingTokens - Math.max(0, entry.free))
+  private refillTokens (entry: BudgetEntry, now: Instant): number {
+    const desired = entry.isRefilled ? entry.desired.tokens(now.mono) : 0
+    return Math.max(0, desired + entry.waitingTokens - Math.max(0, entry.free))
   }
 
-  private least (entry: BudgetEntry): number {
+  private minUsefulTokens (entry: BudgetEntry): number {
     const smallest = entry.waiting.reduce((least, item) => Math.min(least, item.tokens), Infinity)
     return Number.isFinite(smallest) ? Math.max(1, smallest - Math.max(0, entry.free)) : 0
   }
 
   private nextId (stage: RoundStage): string {
-    this.operations += 1
-    return `${this.holder}.${stage}${this.operations}`
+    this.operationCount += 1
+    return `${this.holder}.${stage}${this.operationCount}`
   }
 }
--- a/packages/decisions/src/budget/budgetGiving.ts
+++ b/packages/decisions/src/budget/budgetTransfers.ts
@@ -3,24 +3,24 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { BudgetEntry } from './budgetEntry.js'
-import { giveTokens, recallTokens, type BudgetPolicy } from './budgetPolicy.js'
+import { transferableTokens, recallableTokens, type BudgetPolicy } from './budgetPolicy.js'
 import type { BudgetEvent, Transfer } from './budgetTypes.js'
 import type { FlushQueue } from './flushQueue.js'
 
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
 /** An answered transfer request. */
-interface GivenTransfer {
+interface AnsweredTransfer {
   /** Undefined if the request is permanently answered with nothing. */
   readonly transfer: Transfer | undefined
   readonly at: Instant
 }
 
-export class BudgetGiving {
+export class BudgetTransfers {
   /** Sent transfers by id, oldest first. */
-  private readonly given = new Map<string, GivenTransfer>()
-  private readonly received = new Map<string, Instant>()
-  private readonly fenced = new Map<string, Instant>()
+  private readonly answeredById = new Map<string, AnsweredTransfer>()
+  private readonly receivedAt = new Map<string, Instant>()
+  private readonly fencedAt = new Map<string, Instant>()
 
   /** @param queue - writes transfers and returns to the table */
   constructor (
@@ -33,24 +33,24 @@
    * Answers a transfer request; the tokens are subtracted before the answer.
    * @param entry - undefined if this holder has no entry for the budget
    */
-  give (event: EventOf<'giveAsked'>, entry: BudgetEntry | undefined, now: Instant): Transfer | undefined {
+  answerRequest (event: EventOf<'transferRequested'>, entry: BudgetEntry | undefined, now: Instant): Transfer | undefined {
     if (this.isFenced(event.to, now) || !event.sameDomain || event.to === this.holder) return undefined
-    const earlier = this.given.get(event.transferId)
+    const earlier = this.answeredById.get(event.transferId)
     if (earlier !== undefined) return earlier.transfer === undefined ? undefined : this.withLease(earlier.transfer, entry, now)
     if (event.isRepeat === true) {
       // The first request may still arrive after its sender can no longer use the tokens.
-      this.given.set(event.transferId, { transfer: undefined, at: now })
+      this.answeredById.set(event.transferId, { transfer: undefined, at: now })
       return undefined
     }
     if (entry === undefined || entry.leaseLeftMs(now) < this.policy.requestTimeoutMs) return undefined
-    const tokens = giveTokens(entry.giveable, event.wanted, event.atLeast ?? 0)
+    const tokens = transferableTokens(entry.transferable, event.wanted, event.atLeast ?? 0)
     if (tokens <= 0) return undefined
     const transfer = { transferId: event.transferId, budget: event.budget, from: this.holder, to: event.to, tokens }
     entry.held -= tokens
     entry.level = Math.min(entry.level, Math.max(0, entry.free))
-    this.given.set(event.transferId, { transfer, at: now })
+    this.answeredById.set(event.transferId, { transfer, at: now })
     this.queue.addTransfer(transfer, now.mono)
-    this.forgetOld(now)
+    this.removeExpired(now)
     return this.withLease(transfer, entry, now)
   }
 
@@ -59,20 +59,20 @@
    * @param askedAt - when the transfer was requested
    */
   receive (transfer: Transfer, entry: BudgetEntry, askedAt: Instant, now: Instant): boolean {
-    if (this.received.has(transfer.transferId) || this.isFenced(transfer.from, now)) return false
-    this.received.set(transfer.transferId, now)
+    if (this.receivedAt.has(transfer.transferId) || this.isFenced(transfer.from, now)) return false
+    this.receivedAt.set(transfer.transferId, now)
     entry.receive(transfer, askedAt)
     this.queue.addTransfer(transfer, now.mono)
     return true
   }
 
   /** Returns tokens on a recall, except those that local demand needs. */
-  returnOnRecall (event: EventOf<'recallAsked'>, entry: BudgetEntry, now: Instant): number {
-    const keep = entry.aim.rate.perMs(now.mono) * this.policy.recallKeepMs
-    const tokens = recallTokens(entry.free, keep, event.atLeast ?? event.wanted)
+  returnOnRecall (event: EventOf<'recallRequested'>, entry: BudgetEntry, now: Instant): number {
+    const retained = entry.desired.rate.perMs(now.mono) * this.policy.recallRetainMs
+    const tokens = recallableTokens(entry.free, retained, event.atLeast ?? event.wanted)
     if (tokens === 0) return 0
     // Delays the next draw, which would otherwise take back the tokens that another holder needs more.
-    entry.nextDrawAt = Math.max(entry.nextDrawAt, now.mono + this.policy.emptyPauseMs)
+    entry.nextDrawAt = Math.max(entry.nextDrawAt, now.mono + this.policy.emptyDrawPauseMs)
     entry.returning += tokens
     entry.level = Math.min(entry.level, Math.max(0, entry.free))
     this.queue.addReturn({ budget: event.budget, tokens }, now.mono)
@@ -81,12 +81,12 @@
 
   /** Stops transfers from and to a terminated holder; its answers in flight are void. */
   fence (holder: string, now: Instant): void {
-    this.fenced.set(holder, now)
+    this.fencedAt.set(holder, now)
   }
 
   private isFenced (holder: string, now: Instant): boolean {
-    const since = this.fenced.get(holder)
-    return since !== undefined && elapsedMs(since, now) < this.policy.lapseMs
+    const since = this.fencedAt.get(holder)
+    return since !== undefined && elapsedMs(since, now) < this.policy.allotmentExpiryMs
   }
 
   private withLease (transfer: Transfer, entry: BudgetEntry | undefined, now: Instant): Transfer {
@@ -94,14 +94,14 @@
     return { ...transfer, validForMs }
   }
 
-  private forgetOld (now: Instant): void {
-    for (const [id, item] of this.given) {
-      if (elapsedMs(item.at, now) < this.policy.lapseMs) break
-      this.given.delete(id)
+  private removeExpired (now: Instant): void {
+    for (const [id, item] of this.answeredById) {
+      if (elapsedMs(item.at, now) < this.policy.allotmentExpiryMs) break
+      this.answeredById.delete(id)
     }
-    for (const [id, at] of this.received) {
-      if (elapsedMs(at, now) < this.policy.lapseMs) break
-      this.received.delete(id)
+    for (const [id, at] of this.receivedAt) {
+      if (elapsedMs(at, now) < this.policy.allotmentExpiryMs) break
+      this.receivedAt.delete(id)
     }
   }
 }
--- a/packages/decisions/src/budget/budgetTypes.ts
+++ b/packages/decisions/src/budget/budgetTypes.ts
@@ -132,16 +132,16 @@
   | { readonly kind: 'holderJoined', readonly holder: string }
   | { readonly kind: 'drawAnswered', readonly drawId: string, readonly outcome: DrawOutcome }
   | { readonly kind: 'flushAnswered', readonly seq: number, readonly outcome: FlushOutcome }
-  | { readonly kind: 'giveAsked', readonly transferId: string, readonly budget: string, readonly to: string, readonly wanted: number, readonly atLeast?: number, readonly sameDomain: boolean, readonly isRepeat?: boolean }
-  | { readonly kind: 'giveAnswered', readonly transferId: string, readonly transfer?: Transfer, readonly askedAt?: Instant }
-  | { readonly kind: 'recallAsked', readonly budget: string, readonly wanted: number, readonly atLeast?: number }
+  | { readonly kind: 'transferRequested', readonly transferId: string, readonly budget: string, readonly to: string, readonly wanted: number, readonly atLeast?: number, readonly sameDomain: boolean, readonly isRepeat?: boolean }
+  | { readonly kind: 'transferAnswered', readonly transferId: string, readonly transfer?: Transfer, readonly askedAt?: Instant }
+  | { readonly kind: 'recallRequested', readonly budget: string, readonly wanted: number, readonly atLeast?: number }
   | { readonly kind: 'recallAnswered', readonly recallId: string, readonly returned: number, readonly unreachable?: number }
   /** Another holder requests a grant; answered immediately by `answerGrant` with the same id. */
-  | { readonly kind: 'giftAsked', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly to: string }
+  | { readonly kind: 'grantRequested', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly to: string }
   /** Result of a grant request: `tokens` is the total granted, `isReached` whether any peer answered. */
-  | { readonly kind: 'giftAnswered', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly isReached: boolean }
+  | { readonly kind: 'grantAnswered', readonly giftId: string, readonly budget: string, readonly tokens: number, readonly isReached: boolean }
   /** A terminating holder handed its tokens over to this one. */
-  | { readonly kind: 'handedOver', readonly budget: string, readonly tokens: number }
+  | { readonly kind: 'handoverReceived', readonly budget: string, readonly tokens: number }
   /** A holder terminated: no transfer from or to it may start, and its late answers are void. */
   | { readonly kind: 'fence', readonly holder: string }
   /** The paid amount changed: a recorded shortage is void, and free tokens are returned if the amount was lowered. */
@@ -178,23 +178,23 @@
   | { readonly kind: 'admit', readonly reservationId: string }
   | { readonly kind: 'refuse', readonly reservationId: string, readonly failure: Failure }
   /** Allots up to `tokens` more, `atLeast` if possible; less than `minUseful` is not drawn. */
-  | { readonly kind: 'draw', readonly drawId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number, readonly least?: number, readonly isForEvenPart?: boolean, readonly reopen?: boolean, readonly expectsRow?: boolean, readonly report?: ReportAllowance }
+  | { readonly kind: 'draw', readonly drawId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number, readonly minUseful?: number, readonly isFairShareOnly?: boolean, readonly reopen?: boolean, readonly expectsRow?: boolean, readonly report?: ReportAllowance }
   /** One transaction: inserts the segment row if absent, settles every bill, returns tokens (0 only renews the row) and records transfers. */
   | { readonly kind: 'flush', readonly seq: number, readonly bills: readonly Bill[], readonly returns: readonly BudgetReturn[], readonly transfers: readonly Transfer[], readonly reports?: readonly BudgetReport[] }
   /** Requests a transfer from the holders of the local domain. */
-  | { readonly kind: 'askGive', readonly transferId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number }
+  | { readonly kind: 'requestTransfer', readonly transferId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number }
   /** Answers `transferRequested`; the tokens are already subtracted. Without `transfer` nothing is transferred. */
-  | { readonly kind: 'give', readonly transferId: string, readonly transfer?: Transfer }
+  | { readonly kind: 'answerTransfer', readonly transferId: string, readonly transfer?: Transfer }
   /** Requests tokens from other holders for immediate use, without the table. */
-  | { readonly kind: 'askGift', readonly giftId: string, readonly budget: string, readonly tokens: number }
+  | { readonly kind: 'requestGrant', readonly giftId: string, readonly budget: string, readonly tokens: number }
   /** Answers `grantRequested`: `tokens`, already billed here, belong to the requester; `left` could be granted in addition. */
-  | { readonly kind: 'gift', readonly giftId: string, readonly tokens: number, readonly left: number }
+  | { readonly kind: 'answerGrant', readonly giftId: string, readonly tokens: number, readonly left: number }
   /** Hands already billed tokens over to another holder on shutdown, when they cannot be returned to the table. */
   | { readonly kind: 'handOver', readonly budget: string, readonly tokens: number }
   /** Requests that holders in all domains return tokens that they do not need. */
   | { readonly kind: 'recall', readonly recallId: string, readonly budget: string, readonly tokens: number, readonly atLeast: number }
   /** Answers `recallRequested`: `tokens` are being returned to the table. */
-  | { readonly kind: 'returning', readonly budget: string, readonly tokens: number }
+  | { readonly kind: 'answerRecall', readonly budget: string, readonly tokens: number }
   /** The allotment of this holder was closed; the recovery accounts for the `inDoubt` tokens billed or reserved here. */
   | { readonly kind: 'closed', readonly budget: string, readonly inDoubt: number }
 
--- a/packages/decisions/src/budget/demandRate.spec.ts
+++ b/packages/decisions/src/budget/demandRate.spec.ts
@@ -7,8 +7,8 @@
 const WINDOW_MS = 3_000
 
 /** 10 tokens per millisecond for `ms`, in steps of 10 ms. */
-function steady (ms: number, isEarly: boolean): DemandRate {
-  const rate = new DemandRate(WINDOW_MS, isEarly)
+function steady (ms: number, extrapolates: boolean): DemandRate {
+  const rate = new DemandRate(WINDOW_MS, extrapolates)
   for (let mono = 0; mono <= ms; mono += 10) rate.add(100, mono)
   return rate
 }
--- a/packages/decisions/src/budget/demandRate.ts
+++ b/packages/decisions/src/budget/demandRate.ts
@@ -4,19 +4,19 @@
 import { DecayingSum } from '../clock/decayingSum.js'
 
 /** Minimum fraction of the window that counts as filled, so that the first requests are not extrapolated too far. */
-const LEAST_PART = 0.25
+const MIN_FILLED_RATIO = 0.25
 
 /** Tokens per millisecond, averaged over an exponentially decaying window. */
 export class DemandRate {
-  private readonly used: DecayingSum
+  private readonly sum: DecayingSum
   private since: number | undefined
 
   /**
    * @param windowMs - time constant in milliseconds
-   * @param isEarly - whether a history shorter than the window is extrapolated
+   * @param extrapolates - whether a history shorter than the window is extrapolated
    */
-  constructor (private readonly windowMs: number, private readonly isEarly = false) {
-    this.used = new DecayingSum(windowMs)
+  constructor (private readonly windowMs: number, private readonly extrapolates = false) {
+    this.sum = new DecayingSum(windowMs)
   }
 
   /**
@@ -24,7 +24,7 @@
    * @param mono - monotonic milliseconds
    */
   add (tokens: number, mono: number): void {
-    this.used.add(tokens, mono)
+    this.sum.add(tokens, mono)
     this.since ??= mono
   }
 
@@ -33,12 +33,12 @@
    * @param mono - monotonic milliseconds
    */
   perMs (mono: number): number {
-    return this.used.at(mono) / (this.windowMs * this.filledPart(mono))
+    return this.sum.at(mono) / (this.windowMs * this.filledRatio(mono))
   }
 
   /** Fraction of the window that the history fills. */
-  private filledPart (mono: number): number {
-    if (!this.isEarly || this.since === undefined) return 1
-    return Math.max(LEAST_PART, 1 - Math.exp((this.since - mono) / this.windowMs))
+  private filledRatio (mono: number): number {
+    if (!this.extrapolates || this.since === undefined) return 1
+    return Math.max(MIN_FILLED_RATIO, 1 - Math.exp((this.since - mono) / this.windowMs))
   }
 }
--- a/packages/decisions/src/budget/budgetAim.ts
+++ b/packages/decisions/src/budget/desiredAllotment.ts
@@ -1,22 +1,22 @@
 /**
  * Desired allotment of one holder in one budget: enough for its local demand, and at least its fair share if it owns the budget.
  */
-import { evenTokens, targetTokens, type BudgetPolicy } from './budgetPolicy.js'
+import { fairShareTokens, desiredTokens, type BudgetPolicy } from './budgetPolicy.js'
 import { MAX_TOKENS } from './budgetRows.js'
 import type { FleetSpending } from './budgetTypes.js'
 import { DemandRate } from './demandRate.js'
-import { mostAtOnce } from './reportBound.js'
+import { maxUnreportedTokens } from './reportBound.js'
 
 /**
  * Requests per second from which a holder that does not own a budget draws it ahead of need, and below which it stops. If all
  * callers of a team use one VM, its grant requests exceed the unreported use that the owners are allowed, and requests are refused.
  */
-const BUSY_FROM_PER_S = 6
-const BUSY_UNTIL_PER_S = 2
+const BUSY_FROM_REQUESTS_PER_S = 6
+const BUSY_UNTIL_REQUESTS_PER_S = 2
 const MS_PER_SECOND = 1_000
 
 /** Desired allotment of one holder in one budget. Times in monotonic milliseconds. */
-export class BudgetAim {
+export class DesiredAllotment {
   /** Demand at this holder in tokens. */
   readonly rate: DemandRate
   /** Largest request seen. */
@@ -33,51 +33,51 @@
   }
 
   /** Updates the spending of all holders from a draw. */
-  noteFleet (fleet: FleetSpending): void {
+  updateFleet (fleet: FleetSpending): void {
     this.fleet = fleet
   }
 
   /** Maximum unreported tokens that a report allows beyond those in use. */
-  get mostAtOnce (): number {
-    return mostAtOnce(this.fleet)
+  get maxUnreported (): number {
+    return maxUnreportedTokens(this.fleet)
   }
 
   /** Desired allotment in tokens. */
   tokens (mono: number): number {
-    if (this.isOwned()) return Math.max(this.forDemand(mono), this.evenPart)
-    return this.isBusy(mono) ? this.forDemand(mono) : 0
+    if (this.isOwned()) return Math.max(this.demandTokens(mono), this.fairShare)
+    return this.isBusy(mono) ? this.demandTokens(mono) : 0
   }
 
   /**
    * Counts a request at this holder.
    * @param tokens - worst-case cost
    */
-  noteRequest (tokens: number, mono: number): void {
+  recordRequest (tokens: number, mono: number): void {
     this.largest = Math.max(this.largest, tokens)
     this.requests.add(1, mono)
   }
 
   /** Whether local demand alone justifies an allotment, with hysteresis. */
   isBusy (mono: number): boolean {
-    this.wasBusy = this.requests.perMs(mono) * MS_PER_SECOND >= (this.wasBusy ? BUSY_UNTIL_PER_S : BUSY_FROM_PER_S)
+    this.wasBusy = this.requests.perMs(mono) * MS_PER_SECOND >= (this.wasBusy ? BUSY_UNTIL_REQUESTS_PER_S : BUSY_FROM_REQUESTS_PER_S)
     return this.wasBusy
   }
 
   /** Whether local demand does not exceed the fair share. */
-  isEvenPart (mono: number): boolean {
-    return this.policy.evenPart > 0 && this.forDemand(mono) <= this.evenPart
+  isWithinFairShare (mono: number): boolean {
+    return this.policy.evenPart > 0 && this.demandTokens(mono) <= this.fairShare
   }
 
   /** Fair share of this holder; the maximum before the first draw, when the unspent amount is unknown. */
-  get evenPart (): number {
+  get fairShare (): number {
     const { fleet, policy: { evenPart } } = this
     if (evenPart === 0) return 0
-    return fleet === undefined ? MAX_TOKENS : evenTokens(fleet.paid - fleet.spent, fleet.holders, evenPart)
+    return fleet === undefined ? MAX_TOKENS : fairShareTokens(fleet.paid - fleet.spent, fleet.holders, evenPart)
   }
 
   /** With fair shares there is no minimum allotment in addition: it would lie idle at all holders without demand. */
-  private forDemand (mono: number): number {
+  private demandTokens (mono: number): number {
     const rate = this.rate.perMs(mono)
-    return this.policy.evenPart > 0 ? Math.ceil(rate * this.policy.horizonMs) : targetTokens(this.policy, rate, this.largest)
+    return this.policy.evenPart > 0 ? Math.ceil(rate * this.policy.horizonMs) : desiredTokens(this.policy, rate, this.largest)
   }
 }
--- a/packages/decisions/src/budget/entrySet.ts
+++ b/packages/decisions/src/budget/entrySet.ts
@@ -10,21 +10,21 @@
   private readonly open = new Set<BudgetEntry>()
 
   /** Entries to process on the next tick. */
-  get watched (): Iterable<BudgetEntry> {
+  get pending (): Iterable<BudgetEntry> {
     return this.open
   }
 
   /**
    * Adds an entry to the next tick, or removes it.
-   * @param isOpen - whether it has open work
+   * @param isPending - whether it has open work
    */
-  watch (entry: BudgetEntry, isOpen = true): void {
-    if (isOpen) this.open.add(entry)
+  setPending (entry: BudgetEntry, isPending = true): void {
+    if (isPending) this.open.add(entry)
     else this.open.delete(entry)
   }
 
   /** The entry with this open draw. */
-  withDraw (drawId: string): BudgetEntry | undefined {
+  byDraw (drawId: string): BudgetEntry | undefined {
     return [...this.open].find(entry => entry.draw?.drawId === drawId)
   }
 
@@ -32,12 +32,12 @@
    * The entry whose round waits for an operation.
    * @param operationId - id of a transfer or a recall
    */
-  withOperation (operationId: string): BudgetEntry | undefined {
+  byOperation (operationId: string): BudgetEntry | undefined {
     return [...this.open].find(entry => entry.round?.operationId === operationId)
   }
 
   /** Whether all entries are empty. */
-  get holdNothing (): boolean {
+  get areEmpty (): boolean {
     return [...this.all.values()].every(entry => entry.isEmpty)
   }
 }
--- a/packages/decisions/src/budget/flushPlan.ts
+++ b/packages/decisions/src/budget/flushPlan.ts
@@ -11,7 +11,7 @@
 import type { PlanKey, RowSet } from './rowSet.js'
 
 /** Content of a flush; the same for every retry of a sequence number. */
-export interface FlushOrder {
+export interface FlushBatch {
   readonly seq: number
   readonly bills: readonly Bill[]
   readonly returns: readonly BudgetReturn[]
@@ -20,13 +20,13 @@
   readonly reports?: readonly BudgetReport[]
 }
 
-export interface TimedFlush extends FlushOrder {
+export interface TimedFlush extends FlushBatch {
   /** Time of the reports: table clock in milliseconds, not later than the first send of the flush. */
   readonly since?: number
 }
 
 /** The holder that flushes. */
-export interface Flusher {
+export interface FlushingHolder {
   readonly holder: string
   readonly domain: string
 }
@@ -37,22 +37,22 @@
   /** Nothing may be written: allotments were closed, or transfers can no longer be recorded. */
   | { readonly kind: 'closed', readonly budgets: readonly string[], readonly lostTransfers: readonly string[] }
 
-function ownBudgets (order: FlushOrder): ReadonlySet<string> {
-  return new Set([...order.bills.map(bill => bill.budget), ...order.returns.map(item => item.budget)])
+function settledBudgets (batch: FlushBatch): ReadonlySet<string> {
+  return new Set([...batch.bills.map(bill => bill.budget), ...batch.returns.map(item => item.budget)])
 }
 
 /** Rows that a flush reads. */
-export function flushKeys (order: FlushOrder, flusher: Flusher): readonly PlanKey[] {
-  const allotments = new Set([...ownBudgets(order)].map(budget => allotmentKey(budget, flusher.holder)))
-  for (const item of order.transfers) {
+export function flushKeys (batch: FlushBatch, flusher: FlushingHolder): readonly PlanKey[] {
+  const allotments = new Set([...settledBudgets(batch)].map(budget => allotmentKey(budget, flusher.holder)))
+  for (const item of batch.transfers) {
     allotments.add(allotmentKey(item.budget, item.from))
     allotments.add(allotmentKey(item.budget, item.to))
   }
   return [
-    { table: budgetTables.segments, key: segmentKey(flusher.holder, order.seq) },
+    { table: budgetTables.segments, key: segmentKey(flusher.holder, batch.seq) },
     ...[...allotments].map(key => ({ table: budgetTables.allotments, key })),
-    ...order.transfers.map(item => ({ table: budgetTables.transfers, key: item.transferId })),
-    ...[...new Set(order.returns.filter(item => item.tokens > 0).map(item => item.budget))].map(key => ({ table: budgetTables.budgets, key }))
+    ...batch.transfers.map(item => ({ table: budgetTables.transfers, key: item.transferId })),
+    ...[...new Set(batch.returns.filter(item => item.tokens > 0).map(item => item.budget))].map(key => ({ table: budgetTables.budgets, key }))
   ]
 }
 
@@ -65,13 +65,13 @@
 }
 
 /** Whether the allotment of the holder was closed, or closed and removed, so that nothing can be settled against it. */
-function isLost (rows: RowSet, order: FlushOrder, budget: string, holder: string): boolean {
+function isAllotmentLost (rows: RowSet, batch: FlushBatch, budget: string, holder: string): boolean {
   if (allotmentOf(rows, budget, holder) !== undefined) return isClosed(rows, budget, holder)
-  return !order.transfers.some(item => item.budget === budget && item.to === holder && !isRecorded(rows, item))
+  return !batch.transfers.some(item => item.budget === budget && item.to === holder && !isRecorded(rows, item))
 }
 
-function lostTransfers (rows: RowSet, order: FlushOrder): readonly string[] {
-  return order.transfers
+function lostTransfers (rows: RowSet, batch: FlushBatch): readonly string[] {
+  return batch.transfers
     .filter(item => !isRecorded(rows, item))
     .filter(item => allotmentOf(rows, item.budget, item.from)?.state !== 'open' || isClosed(rows, item.budget, item.to))
     .map(item => item.transferId)
@@ -79,22 +79,22 @@
 
 function recordTransfer (rows: RowSet, transfer: Transfer, domain: string): Either<Failure, void> {
   if (isRecorded(rows, transfer)) return Right(undefined)
-  const giver = allotmentOf(rows, transfer.budget, transfer.from)
-  if (giver === undefined) return Left(new Failure('internal', `${transfer.from} has no allotment to transfer from`))
+  const senderRow = allotmentOf(rows, transfer.budget, transfer.from)
+  if (senderRow === undefined) return Left(new Failure('internal', `${transfer.from} has no allotment to transfer from`))
   const receiver = allotmentOf(rows, transfer.budget, transfer.to) ?? emptyAllotment(transfer.budget, transfer.to, domain)
-  return applyTransfer({ giver, receiver }, transfer).ifRight(pair => {
-    putAllotment(rows, pair.giver)
+  return applyTransfer({ sender: senderRow, receiver }, transfer).ifRight(pair => {
+    putAllotment(rows, pair.sender)
     putAllotment(rows, pair.receiver)
     rows.set(budgetTables.transfers, transfer.transferId, transfer)
   }).map(() => undefined)
 }
 
-function settleBill (rows: RowSet, bill: Bill, flusher: Flusher): Either<Failure, void> {
+function settleBill (rows: RowSet, bill: Bill, flusher: FlushingHolder): Either<Failure, void> {
   const row = allotmentOf(rows, bill.budget, flusher.holder) ?? emptyAllotment(bill.budget, flusher.holder, flusher.domain)
   return applySettle(row, bill.tokens).ifRight(after => putAllotment(rows, after)).map(() => undefined)
 }
 
-function giveBack (rows: RowSet, item: BudgetReturn, flusher: Flusher): Either<Failure, void> {
+function applyBudgetReturn (rows: RowSet, item: BudgetReturn, flusher: FlushingHolder): Either<Failure, void> {
   // An empty return only renews the allotment row.
   if (item.tokens === 0) return Right(undefined)
   const budget = budgetOf(rows, item.budget)
@@ -108,12 +108,12 @@
   }).map(() => undefined)
 }
 
-function stampSeq (rows: RowSet, order: TimedFlush, flusher: Flusher): void {
-  const reports = new Map((order.reports ?? []).map(({ budget, tokens, perMs }) => [budget, { tokens, perMs, since: order.since ?? 0 }]))
-  for (const budget of ownBudgets(order)) {
+function writeSeqAndReports (rows: RowSet, batch: TimedFlush, flusher: FlushingHolder): void {
+  const reports = new Map((batch.reports ?? []).map(({ budget, tokens, perMs }) => [budget, { tokens, perMs, since: batch.since ?? 0 }]))
+  for (const budget of settledBudgets(batch)) {
     const row = allotmentOf(rows, budget, flusher.holder)
     const report = reports.get(budget) ?? row?.report
-    if (row !== undefined) putAllotment(rows, { ...row, lastSeq: order.seq, ...(report === undefined ? {} : { report }) })
+    if (row !== undefined) putAllotment(rows, { ...row, lastSeq: batch.seq, ...(report === undefined ? {} : { report }) })
   }
 }
 
@@ -121,23 +121,23 @@
  * Plans a flush.
  * @param rows - rows of {@link flushKeys}
  */
-export function planFlush (rows: RowSet, order: TimedFlush, flusher: Flusher): Either<Failure, FlushPlan> {
+export function planFlush (rows: RowSet, batch: TimedFlush, flusher: FlushingHolder): Either<Failure, FlushPlan> {
   const { holder, domain } = flusher
-  const key = segmentKey(holder, order.seq)
+  const key = segmentKey(holder, batch.seq)
   if (rows.get(segmentRowSchema, budgetTables.segments, key) !== undefined) return Right({ kind: 'done' })
-  const budgets = [...ownBudgets(order)].filter(budget => isLost(rows, order, budget, holder))
-  const lost = lostTransfers(rows, order)
+  const budgets = [...settledBudgets(batch)].filter(budget => isAllotmentLost(rows, batch, budget, holder))
+  const lost = lostTransfers(rows, batch)
   if (budgets.length > 0 || lost.length > 0) return Right({ kind: 'closed', budgets, lostTransfers: lost })
   const steps = [
-    ...order.transfers.map(item => () => recordTransfer(rows, item, domain)),
-    ...order.bills.map(bill => () => settleBill(rows, bill, flusher)),
-    ...order.returns.map(item => () => giveBack(rows, item, flusher))
+    ...batch.transfers.map(item => () => recordTransfer(rows, item, domain)),
+    ...batch.bills.map(bill => () => settleBill(rows, bill, flusher)),
+    ...batch.returns.map(item => () => applyBudgetReturn(rows, item, flusher))
   ]
   for (const step of steps) {
     const result = step()
     if (result.isLeft()) return result.map(() => ({ kind: 'done' }))
   }
-  stampSeq(rows, order, flusher)
-  rows.set(budgetTables.segments, key, { holder, seq: order.seq, bills: order.bills })
+  writeSeqAndReports(rows, batch, flusher)
+  rows.set(budgetTables.segments, key, { holder, seq: batch.seq, bills: batch.bills })
   return Right({ kind: 'write' })
 }
--- a/packages/decisions/src/budget/flushQueue.ts
+++ b/packages/decisions/src/budget/flushQueue.ts
@@ -3,38 +3,38 @@
  * of a sent number never changes, so that a flush can be retried until its outcome is known.
  */
 import type { Bill, BudgetReturn, Transfer } from './budgetTypes.js'
-import type { FlushOrder } from './flushPlan.js'
+import type { FlushBatch } from './flushPlan.js'
 
 /** Limits that keep a flush within the transaction limits of the table. */
 const MAX_FLUSH_BILLS = 150
 const MAX_FLUSH_TRANSFERS = 60
 
 /** Times in milliseconds and batch limits of a flush queue. */
-export interface FlushTimes {
+export interface FlushLimits {
   readonly flushMs: number
   readonly retryMs: number
   readonly retryMaxMs: number
   /** Maximum budgets in a flush. */
-  readonly budgetsAtOnce: number
+  readonly maxBudgetsPerFlush: number
   /** Maximum budgets to which a flush returns tokens: all holders write their rows, and each may conflict. */
-  readonly returnsAtOnce: number
+  readonly maxReturnsPerFlush: number
 }
 
 export class FlushQueue {
   private bills: Bill[] = []
   private transfers: Transfer[] = []
   private readonly returns = new Map<string, number>()
-  private sent: FlushOrder | undefined
+  private sent: FlushBatch | undefined
   private inFlight = false
   private seq = 0
   private dueAt: number | undefined
   private pauseMs = 0
   private retryAt = 0
 
-  constructor (private readonly times: FlushTimes) {}
+  constructor (private readonly limits: FlushLimits) {}
 
   /** The sent flush whose outcome is unknown. */
-  get open (): FlushOrder | undefined {
+  get open (): FlushBatch | undefined {
     return this.sent
   }
 
@@ -53,7 +53,7 @@
    */
   addBill (bill: Bill, mono: number): void {
     this.bills.push(bill)
-    this.schedule(mono + this.times.flushMs)
+    this.schedule(mono + this.limits.flushMs)
   }
 
   /**
@@ -72,7 +72,7 @@
    */
   addTransfer (transfer: Transfer, mono: number): void {
     this.transfers.push(transfer)
-    this.schedule(mono + this.times.flushMs)
+    this.schedule(mono + this.limits.flushMs)
   }
 
   /**
@@ -93,13 +93,13 @@
    * The flush to send now, if one is due and none is in flight.
    * @param mono - monotonic milliseconds
    */
-  next (mono: number): FlushOrder | undefined {
+  next (mono: number): FlushBatch | undefined {
     if (this.inFlight || this.dueAt === undefined || mono < this.dueAt) return undefined
     if (this.sent === undefined && !this.hasQueued) return undefined
     if (this.sent !== undefined && mono < this.retryAt) return undefined
-    this.sent ??= this.takeBatch()
+    this.sent ??= this.dequeueBatch()
     this.inFlight = true
-    this.dueAt = this.hasQueued ? mono + this.times.flushMs : undefined
+    this.dueAt = this.hasQueued ? mono + this.limits.flushMs : undefined
     return this.sent
   }
 
@@ -107,12 +107,12 @@
    * Ends the open flush: it is durable, or certainly never will be.
    * @param mono - monotonic milliseconds
    */
-  finish (mono: number): FlushOrder | undefined {
+  finish (mono: number): FlushBatch | undefined {
     const done = this.sent
     this.sent = undefined
     this.inFlight = false
     this.pauseMs = 0
-    if (this.hasQueued) this.schedule(mono + this.times.flushMs)
+    if (this.hasQueued) this.schedule(mono + this.limits.flushMs)
     return done
   }
 
@@ -122,7 +122,7 @@
    */
   retry (mono: number): void {
     this.inFlight = false
-    this.pauseMs = Math.min(this.times.retryMaxMs, Math.max(this.times.retryMs, this.pauseMs * 2))
+    this.pauseMs = Math.min(this.limits.retryMaxMs, Math.max(this.limits.retryMs, this.pauseMs * 2))
     this.retryAt = mono + this.pauseMs
     this.schedule(this.retryAt)
   }
@@ -146,43 +146,43 @@
     this.dueAt = this.dueAt === undefined ? mono : Math.min(this.dueAt, mono)
   }
 
-  private takeBatch (): FlushOrder {
+  private dequeueBatch (): FlushBatch {
     this.seq += 1
     const transfers = this.transfers.splice(0, MAX_FLUSH_TRANSFERS)
     const budgets = new Set<string>()
-    const bills = this.transfers.length > 0 ? [] : this.takeBills(budgets)
-    const returns = this.takeReturns(budgets, transfers)
+    const bills = this.transfers.length > 0 ? [] : this.dequeueBills(budgets)
+    const returns = this.dequeueReturns(budgets, transfers)
     return { seq: this.seq, bills, returns, transfers }
   }
 
-  private takeBills (budgets: Set<string>): readonly Bill[] {
+  private dequeueBills (budgets: Set<string>): readonly Bill[] {
     let count = 0
     while (count < this.bills.length && count < MAX_FLUSH_BILLS) {
       const bill = this.bills[count]
-      if (bill === undefined || (budgets.size === this.times.budgetsAtOnce && !budgets.has(bill.budget))) break
+      if (bill === undefined || (budgets.size === this.limits.maxBudgetsPerFlush && !budgets.has(bill.budget))) break
       budgets.add(bill.budget)
       count += 1
     }
     return this.bills.splice(0, count)
   }
 
-  private takeReturns (budgets: Set<string>, transfers: readonly Transfer[]): readonly BudgetReturn[] {
-    const taken: BudgetReturn[] = []
-    let returning = 0
+  private dequeueReturns (budgets: Set<string>, transfers: readonly Transfer[]): readonly BudgetReturn[] {
+    const batch: BudgetReturn[] = []
+    let returnCount = 0
     for (const [budget, tokens] of this.returns) {
-      if (tokens > 0 && returning === this.times.returnsAtOnce) continue
-      if (budgets.size >= this.times.budgetsAtOnce && !budgets.has(budget)) continue
+      if (tokens > 0 && returnCount === this.limits.maxReturnsPerFlush) continue
+      if (budgets.size >= this.limits.maxBudgetsPerFlush && !budgets.has(budget)) continue
       if (this.transfers.some(item => item.budget === budget)) continue
       budgets.add(budget)
-      taken.push({ budget, tokens })
-      if (tokens > 0) returning += 1
+      batch.push({ budget, tokens })
+      if (tokens > 0) returnCount += 1
       this.returns.delete(budget)
     }
-    const touched = new Set(taken.map(item => item.budget))
+    const touched = new Set(batch.map(item => item.budget))
     for (const item of transfers) {
-      if (!touched.has(item.budget)) taken.push({ budget: item.budget, tokens: 0 })
+      if (!touched.has(item.budget)) batch.push({ budget: item.budget, tokens: 0 })
       touched.add(item.budget)
     }
-    return taken
+    return batch
   }
 }
--- a/packages/decisions/src/budget/giftPurse.ts
+++ b/packages/decisions/src/budget/grantPool.ts
@@ -4,7 +4,7 @@
  */
 
 /** Granted tokens of one budget that are not reserved. */
-export class GiftPurse {
+export class GrantPool {
   private tokens = 0
 
   get free (): number {
@@ -17,9 +17,9 @@
   }
 
   /** Removes up to `wanted` tokens and returns their number. */
-  take (wanted: number): number {
-    const taken = Math.min(this.tokens, wanted)
-    this.tokens -= taken
-    return taken
+  withdraw (wanted: number): number {
+    const withdrawn = Math.min(this.tokens, wanted)
+    this.tokens -= withdrawn
+    return withdrawn
   }
 }
--- a/packages/decisions/src/budget/budgetGifts.spec.ts
+++ b/packages/decisions/src/budget/peerGrants.spec.ts
@@ -47,12 +47,12 @@
   }
 
   /** The grant request sent after a request has waited long enough. */
-  askFor (tokens: number): Extract<BudgetAction, { kind: 'askGift' }> | undefined {
-    return [...this.reserve('r1', tokens), ...this.pass(25)].find(action => action.kind === 'askGift')
+  requestGrant (tokens: number): Extract<BudgetAction, { kind: 'requestGrant' }> | undefined {
+    return [...this.reserve('r1', tokens), ...this.pass(25)].find(action => action.kind === 'requestGrant')
   }
 
-  give (tokens: number): number {
-    const gift = this.send({ kind: 'giftAsked', giftId: 'g', budget: 'b', tokens, to: 'other' }).find(action => action.kind === 'gift')
+  grant (tokens: number): number {
+    const gift = this.send({ kind: 'grantRequested', giftId: 'g', budget: 'b', tokens, to: 'other' }).find(action => action.kind === 'answerGrant')
     return gift?.tokens ?? 0
   }
 }
@@ -60,52 +60,52 @@
 const kinds = (actions: readonly BudgetAction[]): readonly string[] => actions.map(action => action.kind === 'refuse' ? action.failure.code : action.kind)
 
 describe('grants between holders', () => {
-  const gifts: ReadonlyArray<{ readonly name: string, readonly prepare?: (holder: Holder) => void, readonly asked: number, readonly given: number }> = [
+  const grants: ReadonlyArray<{ readonly name: string, readonly prepare?: (holder: Holder) => void, readonly asked: number, readonly given: number }> = [
     { name: 'the requested amount', asked: 3_000, given: 3_000 },
     { name: 'no more than the last report allows', asked: 90_000, given: ALLOWED },
     { name: 'only tokens that are not reserved', prepare: holder => { holder.reserve('own', 4_000) }, asked: 3_000, given: 1_000 },
     { name: 'nothing while local requests wait', prepare: holder => { holder.reserve('own', 9_000) }, asked: 3_000, given: 0 },
-    { name: 'only tokens that were not granted before', prepare: holder => { holder.give(4_500) }, asked: 3_000, given: 500 },
+    { name: 'only tokens that were not granted before', prepare: holder => { holder.grant(4_500) }, asked: 3_000, given: 500 },
     { name: 'nothing while draining', prepare: holder => { holder.send({ kind: 'drain' }) }, asked: 3_000, given: 0 }
   ]
-  for (const { name, prepare, asked, given } of gifts) {
+  for (const { name, prepare, asked, given } of grants) {
     it(`a holder grants ${name}`, () => {
       const holder = new Holder('vm1~a')
       prepare?.(holder)
-      expect(holder.give(asked)).to.equal(given)
+      expect(holder.grant(asked)).to.equal(given)
     })
   }
 
   it('a holder bills granted tokens before it answers', () => {
     const holder = new Holder('vm1~a')
-    holder.give(3_000)
+    holder.grant(3_000)
     const flush = holder.pass(200).find(action => action.kind === 'flush')
     expect(flush?.bills).to.deep.equal([{ requestId: 'g other', budget: 'b', team: 'b', tokens: 3_000, runner: '' }])
   })
 
-  const asks: ReadonlyArray<{ readonly name: string, readonly over?: Partial<BudgetPolicy>, readonly tokens: number, readonly waitedMs: number, readonly asked: number | undefined }> = [
+  const requests: ReadonlyArray<{ readonly name: string, readonly over?: Partial<BudgetPolicy>, readonly tokens: number, readonly waitedMs: number, readonly asked: number | undefined }> = [
     { name: 'the missing tokens of a request that waited', tokens: 9_000, waitedMs: 20, asked: 4_000 },
     { name: 'nothing while the table may still answer', tokens: 9_000, waitedMs: 10, asked: undefined },
     { name: 'nothing if holders have no links', over: { giftAfterMs: undefined as never }, tokens: 9_000, waitedMs: 40, asked: undefined }
   ]
-  for (const { name, over, tokens, waitedMs, asked } of asks) {
+  for (const { name, over, tokens, waitedMs, asked } of requests) {
     it(`a holder requests ${name}`, () => {
       const holder = new Holder('vm1~a', over)
       const actions = [...holder.reserve('r1', tokens), ...holder.pass(waitedMs)]
-      expect(actions.find(action => action.kind === 'askGift')?.tokens).to.equal(asked)
+      expect(actions.find(action => action.kind === 'requestGrant')?.tokens).to.equal(asked)
     })
   }
 
   it('a holder requests a grant immediately if its last report is old', () => {
     const holder = new Holder('vm1~a')
     holder.pass(600)
-    expect(holder.reserve('r1', 9_000).find(action => action.kind === 'askGift')?.tokens).to.equal(4_000)
+    expect(holder.reserve('r1', 9_000).find(action => action.kind === 'requestGrant')?.tokens).to.equal(4_000)
   })
 
   it('a request is admitted from granted tokens, and the unused ones serve the next request', () => {
     const holder = new Holder('vm1~a')
-    const ask = holder.askFor(9_000)
-    const admitted = holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 4_000, isReached: true })
+    const request = holder.requestGrant(9_000)
+    const admitted = holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 4_000, isReached: true })
     holder.settle('r1', 1_000)
     const next = holder.reserve('r2', 8_000)
     expect([kinds(admitted), kinds(next)]).to.deep.equal([['admit'], ['admit']])
@@ -113,38 +113,38 @@
 
   it('a holder passes on granted tokens before it grants from its allotment', () => {
     const holder = new Holder('vm1~a')
-    const ask = holder.askFor(9_000)
-    holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
+    const request = holder.requestGrant(9_000)
+    holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
     holder.settle('r1', 2_000)
-    expect([holder.give(8_000), holder.ledger.view('b')?.unsettled]).to.deep.equal([8_000, 1_000])
+    expect([holder.grant(8_000), holder.ledger.view('b')?.unsettled]).to.deep.equal([8_000, 1_000])
   })
 
   it('a request paid by grants alone does not use the local allotment', () => {
     const holder = new Holder('vm1~a')
-    const ask = holder.askFor(9_000)
-    holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
+    const request = holder.requestGrant(9_000)
+    holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
     holder.settle('r1', 9_000)
     expect(holder.ledger.view('b')).to.deep.include({ held: HELD, reserved: 0, unsettled: 0 })
   })
 
-  const ends: ReadonlyArray<{ readonly name: string, readonly silentMs: number, readonly purse: number, readonly left: readonly number[] }> = [
+  const drains: ReadonlyArray<{ readonly name: string, readonly silentMs: number, readonly purse: number, readonly left: readonly number[] }> = [
     { name: 'nothing while the tokens can be returned to the table', silentMs: 0, purse: 0, left: [] },
     { name: 'its usable tokens if the table is unresponsive', silentMs: 600, purse: 0, left: [ALLOWED] },
     { name: 'granted tokens in any case', silentMs: 0, purse: 700, left: [700] }
   ]
-  for (const { name, silentMs, purse, left } of ends) {
+  for (const { name, silentMs, purse, left } of drains) {
     it(`a draining holder hands over ${name}`, () => {
       const holder = new Holder('vm1~a')
-      if (purse > 0) holder.send({ kind: 'handedOver', budget: 'b', tokens: purse })
+      if (purse > 0) holder.send({ kind: 'handoverReceived', budget: 'b', tokens: purse })
       holder.pass(silentMs)
-      const handed = holder.send({ kind: 'drain' }).filter(action => action.kind === 'handOver')
-      expect(handed.map(({ tokens }) => tokens)).to.deep.equal(left)
+      const handovers = holder.send({ kind: 'drain' }).filter(action => action.kind === 'handOver')
+      expect(handovers.map(({ tokens }) => tokens)).to.deep.equal(left)
     })
   }
 
   it('granted tokens may be used after the allotment was closed, and a request paid by them alone stays valid', () => {
     const holder = new Holder('vm1~a')
-    holder.send({ kind: 'handedOver', budget: 'b', tokens: 9_000 })
+    holder.send({ kind: 'handoverReceived', budget: 'b', tokens: 9_000 })
     const flush = holder.pass(700).find(action => action.kind === 'flush')
     holder.send({ kind: 'flushAnswered', seq: flush?.seq ?? 0, outcome: { kind: 'closed', budgets: ['b'] } })
     const admitted = kinds(holder.reserve('r1', 9_000)).includes('admit')
@@ -153,29 +153,29 @@
 
   it('granted tokens are not used after the paid amount was lowered', () => {
     const holder = new Holder('vm1~a')
-    holder.send({ kind: 'handedOver', budget: 'b', tokens: 9_000 })
+    holder.send({ kind: 'handoverReceived', budget: 'b', tokens: 9_000 })
     holder.send({ kind: 'paidChanged', budget: 'b', isLowered: true })
-    expect([holder.give(9_000), kinds(holder.reserve('r1', 9_000)).includes('admit')]).to.deep.equal([0, false])
+    expect([holder.grant(9_000), kinds(holder.reserve('r1', 9_000)).includes('admit')]).to.deep.equal([0, false])
   })
 
   it('an answer to a grant request that is not open adds nothing', () => {
     const holder = new Holder('vm1~a')
-    const ask = holder.askFor(9_000)
-    holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 0, isReached: true })
-    holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
+    const request = holder.requestGrant(9_000)
+    holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 0, isReached: true })
+    holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 9_000, isReached: true })
     expect(kinds(holder.reserve('r2', 9_000))).to.not.include('admit')
   })
 
-  const returns: ReadonlyArray<{ readonly name: string, readonly given: number | undefined, readonly retryAfterMs: number }> = [
+  const retries: ReadonlyArray<{ readonly name: string, readonly given: number | undefined, readonly retryAfterMs: number }> = [
     { name: 'another VM soon, if peers have not answered', given: undefined, retryAfterMs: 20 },
     { name: 'any VM later, if peers granted too little', given: 0, retryAfterMs: 1_000 }
   ]
-  for (const { name, given, retryAfterMs } of returns) {
+  for (const { name, given, retryAfterMs } of retries) {
     it(`a request refused for lack of tokens is told to retry at ${name}`, () => {
       const holder = new Holder('vm1~a', { otherVmRetryMs: 20 })
       holder.pass(600)
-      const ask = holder.reserve('r1', 90_000).find(action => action.kind === 'askGift')
-      const answered = given === undefined ? [] : holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: given, isReached: true })
+      const request = holder.reserve('r1', 90_000).find(action => action.kind === 'requestGrant')
+      const answered = given === undefined ? [] : holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: given, isReached: true })
       const refused = [...answered, ...holder.pass(300)].find(action => action.kind === 'refuse')
       expect([refused?.failure.code, refused?.failure.retryAfterMs]).to.deep.equal(['budgetPending', retryAfterMs])
     })
@@ -184,8 +184,8 @@
   it('a request is refused immediately if neither the table nor other holders have tokens', () => {
     const holder = new Holder('vm1~a')
     holder.pass(600)
-    const ask = holder.reserve('r1', 9_000).find(action => action.kind === 'askGift')
-    const answered = holder.send({ kind: 'giftAnswered', giftId: ask?.giftId ?? '', budget: 'b', tokens: 0, isReached: true })
+    const request = holder.reserve('r1', 9_000).find(action => action.kind === 'requestGrant')
+    const answered = holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: 0, isReached: true })
     expect(kinds(answered)).to.include('budgetUnreported')
   })
 
@@ -203,13 +203,13 @@
       steps.forEach(({ holder: index, giver, tokens, fate, settles }, number) => {
         const holder = holders[index]!
         if (ended.has(index)) return
-        const taken = [...holder.reserve(`r${number}`, tokens), ...holder.pass(25)]
-        used += admittedTokens(taken, steps)
-        const ask = taken.find(action => action.kind === 'askGift')
-        const isAnswered = ask !== undefined && fate !== 'lost' && !ended.has(giver) && giver !== index
-        const given = isAnswered ? holders[giver]!.give(ask.tokens) : 0
-        if (ask !== undefined) {
-          const answer = { kind: 'giftAnswered' as const, giftId: ask.giftId, budget: 'b', tokens: fate === 'answerLost' ? 0 : given, isReached: true }
+        const emitted = [...holder.reserve(`r${number}`, tokens), ...holder.pass(25)]
+        used += admittedTokens(emitted, steps)
+        const request = emitted.find(action => action.kind === 'requestGrant')
+        const isAnswered = request !== undefined && fate !== 'lost' && !ended.has(giver) && giver !== index
+        const given = isAnswered ? holders[giver]!.grant(request.tokens) : 0
+        if (request !== undefined) {
+          const answer = { kind: 'grantAnswered' as const, giftId: request.giftId, budget: 'b', tokens: fate === 'answerLost' ? 0 : given, isReached: true }
           const answers = fate === 'doubled' ? [answer, answer] : [answer]
           for (const event of answers) used += admittedTokens(holder.send(event), steps)
         }
--- a/packages/decisions/src/budget/budgetGifts.ts
+++ b/packages/decisions/src/budget/peerGrants.ts
@@ -12,13 +12,13 @@
 type EventOf<K extends BudgetEvent['kind']> = Extract<BudgetEvent, { kind: K }>
 
 /** Pause before the next grant request after peers granted too little: their tokens do not change faster. */
-const EMPTY_PAUSE_MS = 150
+const PEERS_PAUSE_MS = 150
 /** The same for requests to the owners: one that granted less reports immediately, which takes about 15 ms. */
 const OWNERS_PAUSE_MS = 40
 
 /** Requests and answers grants for one holder. */
-export class BudgetGifts {
-  private asks = 0
+export class PeerGrants {
+  private requestCount = 0
 
   /**
    * @param holder - holder id, prefix of request ids
@@ -34,29 +34,29 @@
    * Grants usable tokens, unless local requests wait: received grants first, then tokens of the allotment, which are billed.
    * @param entry - undefined if this holder has no entry for the budget
    */
-  give ({ giftId, tokens, to }: EventOf<'giftAsked'>, entry: BudgetEntry | undefined, now: Instant): number {
+  answerRequest ({ giftId, tokens, to }: EventOf<'grantRequested'>, entry: BudgetEntry | undefined, now: Instant): number {
     if (entry === undefined || entry.waiting.length > 0) return 0
-    const passedOn = entry.purse.take(tokens)
-    const own = Math.min(tokens - passedOn, ownTokens(entry, now))
-    if (own > 0) this.billAsUsed(entry, own, `${giftId} ${to}`, now)
-    return passedOn + own
+    const passedOn = entry.grantedBalance.withdraw(tokens)
+    const fromAllotment = Math.min(tokens - passedOn, usableTokens(entry, now))
+    if (fromAllotment > 0) this.billAsUsed(entry, fromAllotment, `${giftId} ${to}`, now)
+    return passedOn + fromAllotment
   }
 
   /** Tokens that could be granted now. */
   left (entry: BudgetEntry, now: Instant): number {
-    return entry.waiting.length > 0 ? 0 : entry.purse.free + ownTokens(entry, now)
+    return entry.waiting.length > 0 ? 0 : entry.grantedBalance.free + usableTokens(entry, now)
   }
 
   /**
    * Hands usable tokens over to another holder if they cannot be returned to the table before this process stops. Received
    * grants are always handed over, as no row records them.
    */
-  handOver (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
+  handover (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     if (this.policy.giftAfterMs === undefined) return []
     const { budget } = entry
-    const own = entry.isOutOfTouch(now) ? ownTokens(entry, now) : 0
-    const tokens = entry.purse.take(Infinity) + own
-    if (own > 0) this.billAsUsed(entry, own, 'handOver', now)
+    const fromAllotment = entry.isDrawFutile(now) ? usableTokens(entry, now) : 0
+    const tokens = entry.grantedBalance.withdraw(Infinity) + fromAllotment
+    if (fromAllotment > 0) this.billAsUsed(entry, fromAllotment, 'handOver', now)
     return tokens === 0 ? [] : [{ kind: 'handOver', budget, tokens }]
   }
 
@@ -64,24 +64,24 @@
   ask (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const oldest = entry.waiting[0]
     const { giftAfterMs } = this.policy
-    if (oldest === undefined || giftAfterMs === undefined || entry.giftAsk !== undefined || now.mono < entry.nextGiftAt) return []
-    if (entry.isSupplied(now.mono) && !entry.isOutOfTouch(now) && now.mono - oldest.since.mono < giftAfterMs) return []
-    const tokens = lackingTokens(entry, now)
+    if (oldest === undefined || giftAfterMs === undefined || entry.grantRequestId !== undefined || now.mono < entry.nextGrantRequestAt) return []
+    if (entry.drawsAhead(now.mono) && !entry.isDrawFutile(now) && now.mono - oldest.since.mono < giftAfterMs) return []
+    const tokens = missingTokens(entry, now)
     if (tokens <= 0) return []
-    this.asks += 1
-    entry.giftAsk = `${this.holder}.gift${this.asks}`
-    return [{ kind: 'askGift', giftId: entry.giftAsk, budget: entry.budget, tokens }]
+    this.requestCount += 1
+    entry.grantRequestId = `${this.holder}.gift${this.requestCount}`
+    return [{ kind: 'requestGrant', giftId: entry.grantRequestId, budget: entry.budget, tokens }]
   }
 
   /** Handles the outcome of a grant request. */
-  answered (entry: BudgetEntry, { giftId, tokens, isReached }: EventOf<'giftAnswered'>, now: Instant): void {
-    if (entry.giftAsk !== giftId) return
-    if (!isReached) entry.othersSilentAt = now.mono
-    entry.giftAsk = undefined
-    entry.purse.add(tokens)
-    if (lackingTokens(entry, now) <= 0) return
-    entry.giftShortAt = now.mono
-    entry.nextGiftAt = now.mono + (entry.isSupplied(now.mono) ? EMPTY_PAUSE_MS : OWNERS_PAUSE_MS)
+  answered (entry: BudgetEntry, { giftId, tokens, isReached }: EventOf<'grantAnswered'>, now: Instant): void {
+    if (entry.grantRequestId !== giftId) return
+    if (!isReached) entry.peersUnresponsiveAt = now.mono
+    entry.grantRequestId = undefined
+    entry.grantedBalance.add(tokens)
+    if (missingTokens(entry, now) <= 0) return
+    entry.grantsShortAt = now.mono
+    entry.nextGrantRequestAt = now.mono + (entry.drawsAhead(now.mono) ? PEERS_PAUSE_MS : OWNERS_PAUSE_MS)
   }
 
   private billAsUsed (entry: BudgetEntry, tokens: number, requestId: string, now: Instant): void {
@@ -92,11 +92,11 @@
 }
 
 /** Tokens that waiting requests need beyond those usable here. */
-function lackingTokens (entry: BudgetEntry, now: Instant): number {
-  return entry.waitingTokens - ownTokens(entry, now) - entry.purse.free
+function missingTokens (entry: BudgetEntry, now: Instant): number {
+  return entry.waitingTokens - usableTokens(entry, now) - entry.grantedBalance.free
 }
 
 /** Tokens of the allotment that are usable now. */
-function ownTokens (entry: BudgetEntry, now: Instant): number {
+function usableTokens (entry: BudgetEntry, now: Instant): number {
   return entry.isUsable(now) ? Math.max(0, Math.floor(entry.usable(now))) : 0
 }
--- a/packages/decisions/src/budget/receivedTransfers.ts
+++ b/packages/decisions/src/budget/receivedTransfers.ts
@@ -5,14 +5,14 @@
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 import type { Transfer } from './budgetTypes.js'
 
-interface ReceivedTokens {
+interface ReceivedTransfer {
   readonly tokens: number
   readonly validForMs: number
   readonly askedAt: Instant
 }
 
 export class ReceivedTransfers {
-  private readonly open = new Map<string, ReceivedTokens>()
+  private readonly open = new Map<string, ReceivedTransfer>()
 
   /** Whether every received transfer is recorded. */
   get isEmpty (): boolean {
@@ -39,7 +39,7 @@
   }
 
   /** Whether any open transfer has expired. */
-  hasLapsed (now: Instant): boolean {
+  hasExpired (now: Instant): boolean {
     return [...this.open.values()].some(item => elapsedMs(item.askedAt, now) >= item.validForMs)
   }
 
--- a/packages/decisions/src/budget/recoveryRules.ts
+++ b/packages/decisions/src/budget/recoveryRules.ts
@@ -9,7 +9,7 @@
 /** Time for which engines retain the record of an ended run. */
 export const RUN_RETENTION_MS = 7_200_000
 /** Minimum age difference between a registration and a VM list, as the clocks of the two platform services differ. */
-export const LIST_MARGIN_MS = 10_000
+export const LIST_CLOCK_MARGIN_MS = 10_000
 
 export interface RegisteredHolder {
   readonly holder: string
@@ -19,14 +19,14 @@
 }
 
 /** Latest time of an entry `gone` in the platform's list, by VM. */
-export class GoneVms {
+export class TerminatedVms {
   private readonly goneAt = new Map<string, number>()
 
   /**
    * Records one answer of the list.
    * @param asOf - platform clock in milliseconds at which the list was valid
    */
-  note (asOf: number, vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>): void {
+  record (asOf: number, vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>): void {
     for (const { vm, state } of vms) {
       if (state === 'gone') this.goneAt.set(vm, Math.max(asOf, this.goneAt.get(vm) ?? 0))
     }
@@ -35,7 +35,7 @@
   /** Whether the platform terminated the VM of a holder after the holder registered. */
   proves (holder: RegisteredHolder): boolean {
     const goneAt = this.goneAt.get(vmOf(holder.holder))
-    return goneAt !== undefined && goneAt > holder.registeredAt + LIST_MARGIN_MS
+    return goneAt !== undefined && goneAt > holder.registeredAt + LIST_CLOCK_MARGIN_MS
   }
 }
 
@@ -43,15 +43,15 @@
  * Whether an allotment expired, so that its holder may not spend from it.
  * @param ageMs - milliseconds since the last write of its row, by the table clock
  */
-export function hasLapsed (policy: BudgetPolicy, ageMs: number): boolean {
-  return ageMs > policy.lapseMs + policy.marginMs
+export function hasExpired (policy: BudgetPolicy, ageMs: number): boolean {
+  return ageMs > policy.allotmentExpiryMs + policy.marginMs
 }
 
 /**
  * Whether engines may have discarded the records of runs that the holder had not billed.
  * @param contactAgeMs - milliseconds since the last write by the holder
  */
-export function mayBeForgotten (policy: BudgetPolicy, contactAgeMs: number): boolean {
+export function mayRunsBeDiscarded (policy: BudgetPolicy, contactAgeMs: number): boolean {
   return contactAgeMs > RUN_RETENTION_MS - policy.marginMs
 }
 
@@ -67,19 +67,19 @@
  * Whether a later process of the same VM listens on the addresses of a holder. Two processes cannot listen on one address of a
  * system, not even while one is paused.
  */
-export function isSucceeded (holder: string, placed: readonly PlacedHolder[]): boolean {
-  return succeededAt(holder, placed) !== undefined
+export function hasSuccessor (holder: string, placed: readonly PlacedHolder[]): boolean {
+  return successorSince(holder, placed) !== undefined
 }
 
 /**
  * Table clock in milliseconds at which the first later process of the same VM listened on the addresses of a holder;
  * undefined if there is none.
  */
-export function succeededAt (holder: string, placed: readonly PlacedHolder[]): number | undefined {
-  const own = placed.find(item => item.holder === holder)
-  if (own === undefined) return undefined
+export function successorSince (holder: string, placed: readonly PlacedHolder[]): number | undefined {
+  const placement = placed.find(item => item.holder === holder)
+  if (placement === undefined) return undefined
   const later = placed
-    .filter(other => other.holder !== holder && vmOf(other.holder) === vmOf(holder) && other.place === own.place && other.since > own.since)
+    .filter(other => other.holder !== holder && vmOf(other.holder) === vmOf(holder) && other.place === placement.place && other.since > placement.since)
     .map(other => other.since)
   return later.length === 0 ? undefined : Math.min(...later)
 }
--- a/packages/decisions/src/budget/reportBound.spec.ts
+++ b/packages/decisions/src/budget/reportBound.spec.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 import type { Instant } from '../clock/clockTypes.js'
-import { allowanceOf, allowedNow, mayBeSpent, mostAtOnce, ReportBounds } from './reportBound.js'
+import { allowanceOf, allowedNow, maxUnreportedSpend, maxUnreportedTokens, ReportBounds } from './reportBound.js'
 import type { AllotmentRow } from './budgetTypes.js'
 
 const at = (mono: number): Instant => ({ mono, wall: mono })
@@ -22,18 +22,18 @@
     { name: 'no less if the table clock appears to go back', row: row({ report }), now: 4_000, spent: 100 }
   ]
   for (const { name, row, now, spent } of cases) {
-    it(name, () => { expect(mayBeSpent(row, now)).to.equal(spent) })
+    it(name, () => { expect(maxUnreportedSpend(row, now)).to.equal(spent) })
   }
 })
 
 describe('allowanceOf', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly allowance: ReturnType<typeof allowanceOf>, readonly tokens: number, readonly perMs: number }> = [
-    { name: 'a tenth of the allotment beyond the tokens in use', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 10_500, perMs: 20 },
-    { name: 'nothing beyond the tokens in use without an allotment', allowance: allowanceOf({ inUse: 500, held: 0, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 500, perMs: 0 },
-    { name: 'the largest request if that is more than a tenth', allowance: allowanceOf({ inUse: 500, held: 50_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 9_500, perMs: 10 },
-    { name: 'no more than its share of the paid amount', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 0 }), tokens: 3_500, perMs: 20 },
-    { name: 'an unmet grant request, regardless of its share', allowance: allowanceOf({ inUse: 500, held: 100_000, largest: 9_000, most: 3_000, unmet: 8_000 }), tokens: 8_500, perMs: 20 },
-    { name: 'no more than the allotment', allowance: allowanceOf({ inUse: 0, held: 5_000, largest: 9_000, most: Infinity, unmet: 0 }), tokens: 5_000, perMs: 1 }
+    { name: 'a tenth of the allotment beyond the tokens in use', allowance: allowanceOf({ inUse: 500, held: 100_000, largestPeerRequest: 9_000, maxUnreported: Infinity, unmetPeerTokens: 0 }), tokens: 10_500, perMs: 20 },
+    { name: 'nothing beyond the tokens in use without an allotment', allowance: allowanceOf({ inUse: 500, held: 0, largestPeerRequest: 9_000, maxUnreported: Infinity, unmetPeerTokens: 0 }), tokens: 500, perMs: 0 },
+    { name: 'the largest request if that is more than a tenth', allowance: allowanceOf({ inUse: 500, held: 50_000, largestPeerRequest: 9_000, maxUnreported: Infinity, unmetPeerTokens: 0 }), tokens: 9_500, perMs: 10 },
+    { name: 'no more than its share of the paid amount', allowance: allowanceOf({ inUse: 500, held: 100_000, largestPeerRequest: 9_000, maxUnreported: 3_000, unmetPeerTokens: 0 }), tokens: 3_500, perMs: 20 },
+    { name: 'an unmet grant request, regardless of its share', allowance: allowanceOf({ inUse: 500, held: 100_000, largestPeerRequest: 9_000, maxUnreported: 3_000, unmetPeerTokens: 8_000 }), tokens: 8_500, perMs: 20 },
+    { name: 'no more than the allotment', allowance: allowanceOf({ inUse: 0, held: 5_000, largestPeerRequest: 9_000, maxUnreported: Infinity, unmetPeerTokens: 0 }), tokens: 5_000, perMs: 1 }
   ]
   for (const { name, allowance, tokens, perMs } of cases) {
     it(name, () => { expect(allowance).to.deep.equal({ tokens, perMs }) })
@@ -42,26 +42,26 @@
 
 describe('maxUnreportedTokens', () => {
   it('is an equal share of three percent of the paid amount', () => {
-    expect(mostAtOnce({ paid: 1_000_000, holders: 4 })).to.equal(7_500)
+    expect(maxUnreportedTokens({ paid: 1_000_000, holders: 4 })).to.equal(7_500)
   })
 
   it('is unlimited before the first draw reports the paid amount', () => {
-    expect(mostAtOnce(undefined)).to.equal(Infinity)
+    expect(maxUnreportedTokens(undefined)).to.equal(Infinity)
   })
 })
 
 describe('ReportBounds', () => {
   it('has no capacity before the first report', () => {
-    expect(new ReportBounds().room(0, 0, at(0))).to.equal(0)
+    expect(new ReportBounds().capacity(0, 0, at(0))).to.equal(0)
   })
 
   it('applies both bounds while the outcome of a report is unknown', () => {
     const bounds = new ReportBounds()
     bounds.begin({ tokens: 1_000, perMs: 0, at: at(0) })
     bounds.send({ tokens: 300, perMs: 0, at: at(100) })
-    const open = bounds.room(500, 400, at(100))
+    const open = bounds.capacity(500, 400, at(100))
     bounds.written()
-    const written = bounds.room(100, 0, at(100))
+    const written = bounds.capacity(100, 0, at(100))
     expect([open, written]).to.deep.equal([200, 200])
   })
 
@@ -70,16 +70,16 @@
     bounds.begin({ tokens: 1_000, perMs: 0, at: at(0) })
     bounds.send({ tokens: 300, perMs: 0, at: at(100) })
     bounds.dropped()
-    expect(bounds.room(500, 0, at(100))).to.equal(500)
+    expect(bounds.capacity(500, 0, at(100))).to.equal(500)
   })
 
   it('predicts when there will be capacity', () => {
     fc.assert(fc.property(fc.nat(5_000), fc.double({ min: 0.1, max: 5, noNaN: true }), fc.nat(3_000), fc.nat(3_000), fc.nat(5_000), (tokens, perMs, now, inUse, needed) => {
       const bounds = new ReportBounds()
       bounds.begin({ tokens, perMs, at: at(0) })
-      const wait = bounds.untilRoomMs(needed, inUse, 0, at(now))
-      const roomThen = bounds.room(inUse, 0, at(now + wait + 0.01))
-      return roomThen >= needed && (wait === 0 || bounds.room(inUse, 0, at(now + wait - 1)) < needed)
+      const wait = bounds.untilCapacityMs(needed, inUse, 0, at(now))
+      const roomThen = bounds.capacity(inUse, 0, at(now + wait + 0.01))
+      return roomThen >= needed && (wait === 0 || bounds.capacity(inUse, 0, at(now + wait - 1)) < needed)
     }), { seed: 12 })
   })
 
@@ -90,12 +90,12 @@
       bounds.begin({ ...first, at: at(0) })
       bounds.send({ ...second, at: at(sentAfter) })
       const end = sentAfter + endsAfter
-      const inUse = billed + Math.max(0, Math.floor(bounds.room(billed, billed, at(end))))
+      const inUse = billed + Math.max(0, Math.floor(bounds.capacity(billed, billed, at(end))))
       const known = isWritten ? { ...second, since: sentAfter } : { ...first, since: 0 }
       const unbilled = isWritten ? inUse - billed : inUse
       const allowed = allowedNow({ ...first, at: at(0) }, at(end)) >= billed
       const held = 1_000_000
-      return !allowed || unbilled <= mayBeSpent(row({ held, report: known }), end)
+      return !allowed || unbilled <= maxUnreportedSpend(row({ held, report: known }), end)
     }), { seed: 11 })
   })
 })
--- a/packages/decisions/src/budget/reportBound.ts
+++ b/packages/decisions/src/budget/reportBound.ts
@@ -23,13 +23,13 @@
  * Fraction of an allotment that may be used immediately beyond the tokens in use. It is lost if the holder terminates. As holders
  * grant each other their usable tokens, a tenth of each allotment is a tenth of all of them.
  */
-const UNREPORTED_PART = 0.1
+const UNREPORTED_RATIO = 0.1
 /**
  * Fraction of the paid amount that the reports of all holders of a budget together allow beyond the tokens in use. Callers rely on
  * 97 percent of it: once more is lost to terminated holders, all later requests of the team are refused. Lower values cost more
  * table calls.
  */
-const ALLOWED_OF_PAID = 0.03
+const UNREPORTED_RATIO_OF_PAID = 0.03
 /**
  * Milliseconds without growth. While the table is reachable, a new report is written sooner; a killed process has a successor by
  * then, so that its recovery bills no growth.
@@ -40,7 +40,7 @@
  * teams with few tokens left do. A lower value refuses requests during partitions; with a higher one a VM that is unreachable for
  * three seconds loses most of its allotment.
  */
-const GROWTH_PART_PER_S = 0.2
+const GROWTH_RATIO_PER_S = 0.2
 const MS_PER_SECOND = 1_000
 
 export interface AllowanceInputs {
@@ -49,26 +49,26 @@
   /** Tokens of the allotment. */
   readonly held: number
   /** Largest grant request of holders that do not own the budget, 0 if all do. A lower allowance would make each such request wait for a report. */
-  readonly largest: number
+  readonly largestPeerRequest: number
   /** Maximum immediate allowance, see {@link maxUnreportedTokens}; unlimited if every holder owns the budget, as a small fleet recovers too few tokens with it. */
-  readonly most: number
+  readonly maxUnreported: number
   /** Tokens of a recent grant request that could not be met, for which this report is sent. */
-  readonly unmet: number
+  readonly unmetPeerTokens: number
 }
 
 /** Computes the allowance of a report. */
-export function allowanceOf ({ inUse, held, largest, most, unmet }: AllowanceInputs): ReportAllowance {
-  const ahead = Math.min(most, Math.max(held * UNREPORTED_PART, Math.min(held, largest)))
-  const atOnce = Math.max(ahead, Math.min(held, unmet))
-  return { tokens: Math.ceil(inUse + atOnce), perMs: held * GROWTH_PART_PER_S / MS_PER_SECOND }
+export function allowanceOf ({ inUse, held, largestPeerRequest: largest, maxUnreported: most, unmetPeerTokens: unmet }: AllowanceInputs): ReportAllowance {
+  const unreported = Math.min(most, Math.max(held * UNREPORTED_RATIO, Math.min(held, largest)))
+  const atOnce = Math.max(unreported, Math.min(held, unmet))
+  return { tokens: Math.ceil(inUse + atOnce), perMs: held * GROWTH_RATIO_PER_S / MS_PER_SECOND }
 }
 
 /**
  * Maximum tokens beyond those in use that the report of one holder allows immediately; unlimited before the first draw, when the
  * paid amount is unknown.
  */
-export function mostAtOnce (fleet: Pick<FleetSpending, 'paid' | 'holders'> | undefined): number {
-  return fleet === undefined ? Infinity : fleet.paid * ALLOWED_OF_PAID / Math.max(1, fleet.holders)
+export function maxUnreportedTokens (fleet: Pick<FleetSpending, 'paid' | 'holders'> | undefined): number {
+  return fleet === undefined ? Infinity : fleet.paid * UNREPORTED_RATIO_OF_PAID / Math.max(1, fleet.holders)
 }
 
 /**
@@ -76,9 +76,9 @@
  * @param report - made before the draw
  * @param held - tokens allotted by the draw
  */
-export function withHeld<T extends ReportAllowance> (report: T, held: number): T {
-  const own = allowanceOf({ inUse: 0, held, largest: 0, most: Infinity, unmet: 0 })
-  return { ...report, tokens: report.tokens + own.tokens, perMs: report.perMs + own.perMs }
+export function withAllotment<T extends ReportAllowance> (report: T, held: number): T {
+  const allowance = allowanceOf({ inUse: 0, held, largestPeerRequest: 0, maxUnreported: Infinity, unmetPeerTokens: 0 })
+  return { ...report, tokens: report.tokens + allowance.tokens, perMs: report.perMs + allowance.perMs }
 }
 
 /**
@@ -86,17 +86,17 @@
  * the table clock.
  */
 export function allowedNow ({ tokens, perMs, at }: ReportBound, now: Instant): number {
-  return tokens + grown(perMs, now.mono - at.mono)
+  return tokens + growthTokens(perMs, now.mono - at.mono)
 }
 
 /**
  * Maximum tokens of an allotment that its terminated holder may have spent without a report.
  * @param endedBy - table clock in milliseconds at which the holder had certainly terminated
  */
-export function mayBeSpent (row: AllotmentRow, endedBy: number): number {
+export function maxUnreportedSpend (row: AllotmentRow, endedBy: number): number {
   if (row.report === undefined) return row.held
   const { tokens, perMs, since } = row.report
-  return Math.min(row.held, Math.ceil(tokens + grown(perMs, endedBy - since)))
+  return Math.min(row.held, Math.ceil(tokens + growthTokens(perMs, endedBy - since)))
 }
 
 /** Milliseconds until `inUse` tokens are allowed without another report. */
@@ -105,13 +105,13 @@
   return GROWTH_AFTER_MS + (inUse - tokens) / perMs - (now.mono - at.mono)
 }
 
-function grown (perMs: number, elapsed: number): number {
+function growthTokens (perMs: number, elapsed: number): number {
   return perMs * Math.max(0, elapsed - GROWTH_AFTER_MS)
 }
 
 /** Bounds of one allotment: the last written report, and one with unknown outcome. */
 export class ReportBounds {
-  private known: ReportBound | undefined
+  private confirmed: ReportBound | undefined
   private sent: ReportBound | undefined
 
   /**
@@ -119,25 +119,25 @@
    * @param inUse - tokens reserved, or billed and not known to be written
    * @param inReport - share of them that the open report writes
    */
-  untilRoomMs (tokens: number, inUse: number, inReport: number, now: Instant): number {
-    const byKnown = this.known === undefined ? Infinity : untilAllowedMs(this.known, inUse + tokens, now)
+  untilCapacityMs (tokens: number, inUse: number, inReport: number, now: Instant): number {
+    const byConfirmed = this.confirmed === undefined ? Infinity : untilAllowedMs(this.confirmed, inUse + tokens, now)
     const bySent = this.sent === undefined ? 0 : untilAllowedMs(this.sent, inUse - inReport + tokens, now)
-    return Math.max(0, byKnown, bySent)
+    return Math.max(0, byConfirmed, bySent)
   }
 
   /** Milliseconds since the last written report; 0 before the first. */
   ageMs (now: Instant): number {
-    return this.known === undefined ? 0 : elapsedMs(this.known.at, now)
+    return this.confirmed === undefined ? 0 : elapsedMs(this.confirmed.at, now)
   }
 
   /** Whether no report has been written yet. */
   get isEmpty (): boolean {
-    return this.known === undefined
+    return this.confirmed === undefined
   }
 
   /** Sets the first bound, written with the allotment. */
   begin (bound: ReportBound): void {
-    this.known = bound
+    this.confirmed = bound
     this.sent = undefined
   }
 
@@ -148,7 +148,7 @@
 
   /** Records that the open report was written. */
   written (): void {
-    this.known = this.sent ?? this.known
+    this.confirmed = this.sent ?? this.confirmed
     this.sent = undefined
   }
 
@@ -159,7 +159,7 @@
 
   /** Clears both bounds after the allotment was closed. */
   reset (): void {
-    this.known = undefined
+    this.confirmed = undefined
     this.sent = undefined
   }
 
@@ -168,9 +168,9 @@
    * @param inUse - tokens reserved, or billed and not known to be written
    * @param inReport - share of them that the open report writes
    */
-  room (inUse: number, inReport: number, now: Instant): number {
-    const byKnown = this.known === undefined ? 0 : allowedNow(this.known, now) - inUse
+  capacity (inUse: number, inReport: number, now: Instant): number {
+    const byConfirmed = this.confirmed === undefined ? 0 : allowedNow(this.confirmed, now) - inUse
     const bySent = this.sent === undefined ? Infinity : allowedNow(this.sent, now) - (inUse - inReport)
-    return Math.min(byKnown, bySent)
+    return Math.min(byConfirmed, bySent)
   }
 }
--- a/packages/decisions/src/budget/rowSet.ts
+++ b/packages/decisions/src/budget/rowSet.ts
@@ -27,39 +27,39 @@
   readonly updatedAt: number
 }
 
-function nameOf (row: PlanKey): string {
+function rowId (row: PlanKey): string {
   return `${row.table}\n${row.key}`
 }
 
 /** Buffer of one transaction. */
 export class RowSet {
-  private readonly found = new Map<string, PlanRow | null>()
-  private readonly changed = new Map<string, PlanWrite>()
+  private readonly rows = new Map<string, PlanRow | null>()
+  private readonly changes = new Map<string, PlanWrite>()
 
   /**
    * @param keys - rows read
    * @param rows - rows in the same order, `null` for absent ones
    */
   constructor (private readonly keys: readonly PlanKey[], rows: readonly (PlanRow | null)[]) {
-    keys.forEach((key, index) => this.found.set(nameOf(key), rows[index] ?? null))
+    keys.forEach((key, index) => this.rows.set(rowId(key), rows[index] ?? null))
   }
 
   /** Value of a row including the changes made so far. */
   get<T> (schema: z.ZodType<T>, table: string, key: string): T | undefined {
-    const name = nameOf({ table, key })
-    const write = this.changed.get(name)
-    const value = write === undefined ? this.found.get(name)?.value : write.value
+    const name = rowId({ table, key })
+    const write = this.changes.get(name)
+    const value = write === undefined ? this.rows.get(name)?.value : write.value
     return value === undefined || value === null ? undefined : schema.parse(value)
   }
 
   /** Version of a row as read; `null` if absent. */
   version (table: string, key: string): number | null {
-    return this.found.get(nameOf({ table, key }))?.version ?? null
+    return this.rows.get(rowId({ table, key }))?.version ?? null
   }
 
   /** Changes a row. */
   set (table: string, key: string, value: unknown): void {
-    this.changed.set(nameOf({ table, key }), { table, key, value })
+    this.changes.set(rowId({ table, key }), { table, key, value })
   }
 
   /** Version checks on all rows read. */
@@ -69,6 +69,6 @@
 
   /** Writes of all changed rows. */
   writes (): readonly PlanWrite[] {
-    return [...this.changed.values()]
+    return [...this.changes.values()]
   }
 }
--- a/packages/rosemaryspread/src/budget/assumedSpentRuns.ts
+++ b/packages/rosemaryspread/src/budget/assumedSpentRuns.ts
@@ -5,7 +5,7 @@
  */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { mayBeSpent } from '@rosemaryspread/decisions/budget/reportBound.js'
+import { maxUnreportedSpend } from '@rosemaryspread/decisions/budget/reportBound.js'
 import type { OwedBill } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
 import type { UnbilledRuns } from './budgetRecovery.js'
 import type { RunOwner } from './budgetRecoveryRuns.js'
@@ -20,7 +20,7 @@
 
   async unbilled (budget: string, owners: readonly RunOwner[], tableNow: number): Promise<Either<Failure, readonly OwedBill[]>> {
     return Right(owners.flatMap(({ holder, allotment, endedBy }) => {
-      const tokens = allotment === undefined ? 0 : mayBeSpent(allotment, endedBy ?? tableNow)
+      const tokens = allotment === undefined ? 0 : maxUnreportedSpend(allotment, endedBy ?? tableNow)
       return tokens === 0 ? [] : [{ holder, bill: { requestId: `unbilled/${holder}`, budget, team: budget, tokens, runner: '' } }]
     }))
   }
--- a/packages/rosemaryspread/src/budget/budgetActionExecutor.ts
+++ b/packages/rosemaryspread/src/budget/budgetActionExecutor.ts
@@ -71,14 +71,14 @@
       case 'refuse': reservations.answer(action.reservationId, action.failure); break
       case 'draw': this.run(this.performDraws(this.draws.add(action, this.parts.clock.now()))); break
       case 'flush': this.run(this.performFlush(action)); break
-      case 'askGive': this.run(this.transferRequester.requestTransfer(action)); break
-      case 'askGift': this.run(this.requestGrant(action)); break
+      case 'requestTransfer': this.run(this.transferRequester.requestTransfer(action)); break
+      case 'requestGrant': this.run(this.requestGrant(action)); break
       case 'handOver': this.run(this.handOver(action)); break
       case 'recall': this.run(this.transferRequester.recall(action)); break
       case 'closed': this.reportClosed(action); break
-      case 'give':
-      case 'gift':
-      case 'returning': break
+      case 'answerTransfer':
+      case 'answerGrant':
+      case 'answerRecall': break
     }
   }
 
@@ -109,13 +109,13 @@
     })
   }
 
-  private async requestGrant ({ giftId, budget, tokens }: Extract<BudgetAction, { kind: 'askGift' }>): Promise<void> {
+  private async requestGrant ({ giftId, budget, tokens }: Extract<BudgetAction, { kind: 'requestGrant' }>): Promise<void> {
     let outcome: GrantOutcome = { tokens: 0, isReached: false }
     try {
       outcome = await this.parts.grantRequester?.ask(giftId, budget, tokens) ?? outcome
     } finally {
       // Without this event the ledger would never request a grant again.
-      this.targets.dispatch({ kind: 'giftAnswered', giftId, budget, ...outcome })
+      this.targets.dispatch({ kind: 'grantAnswered', giftId, budget, ...outcome })
     }
   }
 
--- a/packages/rosemaryspread/src/budget/budgetDriver.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriver.ts
@@ -4,7 +4,7 @@
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { isOwnAllotment } from '@rosemaryspread/decisions/budget/budgetKeys.js'
+import { isAllotmentOf } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { BudgetLedger } from '@rosemaryspread/decisions/budget/budgetLedger.js'
 import { ownedByAll, type BudgetOwnership } from '@rosemaryspread/decisions/budget/budgetOwners.js'
 import { defaultBudgetPolicy, type BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
@@ -49,7 +49,7 @@
     this.policy = parts.policy ?? defaultBudgetPolicy
     this.owners = parts.owners ?? ownedByAll(() => parts.peers.members().length + 1)
     this.ledger = new BudgetLedger(holder, this.policy, this.owners)
-    this.table = new BudgetTable(store, clock, new BudgetRowCache(key => isOwnAllotment(key, holder)))
+    this.table = new BudgetTable(store, clock, new BudgetRowCache(key => isAllotmentOf(key, holder)))
     this.registry = new BudgetRegistry(this.table, { holder, domain, place: parts.place, processStartedAt: parts.processStartedAt })
     this.reservations = new OpenReservations(holder)
     const context = { table: this.table, registry: this.registry, owners: this.owners, reservations: this.reservations, dispatch: (event: BudgetEvent) => { this.dispatch(event) } }
@@ -167,24 +167,24 @@
   onTransferRequest (request: TransferRequest): TransferResponse {
     const { transferId, budget, to, wanted, atLeast, isRepeat } = request
     const sameDomain = request.domain === this.parts.domain
-    const actions = this.dispatch({ kind: 'giveAsked', transferId, budget, to, wanted, atLeast, sameDomain, isRepeat })
-    const granted = actions.find(action => action.kind === 'give')
+    const actions = this.dispatch({ kind: 'transferRequested', transferId, budget, to, wanted, atLeast, sameDomain, isRepeat })
+    const granted = actions.find(action => action.kind === 'answerTransfer')
     return granted?.transfer === undefined ? {} : { transfer: granted.transfer }
   }
 
   /** Handles a recall; resolves when the returned tokens are in the table. */
   async onRecall (request: RecallRequest): Promise<RecallResponse> {
     const { budget, wanted, atLeast } = request
-    const actions = this.dispatch({ kind: 'recallAsked', budget, wanted, atLeast })
-    const returned = actions.find(action => action.kind === 'returning')?.tokens ?? 0
+    const actions = this.dispatch({ kind: 'recallRequested', budget, wanted, atLeast })
+    const returned = actions.find(action => action.kind === 'answerRecall')?.tokens ?? 0
     if (returned > 0) await this.actions.returned(budget)
     return { returned }
   }
 
   /** Handles a grant request of another holder: the tokens can be used at once. */
   onGrantRequest ({ giftId, budget, tokens, to }: GrantRequest): GrantResponse {
-    const actions = this.dispatch({ kind: 'giftAsked', giftId, budget, tokens, to })
-    const grant = actions.find(action => action.kind === 'gift')
+    const actions = this.dispatch({ kind: 'grantRequested', giftId, budget, tokens, to })
+    const grant = actions.find(action => action.kind === 'answerGrant')
     const answer = { tokens: grant?.tokens ?? 0, left: grant?.left ?? 0 }
     if (answer.tokens > 0) this.parts.log.write('budgetGiven', { budget, to, ...answer })
     return answer
@@ -192,7 +192,7 @@
 
   /** Accepts tokens that a terminating holder hands over. */
   onHandover (budget: string, tokens: number): void {
-    this.dispatch({ kind: 'handedOver', budget, tokens })
+    this.dispatch({ kind: 'handoverReceived', budget, tokens })
   }
 
   /**
@@ -223,7 +223,7 @@
   private isInDoubt (item: AgedAllotment): boolean {
     const { holder, state } = item.row
     const isPresent = holder === this.parts.holder || this.parts.peers.members().some(member => member.holder === holder)
-    return state === 'open' && (!isPresent || item.ageMs > this.policy.lapseMs)
+    return state === 'open' && (!isPresent || item.ageMs > this.policy.allotmentExpiryMs)
   }
 
   private dispatch (event: BudgetEvent): readonly BudgetAction[] {
--- a/packages/rosemaryspread/src/budget/budgetRecovery.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecovery.ts
@@ -8,9 +8,9 @@
 import { elapsedMs, type Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
-import { planRecovery, recoveryKeys, type OwedBill, type RecoveryOrder, type RecoveryPlan } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
+import { planRecovery, recoveryKeys, type OwedBill, type RecoveryRequest, type RecoveryPlan } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
 import { vmOf } from '@rosemaryspread/decisions/names/nameTypes.js'
-import { GoneVms, hasLapsed, isSucceeded, mayBeForgotten, succeededAt, type PlacedHolder } from '@rosemaryspread/decisions/budget/recoveryRules.js'
+import { TerminatedVms, hasExpired, hasSuccessor, mayRunsBeDiscarded, successorSince, type PlacedHolder } from '@rosemaryspread/decisions/budget/recoveryRules.js'
 import type { BudgetPeers } from './budgetPeers.js'
 import type { BudgetRegistry, ClosedAllotment, HolderAtVersion } from './budgetRegistry.js'
 import type { RunOwner } from './budgetRecoveryRuns.js'
@@ -65,7 +65,7 @@
 }
 
 export class BudgetRecovery {
-  private readonly gone = new GoneVms()
+  private readonly gone = new TerminatedVms()
   private readonly registry: BudgetRegistry
   private readonly runs: UnbilledRuns
   private readonly absentSince = new Map<string, Instant>()
@@ -83,7 +83,7 @@
    * @param vm - if given, recovers only what earlier processes of this VM held
    */
   async pass (list?: VmListEvidence, vm?: string): Promise<boolean> {
-    if (list !== undefined) this.gone.note(list.asOf, list.vms)
+    if (list !== undefined) this.gone.record(list.asOf, list.vms)
     if (this.running) return false
     this.running = true
     this.runs.beginPass()
@@ -108,7 +108,7 @@
 
   private classifyHolders (holders: readonly HolderAtVersion[], placed: readonly PlacedHolder[]): DomainView {
     const members = new Set([this.parts.holder, ...this.parts.peers.members().map(member => member.holder)])
-    const isEnded = (item: HolderAtVersion): boolean => this.gone.proves(item) || isSucceeded(item.holder, placed)
+    const isEnded = (item: HolderAtVersion): boolean => this.gone.proves(item) || hasSuccessor(item.holder, placed)
     const ended = holders.filter(isEnded)
     const rest = holders.filter(item => !isEnded(item))
     for (const holder of members) this.absentSince.delete(holder)
@@ -154,7 +154,7 @@
     const ended = new Set(view.ended.map(item => item.holder))
     const absent = new Set(view.absent.map(item => item.holder))
     return survey.allotments.filter(({ row, ageMs }) => row.state === 'open' &&
-      (ended.has(row.holder) || (absent.has(row.holder) && hasLapsed(this.parts.policy, ageMs))))
+      (ended.has(row.holder) || (absent.has(row.holder) && hasExpired(this.parts.policy, ageMs))))
   }
 
   /** Returns why the allotments cannot be closed yet, if so. */
@@ -162,7 +162,7 @@
     const unsure = this.parts.peers.hasNoTransfers === true ? undefined : this.unsure(view, survey, closing)
     if (unsure !== undefined) return pendingFailure(`absent holder ${unsure.holder} may hold transferred tokens that have not expired`)
     for (const item of closing) {
-      if (mayBeForgotten(this.parts.policy, await this.runs.contactAgeMs(item, survey.now))) {
+      if (mayRunsBeDiscarded(this.parts.policy, await this.runs.contactAgeMs(item, survey.now))) {
         return pendingFailure(`runners may no longer have the records of runs of ${item.row.holder}; an operator has to decide`)
       }
     }
@@ -176,7 +176,7 @@
   private unsure (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): HolderAtVersion | undefined {
     const closed = new Set(closing.map(item => item.row.holder))
     const open = new Set(survey.allotments.filter(item => item.row.state === 'open').map(item => item.row.holder))
-    const allLapsed = closing.every(item => hasLapsed(this.parts.policy, item.ageMs))
+    const allLapsed = closing.every(item => hasExpired(this.parts.policy, item.ageMs))
     return view.absent.find(({ holder }) => !closed.has(holder) && (open.has(holder) || !allLapsed))
   }
 
@@ -219,14 +219,14 @@
     })), survey.now)
   }
 
-  private async close (order: RecoveryOrder): Promise<Either<Failure, Committed<RecoveryPlan>>> {
+  private async close (order: RecoveryRequest): Promise<Either<Failure, Committed<RecoveryPlan>>> {
     const id = `recover/${order.budget}/${order.closing.map(item => item.version).join('-')}`
     return await this.table.run(id, recoveryKeys(order), rows => planRecovery(rows, order))
   }
 
   private report (closing: readonly AgedAllotment[], { billed, returned }: Extract<RecoveryPlan, { kind: 'write' }>, placed: readonly PlacedHolder[]): void {
     const reports = closing.flatMap(({ row: { holder, report } }) => {
-      const endedBy = succeededAt(holder, placed)
+      const endedBy = successorSince(holder, placed)
       return report === undefined || endedBy === undefined ? [] : [{ tokens: report.tokens, perMs: report.perMs, ageMs: endedBy - report.since }]
     })
     const ended = closing.map(({ row }) => row.holder).join(' ')
@@ -238,7 +238,7 @@
     const now = this.table.now()
     const since = this.absentSince.get(item.holder) ?? now
     this.absentSince.set(item.holder, since)
-    return hasLapsed(this.parts.policy, elapsedMs(since, now))
+    return hasExpired(this.parts.policy, elapsedMs(since, now))
   }
 
   /**
@@ -267,7 +267,7 @@
 }
 
 function terminationOf (holder: string, placed: readonly PlacedHolder[]): Pick<RunOwner, 'endedBy'> {
-  const endedBy = succeededAt(holder, placed)
+  const endedBy = successorSince(holder, placed)
   return endedBy === undefined ? {} : { endedBy }
 }
 
