--- a/packages/rosemaryspread/src/budget/budgetRegistry.ts
+++ b/packages/rosemaryspread/src/budget/budgetRegistry.ts
@@ -10,7 +10,7 @@
 import type { RowSet } from '@rosemaryspread/decisions/budget/rowSet.js'
 import type { PlacedHolder, RegisteredHolder } from '@rosemaryspread/decisions/budget/recoveryRules.js'
 import { drawKeys } from '@rosemaryspread/decisions/budget/budgetPlans.js'
-import { planRetire } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
+import { planAllotmentRemoval } from '@rosemaryspread/decisions/budget/recoveryPlan.js'
 import type { Row } from '@rosemaryspread/infra/table/tableTypes.js'
 import { scanAll } from './budgetSurvey.js'
 import type { BudgetTable } from './budgetTable.js'
@@ -108,8 +108,8 @@
     const budgets = await this.listBudgets(holder)
     if (before.isLeft() || budgets.isLeft()) return
     for (const budget of budgets.orDefault([])) {
-      const done = await this.table.run(`retire/${budget}`, drawKeys(holder, budget), rows => planRetire(rows, budget, holder))
-      if (done.map(({ plan }) => plan.kind).orDefault('kept') === 'kept') return
+      const done = await this.table.run(`retire/${budget}`, drawKeys(holder, budget), rows => planAllotmentRemoval(rows, budget, holder))
+      if (done.map(({ plan }) => plan.kind).orDefault('notEmpty') === 'notEmpty') return
     }
     // A new allotment row for this holder rewrites its register row too, so the version check keeps the row then.
     const version = before.unsafeCoerce().rows[0]?.version ?? null
--- a/packages/rosemaryspread/src/budget/drawExecutor.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -7,7 +7,7 @@
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 import type { BudgetAction, DeclaredPaid, DrawOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
-import { drawKeys, planDraw, type DrawOrder, type DrawPlan } from '@rosemaryspread/decisions/budget/budgetPlans.js'
+import { drawKeys, planDraw, type DrawRequest, type DrawPlan } from '@rosemaryspread/decisions/budget/budgetPlans.js'
 import type { BudgetTable } from './budgetTable.js'
 import { FirstAttemptTimes } from './firstAttemptTimes.js'
 import { surveyBudget } from './budgetSurvey.js'
@@ -51,7 +51,7 @@
     return await Promise.all(plan.plans.map(async (item, index) => await this.outcome(actions[index], item, sentAt)))
   }
 
-  private drawOrder ({ report, ...action }: DrawAction): DrawOrder {
+  private drawOrder ({ report, ...action }: DrawAction): DrawRequest {
     const declared = this.self.declared(action.budget)
     return {
       ...action,
--- a/packages/rosemaryspread/src/budget/flushExecutor.ts
+++ b/packages/rosemaryspread/src/budget/flushExecutor.ts
@@ -5,7 +5,7 @@
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { BudgetAction, FlushOutcome } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import { budgetTables, segmentKey } from '@rosemaryspread/decisions/budget/budgetKeys.js'
-import { flushKeys, planFlush, type Flusher } from '@rosemaryspread/decisions/budget/flushPlan.js'
+import { flushKeys, planFlush, type FlushingHolder } from '@rosemaryspread/decisions/budget/flushPlan.js'
 import { FirstAttemptTimes } from './firstAttemptTimes.js'
 import type { BudgetTable } from './budgetTable.js'
 
@@ -16,7 +16,7 @@
 
   constructor (
     private readonly table: BudgetTable,
-    private readonly self: Flusher,
+    private readonly self: FlushingHolder,
     private readonly log: EventLog
   ) {}
 
--- a/packages/rosemaryspread/src/budget/transferRequester.ts
+++ b/packages/rosemaryspread/src/budget/transferRequester.ts
@@ -12,7 +12,7 @@
 import { surveyBudget, type AgedAllotment } from './budgetSurvey.js'
 import type { BudgetPeers, TransferResponse, TransferRequest } from './budgetPeers.js'
 
-type TransferRequestAction = Extract<BudgetAction, { kind: 'askGive' }>
+type TransferRequestAction = Extract<BudgetAction, { kind: 'requestTransfer' }>
 type RecallAction = Extract<BudgetAction, { kind: 'recall' }>
 
 /** A transfer request whose outcome is not known yet. */
@@ -52,7 +52,7 @@
       const { holder: to, domain } = this.parts
       missing -= await this.ask({ granter, ask: { transferId, budget: action.budget, to, domain, wanted: action.tokens, atLeast: missing } })
     }
-    this.parts.dispatch({ kind: 'giveAnswered', transferId: action.transferId })
+    this.parts.dispatch({ kind: 'transferAnswered', transferId: action.transferId })
   }
 
   /** Retries requests whose response was lost; called on each tick. */
@@ -83,7 +83,7 @@
     const isOpen = allotment !== null && allotment !== undefined && allotmentRowSchema.parse(allotment.value).state === 'open'
     if ((recorded === null || recorded === undefined) && isOpen) return
     if (!this.open.delete(transferId) || recorded === null || recorded === undefined) return
-    this.parts.dispatch({ kind: 'giveAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt: requestedAt })
+    this.parts.dispatch({ kind: 'transferAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt: requestedAt })
   }
 
   /** Whether no request is pending. */
@@ -117,7 +117,7 @@
     this.open.delete(item.ask.transferId)
     const { transfer } = answer.unsafeCoerce()
     if (transfer === undefined || transfer.transferId !== item.ask.transferId || transfer.to !== this.parts.holder) return 0
-    this.parts.dispatch({ kind: 'giveAnswered', transferId: transfer.transferId, transfer, askedAt: requestedAt })
+    this.parts.dispatch({ kind: 'transferAnswered', transferId: transfer.transferId, transfer, askedAt: requestedAt })
     return transfer.tokens
   }
 
--- a/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
@@ -3,7 +3,7 @@
  * An allotment covers demand for longer than the store is mostly out of reach; what the end of a VM
  * costs is bounded by its last report, see reportBound.
  */
-import { ALL_OWN_UP_TO } from '@rosemaryspread/decisions/budget/budgetOwners.js'
+import { MAX_VMS_ALL_OWN } from '@rosemaryspread/decisions/budget/budgetOwners.js'
 import { defaultBudgetPolicy, type BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 
 /** Milliseconds between two flushes of a VM in a small fleet; reports go with them, each is one call of the store. */
@@ -39,16 +39,16 @@
   otherVmRetryMs: 20,
   // A draw or a report mostly comes back sooner, and costs no other VM a call.
   giftAfterMs: 20,
-  lapseMs: 60_000,
+  allotmentExpiryMs: 60_000,
   marginMs: 5_000,
   requestTimeoutMs: 15_000,
   // Gifts serve what waits meanwhile; at 2 s a day of trouble took 14,900 calls of the store, now 12,800.
-  emptyPauseMs: 6_000,
+  emptyDrawPauseMs: 6_000,
   // A transaction of the store takes 100 entries; a draw has up to six of them, a flush four for each budget.
   drawsAtOnce: 12,
-  budgetsAtOnce: 20,
+  maxBudgetsPerFlush: 20,
   // With returns to ten budgets at once eight tries in a row conflicted while a VM joined and others drew.
-  returnsAtOnce: 3
+  maxReturnsPerFlush: 3
 }
 
 /**
@@ -58,7 +58,7 @@
 export function fleetBudgetPolicy (vms: () => number): BudgetPolicy {
   return {
     ...gatewayBudgetPolicy,
-    get evenPart () { return vms() > ALL_OWN_UP_TO ? OWNERS_EVEN_PART : gatewayBudgetPolicy.evenPart },
+    get evenPart () { return vms() > MAX_VMS_ALL_OWN ? OWNERS_EVEN_PART : gatewayBudgetPolicy.evenPart },
     get flushMs () { return Math.max(FLUSH_MS, vms() * MS_PER_SECOND / FLEET_FLUSHES_PER_S) }
   }
 }
--- a/packages/stand-ins/src/measure/budget/budgetChaos.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.ts
@@ -23,7 +23,7 @@
   rateWindowMs: 30 * SECOND,
   minTokens: 1000,
   idleReturnMs: 70 * SECOND,
-  lapseMs: 60 * SECOND,
+  allotmentExpiryMs: 60 * SECOND,
   marginMs: 3 * SECOND,
   requestTimeoutMs: 10 * SECOND
 }
