--- a/packages/decisions/src/budget/budgetEntry.ts
+++ b/packages/decisions/src/budget/budgetEntry.ts
@@ -173,7 +173,7 @@
 
   /** Free tokens that may be reserved now under the last report. */
   usable (now: Instant): number {
-    if (!this.policy.boundsUse) return this.free
+    if (!this.policy.boundsUnreportedUse) return this.free
     return Math.min(this.free, this.bounds.capacity(this.reserved + this.unsettled, this.flushing, now))
   }
 
@@ -187,7 +187,7 @@
 
   /** Milliseconds until the last report allows to reserve `tokens`; undefined if too few are free. */
   untilUsableMs (tokens: number, now: Instant): number | undefined {
-    if (!this.policy.boundsUse || tokens > this.free) return undefined
+    if (!this.policy.boundsUnreportedUse || tokens > this.free) return undefined
     return this.bounds.untilCapacityMs(tokens, this.reserved + this.unsettled, this.flushing, now)
   }
 
--- a/packages/decisions/src/budget/budgetFairShare.spec.ts
+++ b/packages/decisions/src/budget/budgetFairShare.spec.ts
@@ -14,7 +14,7 @@
 
 const PAID = 600_000
 const policy: BudgetPolicy = {
-  ...defaultBudgetPolicy, evenPart: 1, shareDivisor: 1, boundsUse: true, demandFrom: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, patienceMs: 30, emptyDrawPauseMs: 2_000
+  ...defaultBudgetPolicy, fairShareRatio: 1, shareDivisor: 1, boundsUnreportedUse: true, demandSource: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, unreachableWaitMs: 30, emptyDrawPauseMs: 2_000
 }
 
 class Holder {
--- a/packages/decisions/src/budget/budgetLedger.spec.ts
+++ b/packages/decisions/src/budget/budgetLedger.spec.ts
@@ -155,7 +155,7 @@
   })
 
   describe('with bounds on unreported use', () => {
-    const bounded = { ...policy, boundsUse: true, demandFrom: 'reservations' as const, flushMs: 60_000 }
+    const bounded = { ...policy, boundsUnreportedUse: true, demandSource: 'reservations' as const, flushMs: 60_000 }
     const LARGEST = 2_000
 
     function boundedHarness (): Harness {
--- a/packages/decisions/src/budget/budgetLedger.ts
+++ b/packages/decisions/src/budget/budgetLedger.ts
@@ -125,7 +125,7 @@
   }
 
   private holderJoined ({ holder }: EventOf<'holderJoined'>, now: Instant): readonly BudgetAction[] {
-    if (this.policy.evenPart === 0 || this.draining) return []
+    if (this.policy.fairShareRatio === 0 || this.draining) return []
     const { count } = this.owners
     for (const entry of this.entries.all.values()) {
       if (this.owners.owns(holder, entry.budget)) this.maintenance.returnFree(entry, Math.ceil(entry.free * (count - 1) / count), now)
--- a/packages/decisions/src/budget/budgetMaintenance.ts
+++ b/packages/decisions/src/budget/budgetMaintenance.ts
@@ -110,7 +110,7 @@
 
   /** The allowance of an old report grows, and the team loses it if this process terminates. */
   private isReportDue (entry: BudgetEntry, now: Instant): boolean {
-    return this.policy.boundsUse && entry.bounds.ageMs(now) > this.policy.flushMs * REPORT_INTERVAL_FLUSHES
+    return this.policy.boundsUnreportedUse && entry.bounds.ageMs(now) > this.policy.flushMs * REPORT_INTERVAL_FLUSHES
   }
 
   private isRenewalDue (entry: BudgetEntry, now: Instant): boolean {
--- a/packages/decisions/src/budget/budgetOwners.spec.ts
+++ b/packages/decisions/src/budget/budgetOwners.spec.ts
@@ -49,7 +49,7 @@
 })
 
 const policy: BudgetPolicy = {
-  ...defaultBudgetPolicy, horizonMs: 45_000, rateWindowMs: 3_000, boundsUse: true, demandFrom: 'reservations', evenPart: 0.5, giftAfterMs: 20, flushMs: 100, patienceMs: 30, otherVmRetryMs: 20
+  ...defaultBudgetPolicy, horizonMs: 45_000, rateWindowMs: 3_000, boundsUnreportedUse: true, demandSource: 'reservations', fairShareRatio: 0.5, grantAfterMs: 20, flushMs: 100, unreachableWaitMs: 30, otherVmRetryMs: 20
 }
 
 /** Ledger of a holder that owns all budgets or none. */
--- a/packages/decisions/src/budget/budgetPolicy.ts
+++ b/packages/decisions/src/budget/budgetPolicy.ts
@@ -13,9 +13,9 @@
    * What the demand rate counts: `bills` count actual use; `reservations` count the worst case immediately and extrapolate
    * a history shorter than the window, which suits short windows.
    */
-  readonly demandFrom: 'bills' | 'reservations'
+  readonly demandSource: 'bills' | 'reservations'
   /** Whether a holder bounds its unreported use, see reportBound; required if recovery bills a terminated VM by that bound. */
-  readonly boundsUse: boolean
+  readonly boundsUnreportedUse: boolean
   /** Minimum desired allotment. */
   readonly minTokens: number
   /** A draw ahead of need is limited to the unallotted tokens divided by this value times the number of holders. */
@@ -24,7 +24,7 @@
    * Fraction of the unspent tokens that is divided evenly among all VMs, including VMs without demand: callers move between
    * VMs at any time, and a VM that is cut off from the table cannot draw. The rest follows demand. 0 disables fair shares.
    */
-  readonly evenPart: number
+  readonly fairShareRatio: number
   /** Refill when less than this fraction of the level after the last draw is free. */
   readonly lowWaterRatio: number
   /** Return free tokens when they exceed the desired allotment by this factor. */
@@ -40,12 +40,12 @@
    * Milliseconds that a request waits for the table before a grant is requested from other holders; no wait if a draw is known
    * to be futile. Absent if holders have no links to each other.
    */
-  readonly giftAfterMs?: number
+  readonly grantAfterMs?: number
   /** Backoff between rounds of draw, transfer and recall for one budget; doubles up to `roundMaxMs`. */
   readonly roundMs: number
   readonly roundMaxMs: number
   /** Maximum wait of a request while the table or other holders are unreachable. */
-  readonly patienceMs: number
+  readonly unreachableWaitMs: number
   /** Retry-After in milliseconds if another VM may have tokens; absent if callers retry at the same VM. */
   readonly otherVmRetryMs?: number
   /** Period of local demand that a holder retains on a recall. */
@@ -59,7 +59,7 @@
   /** Pause before the next draw ahead of need when nothing was left; also after a recall, so that the tokens are not drawn back. */
   readonly emptyDrawPauseMs: number
   /** Maximum draws in a transaction and budgets in a flush, under the transaction limits of the table. */
-  readonly drawsAtOnce: number
+  readonly maxDrawsPerTransaction: number
   readonly maxBudgetsPerFlush: number
   /** Maximum budgets to which one flush returns tokens. */
   readonly maxReturnsPerFlush: number
@@ -72,11 +72,11 @@
 export const defaultBudgetPolicy: BudgetPolicy = {
   horizonMs: 120 * MINUTE,
   rateWindowMs: 20 * MINUTE,
-  demandFrom: 'bills',
-  boundsUse: false,
+  demandSource: 'bills',
+  boundsUnreportedUse: false,
   minTokens: 8_192,
   shareDivisor: 0.5,
-  evenPart: 0,
+  fairShareRatio: 0,
   lowWaterRatio: 0.9,
   excessFactor: 2,
   idleReturnMs: 6 * HOUR,
@@ -85,14 +85,14 @@
   retryMaxMs: 15 * SECOND,
   roundMs: 500,
   roundMaxMs: 2 * SECOND,
-  patienceMs: 2 * SECOND,
+  unreachableWaitMs: 2 * SECOND,
   recallRetainMs: 20 * SECOND,
   // Leaves time for recovery before engines discard their run records after two hours.
   allotmentExpiryMs: 100 * MINUTE,
   marginMs: MINUTE,
   requestTimeoutMs: MINUTE,
   emptyDrawPauseMs: 30 * SECOND,
-  drawsAtOnce: 100,
+  maxDrawsPerTransaction: 100,
   maxBudgetsPerFlush: 100,
   maxReturnsPerFlush: 100
 }
--- a/packages/decisions/src/budget/budgetRefusal.ts
+++ b/packages/decisions/src/budget/budgetRefusal.ts
@@ -21,7 +21,7 @@
 const MIN_PENDING_RETRY_MS = 1_000
 
 /** Wait limit for unreachable tokens, and the Retry-After of its refusal. */
-type RefusalTimes = Pick<BudgetPolicy, 'patienceMs' | 'otherVmRetryMs'>
+type RefusalTimes = Pick<BudgetPolicy, 'unreachableWaitMs' | 'otherVmRetryMs'>
 
 /** The failure of a request that has to be refused now; undefined while it may wait. */
 export function refusalOf (entry: BudgetEntry, request: WaitingRequest, times: RefusalTimes, now: Instant): Failure | undefined {
@@ -33,7 +33,7 @@
   const untilUsableMs = entry.untilUsableMs(request.tokens, now)
   if (untilUsableMs !== undefined) return unreportedFailure(entry, request, untilUsableMs, now)
   const isUnreachable = shortage?.kind === 'unavailable' || (shortage?.kind === 'short' && entry.unreachable > 0) || isExhausted(entry, request, now)
-  const limitMs = isUnreachable && entry.round === undefined ? Math.min(times.patienceMs, request.giveUpAfterMs) : request.giveUpAfterMs
+  const limitMs = isUnreachable && entry.round === undefined ? Math.min(times.unreachableWaitMs, request.giveUpAfterMs) : request.giveUpAfterMs
   return waitedMs(request, now) >= limitMs ? timeoutFailure(entry, request, times, now) : undefined
 }
 
--- a/packages/decisions/src/budget/budgetSettlement.ts
+++ b/packages/decisions/src/budget/budgetSettlement.ts
@@ -31,7 +31,7 @@
   constructor (
     private readonly entries: ReadonlyMap<string, BudgetEntry>,
     private readonly queue: FlushQueue,
-    private readonly policy: Pick<BudgetPolicy, 'boundsUse' | 'demandFrom'>
+    private readonly policy: Pick<BudgetPolicy, 'boundsUnreportedUse' | 'demandSource'>
   ) {}
 
   /**
@@ -75,7 +75,7 @@
   }
 
   private reportsOf (flush: FlushBatch, now: Instant): readonly BudgetReport[] {
-    if (!this.policy.boundsUse) return []
+    if (!this.policy.boundsUnreportedUse) return []
     const budgets = new Set([...flush.bills, ...flush.returns].map(item => item.budget))
     return [...budgets].flatMap(budget => {
       const entry = this.entries.get(budget)
@@ -122,7 +122,7 @@
 
   private bill (entry: BudgetEntry, bill: Bill, now: Instant): void {
     entry.unsettled += bill.tokens
-    if (this.policy.demandFrom === 'bills') entry.desired.rate.add(bill.tokens, now.mono)
+    if (this.policy.demandSource === 'bills') entry.desired.rate.add(bill.tokens, now.mono)
     this.queue.addBill(bill, now.mono)
   }
 
--- a/packages/decisions/src/budget/budgetSupply.ts
+++ b/packages/decisions/src/budget/budgetSupply.ts
@@ -74,7 +74,7 @@
   }
 
   private stageAfter (entry: BudgetEntry, stage: RoundStage, now: Instant): RoundStage | undefined {
-    if (this.policy.giftAfterMs !== undefined) return undefined
+    if (this.policy.grantAfterMs !== undefined) return undefined
     const next = stage === 'draw' && !entry.mayRequestTransfer(now) ? 'recall' : nextStages[stage]
     const isTableReachable = entry.shortage === undefined || entry.shortage.kind === 'short'
     return next === 'recall' && !isTableReachable ? undefined : next
@@ -119,7 +119,7 @@
       const reserved = entry.reserve(item.tokens, now)
       if (reserved === undefined) return true
       this.settlement.open(item.reservationId, entry.budget, reserved)
-      if (this.policy.demandFrom === 'reservations') entry.desired.rate.add(item.tokens, now.mono)
+      if (this.policy.demandSource === 'reservations') entry.desired.rate.add(item.tokens, now.mono)
       actions.push({ kind: 'admit', reservationId: item.reservationId })
       return false
     })
@@ -152,7 +152,7 @@
    */
   private leavesDrawToOwners (entry: BudgetEntry, now: Instant): boolean {
     const oldest = entry.waiting[0]
-    return this.policy.giftAfterMs !== undefined && !entry.drawsAhead(now.mono) && oldest !== undefined && entry.peersUnresponsiveAt < oldest.since.mono
+    return this.policy.grantAfterMs !== undefined && !entry.drawsAhead(now.mono) && oldest !== undefined && entry.peersUnresponsiveAt < oldest.since.mono
   }
 
   private runStage (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
@@ -184,7 +184,7 @@
 
   private newDraw (entry: BudgetEntry, now: Instant): Pick<OpenDraw, 'drawId' | 'since' | 'report'> {
     const draw = { drawId: this.nextId('draw'), since: now }
-    return this.policy.boundsUse && entry.bounds.isEmpty ? { ...draw, report: { ...entry.allowance(now), at: now } } : draw
+    return this.policy.boundsUnreportedUse && entry.bounds.isEmpty ? { ...draw, report: { ...entry.allowance(now), at: now } } : draw
   }
 
   private drawAhead (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
--- a/packages/decisions/src/budget/desiredAllotment.ts
+++ b/packages/decisions/src/budget/desiredAllotment.ts
@@ -28,8 +28,8 @@
 
   /** @param isOwned - whether this holder owns the budget; otherwise, unless busy, it draws only what waiting requests need */
   constructor (private readonly policy: BudgetPolicy, private readonly isOwned: () => boolean) {
-    this.rate = new DemandRate(policy.rateWindowMs, policy.demandFrom === 'reservations')
-    this.requests = new DemandRate(policy.rateWindowMs, policy.demandFrom === 'reservations')
+    this.rate = new DemandRate(policy.rateWindowMs, policy.demandSource === 'reservations')
+    this.requests = new DemandRate(policy.rateWindowMs, policy.demandSource === 'reservations')
   }
 
   /** Updates the spending of all holders from a draw. */
@@ -65,12 +65,12 @@
 
   /** Whether local demand does not exceed the fair share. */
   isWithinFairShare (mono: number): boolean {
-    return this.policy.evenPart > 0 && this.demandTokens(mono) <= this.fairShare
+    return this.policy.fairShareRatio > 0 && this.demandTokens(mono) <= this.fairShare
   }
 
   /** Fair share of this holder; the maximum before the first draw, when the unspent amount is unknown. */
   get fairShare (): number {
-    const { fleet, policy: { evenPart } } = this
+    const { fleet, policy: { fairShareRatio: evenPart } } = this
     if (evenPart === 0) return 0
     return fleet === undefined ? MAX_TOKENS : fairShareTokens(fleet.paid - fleet.spent, fleet.holders, evenPart)
   }
@@ -78,6 +78,6 @@
   /** With fair shares there is no minimum allotment in addition: it would lie idle at all holders without demand. */
   private demandTokens (mono: number): number {
     const rate = this.rate.perMs(mono)
-    return this.policy.evenPart > 0 ? Math.ceil(rate * this.policy.horizonMs) : desiredTokens(this.policy, rate, this.largest)
+    return this.policy.fairShareRatio > 0 ? Math.ceil(rate * this.policy.horizonMs) : desiredTokens(this.policy, rate, this.largest)
   }
 }
--- a/packages/decisions/src/budget/peerGrants.spec.ts
+++ b/packages/decisions/src/budget/peerGrants.spec.ts
@@ -9,7 +9,7 @@
 import type { BudgetAction, BudgetEvent } from './budgetTypes.js'
 
 const policy: BudgetPolicy = {
-  ...defaultBudgetPolicy, evenPart: 0.1, boundsUse: true, demandFrom: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, patienceMs: 30, giftAfterMs: 20
+  ...defaultBudgetPolicy, fairShareRatio: 0.1, boundsUnreportedUse: true, demandSource: 'reservations', flushMs: 100, horizonMs: 10_000, rateWindowMs: 3_000, unreachableWaitMs: 30, grantAfterMs: 20
 }
 const HELD = 50_000
 /** Allowance of the first report of this allotment. */
@@ -86,7 +86,7 @@
   const requests: ReadonlyArray<{ readonly name: string, readonly over?: Partial<BudgetPolicy>, readonly tokens: number, readonly waitedMs: number, readonly asked: number | undefined }> = [
     { name: 'the missing tokens of a request that waited', tokens: 9_000, waitedMs: 20, asked: 4_000 },
     { name: 'nothing while the table may still answer', tokens: 9_000, waitedMs: 10, asked: undefined },
-    { name: 'nothing if holders have no links', over: { giftAfterMs: undefined as never }, tokens: 9_000, waitedMs: 40, asked: undefined }
+    { name: 'nothing if holders have no links', over: { grantAfterMs: undefined as never }, tokens: 9_000, waitedMs: 40, asked: undefined }
   ]
   for (const { name, over, tokens, waitedMs, asked } of requests) {
     it(`a holder requests ${name}`, () => {
--- a/packages/decisions/src/budget/peerGrants.ts
+++ b/packages/decisions/src/budget/peerGrants.ts
@@ -26,7 +26,7 @@
    */
   constructor (
     private readonly holder: string,
-    private readonly policy: Pick<BudgetPolicy, 'giftAfterMs'>,
+    private readonly policy: Pick<BudgetPolicy, 'grantAfterMs'>,
     private readonly queue: FlushQueue
   ) {}
 
@@ -52,7 +52,7 @@
    * grants are always handed over, as no row records them.
    */
   handover (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
-    if (this.policy.giftAfterMs === undefined) return []
+    if (this.policy.grantAfterMs === undefined) return []
     const { budget } = entry
     const fromAllotment = entry.isDrawFutile(now) ? usableTokens(entry, now) : 0
     const tokens = entry.grantedBalance.withdraw(Infinity) + fromAllotment
@@ -63,7 +63,7 @@
   /** Requests the tokens that waiting requests lack; one open request at a time. */
   ask (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const oldest = entry.waiting[0]
-    const { giftAfterMs } = this.policy
+    const { grantAfterMs: giftAfterMs } = this.policy
     if (oldest === undefined || giftAfterMs === undefined || entry.grantRequestId !== undefined || now.mono < entry.nextGrantRequestAt) return []
     if (entry.drawsAhead(now.mono) && !entry.isDrawFutile(now) && now.mono - oldest.since.mono < giftAfterMs) return []
     const tokens = missingTokens(entry, now)
--- a/packages/rosemaryspread/src/budget/drawExecutor.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -16,7 +16,7 @@
 export interface DrawingHolder {
   readonly holder: string
   readonly domain: string
-  readonly policy: Pick<BudgetPolicy, 'shareDivisor' | 'evenPart'>
+  readonly policy: Pick<BudgetPolicy, 'shareDivisor' | 'fairShareRatio'>
   holders (): number
   /** Amount paid for a budget according to the configuration; undefined where top-ups define it. */
   declared (budget: string): DeclaredPaid | undefined
@@ -38,7 +38,7 @@
    * @param actions - at most one for each budget
    */
   async draw (actions: readonly DrawAction[]): Promise<readonly DrawOutcome[]> {
-    const { holder, domain, policy: { shareDivisor, evenPart } } = this.self
+    const { holder, domain, policy: { shareDivisor, fairShareRatio: evenPart } } = this.self
     const drawer = { holder, domain, shareDivisor, evenPart, holders: this.self.holders() }
     const keys = actions.flatMap(action => drawKeys(holder, action.budget))
     const ids = actions.map(action => action.drawId)
--- a/packages/rosemaryspread/src/budget/drawQueue.ts
+++ b/packages/rosemaryspread/src/budget/drawQueue.ts
@@ -15,7 +15,7 @@
    * @param policy - `flushMs`: how long a draw ahead of demand waits; `drawsAtOnce`: draws of one transaction, each of
    * which reads two rows and writes up to four
    */
-  constructor (private readonly policy: Pick<BudgetPolicy, 'flushMs' | 'drawsAtOnce'>) {}
+  constructor (private readonly policy: Pick<BudgetPolicy, 'flushMs' | 'maxDrawsPerTransaction'>) {}
 
   /**
    * Queues a draw; returns what has to be sent at once.
@@ -35,7 +35,7 @@
   /** Returns the draws that have waited long enough, and those that can join them. */
   dequeueDue (now: Instant): readonly DrawAction[] {
     if (this.oldest === undefined || elapsedMs(this.oldest, now) < this.policy.flushMs) return []
-    const batch = [...this.waiting.values()].slice(0, this.policy.drawsAtOnce)
+    const batch = [...this.waiting.values()].slice(0, this.policy.maxDrawsPerTransaction)
     for (const action of batch) this.waiting.delete(action.drawId)
     if (this.waiting.size === 0) this.oldest = undefined
     return this.send(batch)
--- a/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
@@ -22,10 +22,10 @@
   ...defaultBudgetPolicy,
   horizonMs: 45_000,
   rateWindowMs: 3_000,
-  boundsUse: true,
-  demandFrom: 'reservations',
+  boundsUnreportedUse: true,
+  demandSource: 'reservations',
   // More than a tenth lies idle at VMs without demand while the one with the callers runs dry in a cut.
-  evenPart: 0.1,
+  fairShareRatio: 0.1,
   // Many teams are served by one VM at a time, since callers keep their connections: it may take most of what is left.
   shareDivisor: 0.25,
   idleReturnMs: 15_000,
@@ -34,18 +34,18 @@
   retryMaxMs: 1_000,
   roundMs: 150,
   roundMaxMs: 600,
-  patienceMs: 30,
+  unreachableWaitMs: 30,
   // About a round trip: callers come back to another address.
   otherVmRetryMs: 20,
   // A draw or a report mostly comes back sooner, and costs no other VM a call.
-  giftAfterMs: 20,
+  grantAfterMs: 20,
   allotmentExpiryMs: 60_000,
   marginMs: 5_000,
   requestTimeoutMs: 15_000,
   // Gifts serve what waits meanwhile; at 2 s a day of trouble took 14,900 calls of the store, now 12,800.
   emptyDrawPauseMs: 6_000,
   // A transaction of the store takes 100 entries; a draw has up to six of them, a flush four for each budget.
-  drawsAtOnce: 12,
+  maxDrawsPerTransaction: 12,
   maxBudgetsPerFlush: 20,
   // With returns to ten budgets at once eight tries in a row conflicted while a VM joined and others drew.
   maxReturnsPerFlush: 3
@@ -58,7 +58,7 @@
 export function fleetBudgetPolicy (vms: () => number): BudgetPolicy {
   return {
     ...gatewayBudgetPolicy,
-    get evenPart () { return vms() > MAX_VMS_ALL_OWN ? OWNERS_EVEN_PART : gatewayBudgetPolicy.evenPart },
+    get fairShareRatio () { return vms() > MAX_VMS_ALL_OWN ? OWNERS_EVEN_PART : gatewayBudgetPolicy.fairShareRatio },
     get flushMs () { return Math.max(FLUSH_MS, vms() * MS_PER_SECOND / FLEET_FLUSHES_PER_S) }
   }
 }
