--- a/packages/rosemaryspread/src/completion/completionAdmission.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionAdmission.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What is checked of a completion before anything is reserved.
+ * Validation of completions before anything is reserved.
  */
 import { expect } from 'chai'
 import type { CompletionBody } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -27,25 +27,25 @@
 }
 
 const cases: readonly AdmissionCase[] = [
-  { name: 'the model\'s cap when the caller gives none', expected: { maxTokens: 100, budget: 'b' } },
-  { name: 'a smaller cap of the caller', body: { max_tokens: 7 }, expected: { maxTokens: 7 } },
-  { name: 'the newer name of the cap first', body: { max_tokens: 7, max_completion_tokens: 5 }, expected: { maxTokens: 5 } },
-  { name: 'no cap above the model\'s', body: { max_tokens: 100_000 }, expected: { maxTokens: 100 } },
-  { name: 'the configured timeout at most', timeoutMs: 60_000, expected: { deadline: { mono: 1_010, wall: 1_020 } } },
-  { name: 'a shorter timeout of the caller', timeoutMs: 10, expected: { deadline: { mono: 20, wall: 30 } } },
-  { name: 'a part of the team\'s budget', budget: 'b:project', expected: { budget: 'b:project' } },
+  { name: 'the cap of the model when the caller sends none', expected: { maxTokens: 100, budget: 'b' } },
+  { name: 'a smaller cap from the caller', body: { max_tokens: 7 }, expected: { maxTokens: 7 } },
+  { name: 'max_completion_tokens in preference to max_tokens', body: { max_tokens: 7, max_completion_tokens: 5 }, expected: { maxTokens: 5 } },
+  { name: 'the cap of the model when the caller sends a larger one', body: { max_tokens: 100_000 }, expected: { maxTokens: 100 } },
+  { name: 'the configured timeout when the caller sends a longer one', timeoutMs: 60_000, expected: { deadline: { mono: 1_010, wall: 1_020 } } },
+  { name: 'a shorter timeout from the caller', timeoutMs: 10, expected: { deadline: { mono: 20, wall: 30 } } },
+  { name: 'a sub-budget of the team', budget: 'b:project', expected: { budget: 'b:project' } },
   { name: 'a budget of another team', budget: 'b2', refused: 'forbidden' },
-  { name: 'a part of another team\'s budget', budget: 'b2:project', refused: 'forbidden' },
+  { name: 'a sub-budget of another team', budget: 'b2:project', refused: 'forbidden' },
   { name: 'a model that the team may not use', team: 'other', refused: 'unknownModel' },
-  { name: 'a model that is not there', body: { model: 'x' }, refused: 'unknownModel' },
-  { name: 'an adapter that is not there', body: { adapter: 'x' }, refused: 'unknownModel' },
+  { name: 'a model that is not configured', body: { model: 'x' }, refused: 'unknownModel' },
+  { name: 'an adapter that is not configured', body: { adapter: 'x' }, refused: 'unknownModel' },
   { name: 'an adapter of the model', body: { adapter: 'es' }, expected: { adapter: 'es' } },
-  { name: 'a team that was removed', team: 'gone', refused: 'forbidden' }
+  { name: 'a team that is not configured', team: 'gone', refused: 'forbidden' }
 ]
 
 describe('admission of completions', () => {
   for (const { name, team, body, budget, timeoutMs, refused, expected } of cases) {
-    it(`${refused === undefined ? 'takes' : 'refuses'} ${name}`, () => {
+    it(`${refused === undefined ? 'accepts' : 'refuses'} ${name}`, () => {
       const call = {
         caller: { team: team ?? 'desk' },
         body: { model: 'm', messages: [{ role: 'user' as const, content: 'hola' }], stream: false, ...body },
--- a/packages/rosemaryspread/src/completion/completionAdmission.ts
+++ b/packages/rosemaryspread/src/completion/completionAdmission.ts
@@ -1,6 +1,6 @@
 /**
- * Checks of a completion before anything is reserved or dispatched: the team, the model, the
- * caps and the deadline. Pure; the configuration and the time are given.
+ * Validates a completion request before anything is reserved or dispatched: team, model, adapter,
+ * budget, token cap and deadline. Pure: configuration and time are arguments.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { CompletionCall } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -10,10 +10,10 @@
 import { keyedRequestId } from '@rosemaryspread/decisions/request/requestIdentity.js'
 import type { EngineRequest } from '@rosemaryspread/runners/engine/engineTypes.js'
 
-/** Tokens a chat template may add to each message. */
+/** Upper bound of the tokens that a chat template adds to each message. */
 const TEMPLATE_TOKENS_PER_MESSAGE = 8
 
-/** A completion that may be served, with its worst case. */
+/** A validated completion with the upper bounds of its cost. */
 export interface AdmittedCompletion {
   readonly requestId: string
   readonly keyed: boolean
@@ -24,27 +24,21 @@
   readonly adapter?: string
   readonly digest: string
   readonly messages: EngineRequest['messages']
-  /** Upper bound of the prompt's tokens. */
+  /** Upper bound, see {@link promptTokenBound}. */
   readonly promptTokens: number
-  /** Hard cap of generated tokens. */
+  /** Hard cap on generated tokens. */
   readonly maxTokens: number
   readonly deadline: Instant
 }
 
-/**
- * Upper bound of the tokens of a prompt: a byte-level tokenizer makes at most one token of a byte.
- * @param messages - the conversation
- */
+/** Upper bound of the tokens of a prompt: a byte-level tokenizer emits at most one token per byte. */
 export function promptBound (messages: ReadonlyArray<{ readonly content: string }>): number {
   return messages.reduce((sum, message) => sum + Buffer.byteLength(message.content) + TEMPLATE_TOKENS_PER_MESSAGE, 0)
 }
 
 /**
- * Checks a completion against the configuration.
- * @param call - what the caller asks
- * @param config - the configuration in force
- * @param freshId - id used when the caller gave no key and the call has no id
- * @param now - both clocks
+ * Validates a request against the active configuration.
+ * @param newId - request id used when the caller sent neither an idempotency key nor a request id
  */
 export function admitCompletion (call: CompletionCall, config: FleetConfig, freshId: string, now: Instant): Either<Failure, AdmittedCompletion> {
   const { team } = call.caller
@@ -76,17 +70,13 @@
   })
 }
 
-/** A team draws on its own budget and the parts of it; `:` cannot stand in the id of a budget. */
+/** A team may draw on its own budget and on sub-budgets `<budget>:<name>`; a budget id cannot contain `:`. */
 function payingBudget (own: string, named: string | undefined): string | undefined {
   if (named === undefined || named === own) return own
   return named.startsWith(`${own}:`) ? named : undefined
 }
 
-/**
- * Milliseconds left until a deadline; the monotonic clock decides.
- * @param deadline - the deadline
- * @param now - both clocks
- */
+/** Milliseconds left until a deadline, by the monotonic clock; negative once it has passed. */
 export function msUntil (deadline: Instant, now: Instant): number {
   return deadline.mono - now.mono
 }
--- a/packages/rosemaryspread/src/completion/completionAttempt.ts
+++ b/packages/rosemaryspread/src/completion/completionAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * One run of one request at one runner: opens its stream, relays it, resumes it at the right
- * piece after a broken connection, and says how it ended.
+ * One attempt of a request at one runner: opens the stream, relays it to the caller, and resumes
+ * it at the next piece after a broken connection.
  */
 import type { Either } from 'purify-ts'
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -9,19 +9,17 @@
 import { msUntil } from './completionAdmission.js'
 import type { AnswerRelay } from './completionRelay.js'
 
-/** Resumptions of one run before it is given up. */
+/** Resumed connections per attempt. */
 const MAX_RESUMES = 3
 
-/** How an attempt ended. */
 export type AttemptOutcome =
-  /** The whole answer was relayed, or read to its end after the caller had gone. */
+  /** The complete answer was relayed, or read to its end after the caller disconnected. */
   | { readonly kind: 'whole', readonly end: AnswerEnd, readonly holder: string }
-  /** The run was never started: another runner may be tried. */
+  /** The runner did not start the run: another runner may be tried. */
   | { readonly kind: 'notStarted', readonly failure: Failure }
-  /** The run was started and its end was not seen. */
+  /** The run may have started, and its end was not received. */
   | { readonly kind: 'cut', readonly failure: Failure }
 
-/** What an attempt needs. */
 export interface AttemptContext {
   readonly client: EngineClient
   readonly clock: Clock
@@ -29,18 +27,17 @@
   readonly requestId: string
   readonly deadline: Instant
   readonly relay: AnswerRelay
-  /** Whether the run stops when the caller goes away. */
+  /** Whether the attempt ends when the caller disconnects; keyed requests run to completion. */
   readonly stopWhenGone: boolean
   readonly gone: AbortSignal
   readonly onFirstPiece: () => void
-  /** Told each time a piece follows another, with the milliseconds between. */
+  /** Called for each piece after the first, with the milliseconds since the previous one. */
   readonly onPieceGap: (milliseconds: number) => void
 }
 
 /**
  * Runs an attempt to its end.
- * @param context - where and for whom
- * @param open - opens the first stream
+ * @param open - opens the first stream, by submitting or by joining the run
  */
 export async function runAttempt (context: AttemptContext, open: () => Promise<Either<Failure, EngineStream>>): Promise<AttemptOutcome> {
   const opened = await open()
@@ -52,7 +49,7 @@
   return failure.ran === 'no' ? { kind: 'notStarted', failure } : { kind: 'cut', failure }
 }
 
-/** Reads the stream of one run over as many connections as it takes. */
+/** Reads the stream of one run, resuming it over further connections when one breaks. */
 class StreamReader {
   private next = 0
   private resumes = 0
@@ -64,7 +61,7 @@
 
   async read (first: EngineStream): Promise<AttemptOutcome> {
     const { holder } = first
-    const timer = setTimeout(() => { this.stop(new Failure('deadlineExceeded', 'the deadline passed during the answer', { ran: 'yes' })) }, Math.max(0, msUntil(this.context.deadline, this.context.clock.now())))
+    const timer = setTimeout(() => { this.stop(new Failure('deadlineExceeded', 'the deadline passed while the answer was streaming', { ran: 'yes' })) }, Math.max(0, msUntil(this.context.deadline, this.context.clock.now())))
     const onGone = (): void => { this.stop(new Failure('callerGone', 'the caller closed the connection', { ran: 'yes' })) }
     if (this.context.stopWhenGone) this.context.gone.addEventListener('abort', onGone)
     try {
@@ -97,7 +94,7 @@
         const ended = this.take(event)
         if (ended !== undefined) return ended
       }
-      return new Failure('answerCut', 'the stream ended before the answer', { ran: 'yes' })
+      return new Failure('answerCut', 'the stream ended before the answer was complete', { ran: 'yes' })
     } catch (err) {
       return toFailure(err)
     } finally {
@@ -108,9 +105,9 @@
   private take (event: EngineEvent): AnswerEnd | Failure | undefined {
     if (this.stopped !== undefined) return this.stopped
     const requestId = event.kind === 'piece' ? event.piece.requestId : event.requestId
-    if (requestId !== this.context.requestId) return mixed(`a piece of request ${requestId}`)
+    if (requestId !== this.context.requestId) return mixed(`received a piece of request ${requestId}`)
     if (event.kind === 'end') return event.end
-    if (event.piece.sequence > this.next) return mixed(`piece ${event.piece.sequence} where ${this.next} was due`)
+    if (event.piece.sequence > this.next) return mixed(`received piece ${event.piece.sequence}, expected ${this.next}`)
     if (event.piece.sequence === this.next) this.pass(event.piece.text)
     return undefined
   }
--- a/packages/rosemaryspread/src/completion/completionBill.ts
+++ b/packages/rosemaryspread/src/completion/completionBill.ts
@@ -1,16 +1,14 @@
 /**
- * What a run costs. A runner's figure is never taken beyond the reservation: the cap was sent
- * with the request, so anything above it is the runner's fault and not the team's debt.
+ * Computes the bill of a run. Reported usage is clamped to the reservation: the cap was sent with
+ * the request, so a runner that exceeds it is faulty and the team does not pay for the excess.
  */
 import type { Bill } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { Usage } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { AdmittedCompletion } from './completionAdmission.js'
 
 /**
- * Bill of a run whose usage is known.
- * @param admitted - the request
- * @param runner - where it ran
- * @param usage - tokens by the engine's report
+ * Bill for the usage of a run.
+ * @param usage - tokens as reported by the engine
  */
 export function billOf (admitted: AdmittedCompletion, runner: string, usage: Usage): Bill {
   return {
@@ -22,11 +20,7 @@
   }
 }
 
-/**
- * Bill of nothing: closes a run that the system failed, so that recovery does not bill it later.
- * @param admitted - the request
- * @param runner - where it ran
- */
+/** Bill of 0 tokens for a run that failed through no fault of the team; it keeps recovery from billing the run later. */
 export function freeBill (admitted: AdmittedCompletion, runner: string): Bill {
   return billOf(admitted, runner, { promptTokens: 0, completionTokens: 0 })
 }
--- a/packages/rosemaryspread/src/completion/completionBilled.ts
+++ b/packages/rosemaryspread/src/completion/completionBilled.ts
@@ -1,19 +1,18 @@
 /**
- * Request ids that this process has billed lately. Two asks under one key may both have run at
- * this VM while a runner was out of reach; only the first of them is billed.
+ * Recently billed request ids of this process. Two requests with the same key may both have run
+ * through this VM while a runner was unreachable; only the first of them is billed.
  */
 
-/** Ids kept; at the target's ten requests a second these are more than an hour. */
+/** More than an hour of ids at 10 requests per second. */
 const MAX_IDS = 50_000
 
-/** A bounded set of request ids. */
+/** A bounded set that evicts the oldest id. */
 export class BilledRequests {
   private readonly ids = new Set<string>()
 
   /**
-   * Notes that a request is billed now.
-   * @param requestId - its id
-   * @returns whether it was not billed before
+   * Adds a request that is being billed.
+   * @returns false when it was already billed
    */
   isFirst (requestId: string): boolean {
     if (this.ids.has(requestId)) return false
--- a/packages/rosemaryspread/src/completion/completionDrain.ts
+++ b/packages/rosemaryspread/src/completion/completionDrain.ts
@@ -1,9 +1,9 @@
 /**
- * Counts open work, so that a graceful shutdown ends only when nothing is interrupted.
+ * Counts work in progress, so that a graceful shutdown can wait for it.
  */
 import type { DrainState } from './completionPorts.js'
 
-/** Counter of open work with a draining mark. */
+/** Number of open work items, and whether this VM is draining. */
 export class OpenWork implements DrainState {
   draining = false
   private count = 0
@@ -24,10 +24,7 @@
     return this.count
   }
 
-  /**
-   * Resolves to true when nothing is open, to false after the time given.
-   * @param timeoutMs - milliseconds to wait at most
-   */
+  /** Resolves to true once no work is open, or to false after the timeout. */
   async idle (timeoutMs: number): Promise<boolean> {
     if (this.count === 0) return true
     return await new Promise(resolve => {
--- a/packages/rosemaryspread/src/completion/completionFakes.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionFakes.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Fakes at the borders of request handling, shared by its specs: engines that misbehave by
- * script, budgets that keep the bills, routing with a fixed order. It holds no tests.
+ * Fakes for the specs of request handling: engines with scripted faults, budgets that record bills,
+ * and routing in a fixed order. Contains no tests.
  */
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import type { AnswerSink, CompletionCall, CompletionUsage } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -17,27 +17,27 @@
 import { SystemClock, SystemRandom } from './completionSystem.js'
 import { UnsettledRuns, type RunnerAddress } from './completionUnsettled.js'
 
-/** What an engine does wrong; each fault counts down. */
+/** Faults of one engine. */
 export interface EngineScript {
-  /** New runs are refused, as the engine is leaving. */
+  /** Refuses new runs because the engine is leaving. */
   isLeaving?: boolean
-  /** No connection can be made, from these VMs or from all. */
+  /** Refuses connections from these VMs, or from all. */
   unreachableFrom?: readonly string[] | 'all'
-  /** Streams that break after a number of pieces. */
+  /** Pieces after which each of the next streams breaks. */
   cuts?: number[]
-  /** The next submit is lost on its way: no run begins, and the VM cannot tell. */
+  /** Loses the next submit in transit: no run starts, and the VM cannot know. */
   resetSubmit?: boolean
-  /** The answer of the next submit is lost after the run began. */
+  /** Loses the response to the next submit after the run started. */
   loseSubmit?: boolean
-  /** Piece number that the next stream replaces by another request's piece. */
+  /** Sequence number that the next stream replaces by a piece of another request. */
   mixAt?: number
-  /** Piece number that the next stream leaves out. */
+  /** Sequence number that streams leave out. */
   gapAt?: number
-  /** Pieces before the asked one that a resumed stream sends again. */
+  /** Pieces before the requested one that a resumed stream repeats. */
   overlap?: number
-  /** Completion tokens reported instead of the true number. */
+  /** Completion tokens to report instead of the actual number. */
   report?: number
-  /** Waits for this before each stream's second piece. */
+  /** Awaited before the second piece of each stream. */
   hold?: Promise<void>
 }
 
@@ -46,10 +46,9 @@
   state: RunRecord['state']
 }
 
-/** Number of pieces of every answer. */
 export const PIECES = 4
 
-/** The whole answer to a request id. */
+/** The complete answer to a request. */
 export function wholeText (requestId: string): string {
   return Array.from({ length: PIECES }, (_, index) => textOf(requestId, index)).join('')
 }
@@ -58,7 +57,7 @@
   return `${requestId.slice(0, 6)}/${index} `
 }
 
-/** Engines by address, each with its runs and its script. */
+/** State of all engines by address: runs and scripted faults. */
 export class FakeEngines {
   readonly scripts = new Map<string, EngineScript>()
   readonly runs = new Map<string, Map<string, FakeRun>>()
@@ -73,14 +72,14 @@
     return this.scripts.get(address) ?? {}
   }
 
-  /** Runs that began, seals left out, as `address:state`. */
+  /** Started runs, without seals, as `address:state`. */
   began (): string[] {
     return [...this.runs].flatMap(([address, runs]) =>
       [...runs.values()].filter(({ state }) => state !== 'sealed').map(({ state }) => `${address}:${state}`))
   }
 }
 
-/** The engines as one VM reaches them. */
+/** Client of one VM to the shared engines. */
 export class FakeEngineClient implements EngineClient {
   constructor (protected readonly engines: FakeEngines, private readonly vm: string) {}
 
@@ -189,7 +188,7 @@
   }
 }
 
-/** Budgets that admit everything, or refuse by order, and keep the bills of all VMs. */
+/** Accepts every reservation unless `refuse` is set, and records the bills of all VMs. */
 export class FakeBudgets implements BudgetPort {
   readonly bills: Bill[] = []
   open = 0
@@ -212,12 +211,12 @@
   }
 }
 
-/** Runners in one order for all requests; those a VM believes to be down are passed over. */
+/** Routes every request in one fixed order of runners, skipping those that the VM believes down. */
 export class FakeRouting implements RoutingPort {
   believedDown: string[] = []
-  /** Runners that refused since they are leaving. */
+  /** Runners reported as leaving. */
   readonly saidLeaving: string[] = []
-  /** Runs counted at runners and not ended. */
+  /** Dispatched runs that have not ended. */
   open = 0
 
   constructor (private readonly runners: readonly RunnerAddress[]) {}
@@ -242,7 +241,7 @@
   }
 }
 
-/** What a caller saw. */
+/** The answer as its caller received it. */
 export interface Seen {
   text: string
   end: 'whole' | Failure | 'none'
@@ -256,12 +255,12 @@
 })
 const runners = ['r1', 'r2', 'r3'].map(runner => ({ runner, address: runner }))
 
-/** One VM of the spec over shared engines and budgets. */
+/** One VM over shared engines and budgets. */
 export class FakeVm {
   readonly work = new OpenWork()
   readonly routing = new FakeRouting(runners)
   readonly unsettled: UnsettledRuns
-  /** Log lines, each with its event. */
+  /** Log lines, each with its event name. */
   readonly lines: Array<Readonly<Record<string, unknown>>> = []
   private readonly service: RoutedCompletionService
 
@@ -284,10 +283,7 @@
     })
   }
 
-  /**
-   * Sends one completion.
-   * @param over - key, body text, and how the caller goes away
-   */
+  /** Sends one completion and waits until its work is closed. */
   async ask (over: { key?: string, text?: string, gone?: AbortSignal, timeoutMs?: number, requestId?: string, onPiece?: () => void } = {}): Promise<Seen> {
     const content = over.text ?? 'hola'
     const call: CompletionCall = {
--- a/packages/rosemaryspread/src/completion/completionFinder.ts
+++ b/packages/rosemaryspread/src/completion/completionFinder.ts
@@ -1,32 +1,29 @@
 /**
- * Finds the run that a keyed request already has. Every VM computes the same order of runners
- * for a request id; a runner that is passed over is sealed first, so that no VM can start a
- * second run there.
+ * Finds the existing run of a keyed request. Every VM computes the same order of runners for a
+ * request id; a runner that is skipped is sealed first, so that no VM can start a second run there.
  */
 import type { Maybe } from 'purify-ts'
 import type { EngineClient, RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { RunnerAddress } from './completionUnsettled.js'
 
-/** A run that an engine knows. */
+/** A run that an engine has on record. */
 export interface KnownRun {
   readonly runner: RunnerAddress
   readonly record: RunRecord
 }
 
-/** What was found. */
+/** Result of {@link sealAndFindRun}. */
 export interface FoundRun {
   readonly at?: KnownRun
-  /** Runners that could be neither sealed nor asked. */
+  /** Skipped runners that could not be sealed. */
   readonly unsealed: readonly RunnerAddress[]
-  /** Whether the choice was sealed by an earlier decision: the run, if any, is further down the order. */
+  /** The chosen runner was sealed by an earlier attempt: the run, if any, is at a later runner of the order. */
   readonly choiceSealed: boolean
 }
 
 /**
- * Seals the runners before the choice and looks the run up at the choice.
- * @param client - reaches engines
- * @param requestId - the keyed request
- * @param before - runners passed over, in order
+ * Seals the skipped runners and looks the run up at the chosen one.
+ * @param skipped - runners ahead of `choice` in the order of the request
  * @param choice - runner chosen for a new run
  */
 export async function findRun (client: EngineClient, requestId: string, before: readonly RunnerAddress[], choice: RunnerAddress): Promise<FoundRun> {
@@ -48,18 +45,16 @@
   return { at: { runner: choice, record }, unsealed, choiceSealed: false }
 }
 
-/** What a look through the order of a refused request found. */
+/** Result of {@link lookUpRun}. */
 export interface LookedUpRun {
   readonly at?: KnownRun
-  /** Whether it is certain that no earlier attempt was run. */
+  /** Whether it is certain that no earlier attempt ran. */
   readonly notRun: boolean
 }
 
 /**
- * Looks for the run of an earlier attempt without starting one. A runner that was passed over
- * carries a seal, so the first one without any record proves that nothing was run.
- * @param client - reaches engines
- * @param requestId - the keyed request
+ * Looks up the run of an earlier attempt without sealing or starting anything. Every skipped runner
+ * was sealed, so the first runner without a record proves that nothing ran.
  * @param order - runners in the order of the request
  */
 export async function lookForRun (client: EngineClient, requestId: string, order: readonly RunnerAddress[]): Promise<LookedUpRun> {
--- a/packages/rosemaryspread/src/completion/completionLocalRuns.ts
+++ b/packages/rosemaryspread/src/completion/completionLocalRuns.ts
@@ -1,32 +1,31 @@
 /**
  * Keyed requests in progress on this VM. A second request with the same id waits until the first
- * has started its run and then joins it, or takes its place when the first never started.
+ * has started its run and then joins it, or starts one itself when the first ended without a run.
  */
 import type { RunnerAddress } from './completionUnsettled.js'
 
-/** One request's turn with an id. */
+/** Permission of one request to proceed with its id. */
 export interface LocalTurn {
-  /** Where the run of an earlier request goes on; absent when this request has to start it. */
+  /** Runner of the run to join; absent when this request has to start it. */
   readonly runningAt?: RunnerAddress
   started (runner: RunnerAddress): void
   leave (): void
 }
 
-/** A run being started or going on. */
+/** A run that is being started or is in progress. */
 interface LocalRun {
   readonly digest: string
   readonly decided: Promise<RunnerAddress | undefined>
 }
 
-/** Requests in progress by request id. */
+/** Serializes keyed requests by request id. */
 export class LocalRuns {
   private readonly runs = new Map<string, LocalRun>()
 
   /**
-   * Waits for the turn of a request.
-   * @param requestId - id of a keyed request
-   * @param digest - digest of its body
-   * @returns the turn, or that the run in progress has another body
+   * Waits until the request may start or join a run.
+   * @param digest - digest of the request body
+   * @returns the turn, or `otherBody` when the run in progress has a different body
    */
   async enter (requestId: string, digest: string): Promise<LocalTurn | 'otherBody'> {
     for (;;) {
--- a/packages/rosemaryspread/src/completion/completionPlanner.ts
+++ b/packages/rosemaryspread/src/completion/completionPlanner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans where a completion runs: joins the run that a keyed request has already, or chooses a
- * runner, with a reservation for a new run.
+ * Plans where a completion runs: joins the existing run of a keyed request, or chooses a runner
+ * and reserves tokens for a new run.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -13,7 +13,6 @@
 import { findRun, lookForRun, type KnownRun } from './completionFinder.js'
 import type { RunnerAddress } from './completionUnsettled.js'
 
-/** What the planner works with. */
 export interface PlannerDeps {
   readonly clock: Clock
   readonly budgets: BudgetPort
@@ -23,36 +22,34 @@
   readonly reserveTimeoutMs: number
 }
 
-/** A run to be opened at a runner, paid by a reservation; a joined run is paid by who started it. */
+/** A run to open at a runner. The request that started a run pays for it, not those that join it. */
 export interface PlannedRun {
   readonly at: RunnerAddress
-  /** Runners of a keyed request that were passed over and could not be sealed. */
+  /** Skipped runners of a keyed request that could not be sealed. */
   readonly unsealed: readonly RunnerAddress[]
   /** Absent when the run is joined. */
   readonly paid?: PaidRun
 }
 
-/** What a new run is paid from, and its count at the runner. */
+/** Reservation that pays for a new run, and its entry in the routing statistics of the runner. */
 export interface PaidRun {
   readonly reservation: Reservation
   readonly run: DispatchedRun
 }
 
-/** Runners that a request has tried so far. */
+/** Runners that earlier attempts of a request have used up. */
 export interface TriedRunners {
   readonly exclude: string[]
   readonly unsealed: RunnerAddress[]
 }
 
-/** Plans completions of one VM. */
 export class CompletionPlanner {
   constructor (private readonly deps: PlannerDeps) {}
 
   /**
    * Plans the next attempt of a request.
-   * @param admitted - the request
-   * @param tried - what it has tried; sealed runners are added
-   * @param gone - aborted when the caller goes away
+   * @param tried - extended by runners that turn out to be sealed
+   * @param gone - aborted when the caller disconnects
    */
   async plan (admitted: AdmittedCompletion, tried: TriedRunners, gone: AbortSignal): Promise<Either<Failure, PlannedRun>> {
     for (;;) {
@@ -63,7 +60,7 @@
     }
   }
 
-  /** Plans at the runner chosen, unless an earlier decision sealed it. */
+  /** Plans a run at the chosen runner, unless an earlier attempt sealed it. */
   private async planAt (admitted: AdmittedCompletion, routed: RoutedRunner, tried: TriedRunners): Promise<Either<Failure, PlannedRun> | 'sealed'> {
     const { choice, before, run } = routed
     if (!admitted.keyed) return await this.reserveAt(admitted, routed, [])
@@ -77,7 +74,7 @@
     return 'sealed'
   }
 
-  /** A keyed request without a runner may still be answered by the run of an earlier attempt. */
+  /** A keyed request that routing refuses may still be answered by the run of an earlier attempt. */
   private async refusedOrJoined (admitted: AdmittedCompletion, { failure, lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
     if (lookIn.length === 0) return Left(failure)
     const found = await lookForRun(this.deps.engines, admitted.requestId, lookIn)
@@ -98,7 +95,7 @@
   }
 }
 
-/** The failure of a key that was used with another body. */
+/** Failure for an idempotency key that is reused with a different body. */
 export function keyReused (): Failure {
   return new Failure('keyReused', 'the Idempotency-Key was used with another body')
 }
--- a/packages/rosemaryspread/src/completion/completionPorts.ts
+++ b/packages/rosemaryspread/src/completion/completionPorts.ts
@@ -1,26 +1,26 @@
 /**
- * What request handling asks of the rest of the VM.
+ * Interfaces through which request handling uses the rest of the VM.
  */
 import type { Maybe } from 'purify-ts'
 import type { NumberedConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 
-/** The configuration in force on this VM. */
+/** The active configuration of this VM. */
 export interface CurrentConfig {
   current (): Maybe<NumberedConfig>
 }
 
-/** Whether this VM drains, and how many pieces of work are open. */
+/** Whether this VM is draining, and how many work items are open. */
 export interface DrainState {
   readonly draining: boolean
-  /** Counts one more open piece of work; call the answer when it ends. */
+  /** Counts one more open work item; the returned function closes it. */
   open (): () => void
   openCount (): number
 }
 
-/** Randomness of the shell; seeded in tests. */
+/** Source of randomness; seeded in tests. */
 export interface RandomSource {
   /** A number in [0, 1). */
   next (): number
-  /** A fresh id of 32 hex digits. */
+  /** A new id of 32 hex digits. */
   id (): string
 }
--- a/packages/rosemaryspread/src/completion/completionRelay.ts
+++ b/packages/rosemaryspread/src/completion/completionRelay.ts
@@ -1,14 +1,13 @@
 /**
- * The way of an answer to its caller: the beginning is told once, pieces in order, and exactly
- * one end. After the caller has gone nothing is written, while the run may still go on.
+ * Relays an answer to its caller: one beginning, the pieces in order, and exactly one end. After the
+ * caller disconnects nothing is written, though the run may continue.
  */
 import type { AnswerSink } from '@rosemaryspread/callers/completion/completionTypes.js'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { AnswerEnd } from '@rosemaryspread/runners/engine/engineTypes.js'
 
-/** Relays one answer to one caller. */
 export class AnswerRelay {
-  /** Pieces handed on so far. */
+  /** Pieces received so far, including those that arrived after the caller disconnected. */
   pieces = 0
   private begun = false
   private ended = false
@@ -20,12 +19,11 @@
     private readonly model: string
   ) {}
 
-  /** Whether the caller has seen a part of the answer. */
+  /** Whether a piece was received; after that no other runner may be tried. */
   get started (): boolean {
     return this.pieces > 0
   }
 
-  /** Whether the caller has closed the connection. */
   get callerGone (): boolean {
     return this.gone.aborted
   }
@@ -50,7 +48,7 @@
     this.sink.fail(failure)
   }
 
-  /** Told with the first piece, so that a refusal before it still has a status of its own. */
+  /** Deferred until the first piece, so that a failure before it can still set the HTTP status. */
   private begin (): void {
     if (this.begun) return
     this.begun = true
--- a/packages/rosemaryspread/src/completion/completionReport.ts
+++ b/packages/rosemaryspread/src/completion/completionReport.ts
@@ -1,25 +1,20 @@
-/** What the log and the metrics learn of a completion: answered, an attempt failed, refused. */
+/** Writes log lines and metrics of completions: answered, failed attempt, refused. */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { AnswerEnd } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 
-/** Where reports go. */
 export interface ReportDeps {
   readonly log: EventLog
   readonly metrics: Metrics
 }
 
-/** Reports of one VM. */
 export class CompletionReport {
   constructor (private readonly deps: ReportDeps) {}
 
   /**
-   * The whole answer went out.
-   * @param request - request id
-   * @param runner - the runner that gave it
-   * @param end - how the answer ended
-   * @param totalMs - milliseconds since the request came
+   * Reports a complete answer.
+   * @param totalMs - milliseconds since the request was received
    */
   answered (request: string, runner: string, end: AnswerEnd, totalMs: number): void {
     this.deps.metrics.count('answers')
@@ -28,23 +23,14 @@
   }
 
   /**
-   * One runner did not give the whole answer.
-   * @param request - request id
-   * @param runner - the runner
-   * @param failure - what happened
+   * Reports an attempt that did not return the complete answer.
    * @param retried - whether another runner is tried
    */
   attemptFailed (request: string, runner: string, { code, ran, message }: Failure, retried: boolean): void {
     this.deps.log.write('attemptFailed', { request, runner, code, ran, retried, detail: message })
   }
 
-  /**
-   * The caller gets a failure.
-   * @param request - request id
-   * @param team - team of the caller
-   * @param failure - the failure
-   * @returns the same failure
-   */
+  /** Reports a failure that the caller receives, and returns it. */
   refused (request: string, team: string, failure: Failure): Failure {
     const { code, ran, retryAfterMs } = failure
     this.deps.metrics.count(`refusals_${code}`)
--- a/packages/rosemaryspread/src/completion/completionService.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionService.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Request handling under faults: every answer whole and its own, every request billed once,
- * every refusal true. Each promise also stands against a weaker part that breaks it.
+ * Request handling under faults: answers are complete and belong to their request, each request is
+ * billed once, and refusals report correctly whether it ran. Faulty clients show that the checks can fail.
  */
 import { expect } from 'chai'
 import { Nothing, Right, type Either, type Maybe } from 'purify-ts'
@@ -20,7 +20,7 @@
   return { engines, budgets, a, b }
 }
 
-/** The text names the request that it answers, so that a piece of another's would show. */
+/** Each piece contains the id of its request, so a piece of another request is detected. */
 function expectWhole (seen: Seen): void {
   expect(seen.end).to.equal('whole')
   expect(seen.ends).to.equal(1)
@@ -44,22 +44,22 @@
 
 const oneAsk: readonly OneAsk[] = [
   { name: 'no fault', scripts: {}, bills: [COST], began: ['r1:finished'] },
-  { name: 'a runner that cannot be connected to', scripts: { r1: { unreachableFrom: 'all' } }, bills: [COST], began: ['r2:finished'] },
-  { name: 'no runner that can be connected to', scripts: { r1: { unreachableFrom: 'all' }, r2: { unreachableFrom: 'all' }, r3: { unreachableFrom: 'all' } }, refused: ['runnerUnreachable', 'no'], bills: [], began: [] },
+  { name: 'an unreachable runner', scripts: { r1: { unreachableFrom: 'all' } }, bills: [COST], began: ['r2:finished'] },
+  { name: 'all runners unreachable', scripts: { r1: { unreachableFrom: 'all' }, r2: { unreachableFrom: 'all' }, r3: { unreachableFrom: 'all' } }, refused: ['runnerUnreachable', 'no'], bills: [], began: [] },
   { name: 'a stream broken once', scripts: { r1: { cuts: [2] } }, bills: [COST], began: ['r1:finished'] },
   { name: 'a resumed stream that overlaps', scripts: { r1: { cuts: [2], overlap: 1 } }, bills: [COST], began: ['r1:finished'] },
-  { name: 'a stream broken for good after pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, refused: ['answerCut', 'yes'], bills: [0], began: ['r1:cancelled'] },
-  { name: 'a stream broken for good before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'the answer of the submit lost', scripts: { r1: { loseSubmit: true } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'a first piece of another answer', scripts: { r1: { mixAt: 0 } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'a later piece of another answer', scripts: { r1: { mixAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], began: ['r1:cancelled'] },
+  { name: 'a stream that cannot be resumed after some pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, refused: ['answerCut', 'yes'], bills: [0], began: ['r1:cancelled'] },
+  { name: 'a stream that cannot be resumed before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a lost response to the submit', scripts: { r1: { loseSubmit: true } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a first piece that belongs to another request', scripts: { r1: { mixAt: 0 } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a later piece that belongs to another request', scripts: { r1: { mixAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], began: ['r1:cancelled'] },
   { name: 'a missing piece', scripts: { r1: { gapAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], began: ['r1:cancelled'] },
-  { name: 'more usage than the cap', scripts: { r1: { report: 1_000_000 } }, bills: [5 + 8], began: ['r1:finished'] }
+  { name: 'reported usage above the cap', scripts: { r1: { report: 1_000_000 } }, bills: [5 + 8], began: ['r1:finished'] }
 ]
 
 describe('one completion', () => {
   for (const { name, scripts, refused, bills, began } of oneAsk) {
-    it(`under ${name}`, async () => {
+    it(`ends with correct answer, bills and reservations for ${name}`, async () => {
       const { engines, budgets, a } = fleetOf()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       const seen = await a.ask()
@@ -76,10 +76,10 @@
   const refusals = [
     { name: 'a draining VM', arrange: (vm: FakeVm) => { vm.work.draining = true }, code: 'draining' as const },
     { name: 'a spent budget', arrange: (vm: FakeVm) => { vm.budgets.refuse = new Failure('budgetSpent', 'spent') }, code: 'budgetSpent' as const },
-    { name: 'an allotment lost while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.lapsed = new Failure('allotmentClosed', 'lapsed') }, code: 'allotmentClosed' as const }
+    { name: 'an allotment that expired while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.lapsed = new Failure('allotmentClosed', 'lapsed') }, code: 'allotmentClosed' as const }
   ]
   for (const { name, arrange, code } of refusals) {
-    it(`is refused by ${name} with nothing dispatched`, async () => {
+    it(`is refused without dispatch for ${name}`, async () => {
       const { engines, budgets, a } = fleetOf()
       arrange(a)
       expectRefused(await a.ask(), code, 'no')
@@ -88,7 +88,7 @@
     })
   }
 
-  it('is cancelled and billed for what was generated when its caller leaves', async () => {
+  it('is cancelled and billed for the generated tokens when its caller disconnects', async () => {
     const { engines, budgets, a } = fleetOf()
     const caller = new AbortController()
     engines.scripts.set('r1', { hold: new Promise(resolve => setImmediate(resolve)) })
@@ -97,7 +97,7 @@
     expect(budgets.bills).to.have.length(1)
   })
 
-  it('ends at its deadline with a final answer', async () => {
+  it('is cancelled and fails with deadlineExceeded at its deadline', async () => {
     const { engines, a } = fleetOf()
     engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 40)) })
     expectRefused(await a.ask({ timeoutMs: 10 }), 'deadlineExceeded', 'yes')
@@ -105,10 +105,10 @@
   })
 })
 
-describe('a runner that refuses a completion since it is leaving', () => {
+describe('a runner that refuses a completion because it is leaving', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly script: EngineScript, readonly told: readonly string[] }> = [
-    { name: 'is told to the routing', script: { isLeaving: true }, told: ['r1'] },
-    { name: 'is not made of one that cannot be reached', script: { unreachableFrom: 'all' }, told: [] }
+    { name: 'is reported to routing', script: { isLeaving: true }, told: ['r1'] },
+    { name: 'is not confused with an unreachable runner', script: { unreachableFrom: 'all' }, told: [] }
   ]
   for (const { name, script, told } of cases) {
     it(name, async () => {
@@ -126,12 +126,12 @@
   const down = { unreachableFrom: 'all' as const }
   const attempts: ReadonlyArray<{ readonly name: string, readonly scripts: Record<string, EngineScript>, readonly lines: readonly object[] }> = [
     { name: 'no fault', scripts: {}, lines: [] },
-    { name: 'a runner that cannot be connected to', scripts: { r1: down }, lines: [failed('r1', 'runnerUnreachable', 'no', true)] },
-    { name: 'a stream broken for good before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, lines: [failed('r1', 'answerCut', 'yes', true)] },
-    { name: 'a stream broken for good after pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, lines: [failed('r1', 'answerCut', 'yes', false)] }
+    { name: 'an unreachable runner', scripts: { r1: down }, lines: [failed('r1', 'runnerUnreachable', 'no', true)] },
+    { name: 'a stream that cannot be resumed before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, lines: [failed('r1', 'answerCut', 'yes', true)] },
+    { name: 'a stream that cannot be resumed after some pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, lines: [failed('r1', 'answerCut', 'yes', false)] }
   ]
   for (const { name, scripts, lines } of attempts) {
-    it(`name each failed attempt under ${name}`, async () => {
+    it(`name each failed attempt with ${name}`, async () => {
       const { engines, a } = fleetOf()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       await a.ask({ requestId: id })
@@ -140,7 +140,7 @@
     })
   }
 
-  it('name the id that the caller reads when refused before admission', async () => {
+  it('name the request id sent by the caller when refused before admission', async () => {
     const { a } = fleetOf()
     a.work.draining = true
     await a.ask({ requestId: id })
@@ -159,7 +159,7 @@
     { name: 'another VM that believes two runners down', at: 'b' as const, believedDown: ['r1', 'r2'] }
   ]
   for (const { name, at, believedDown } of repeats) {
-    it(`is answered whole again, run and billed once, at ${name}`, async () => {
+    it(`is answered completely again, with one run and one bill, by ${name}`, async () => {
       const both = fleetOf()
       expectWhole(await both.a.ask({ key: 'k' }))
       both[at].routing.believedDown = believedDown
@@ -173,10 +173,10 @@
 
   const refusals = [
     { name: 'no runner is believed up', scripts: {}, ran: 'no' },
-    { name: 'the first runner cannot be asked', scripts: { r1: { unreachableFrom: 'all' as const } }, ran: 'unknown' }
+    { name: 'the first runner is unreachable', scripts: { r1: { unreachableFrom: 'all' as const } }, ran: 'unknown' }
   ]
   for (const { name, scripts, ran } of refusals) {
-    it(`that never ran is refused with ran ${ran} when ${name}`, async () => {
+    it(`that never ran is refused with ran=${ran} when ${name}`, async () => {
       const { engines, a } = fleetOf()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       a.routing.believedDown = ['r1', 'r2', 'r3']
@@ -191,7 +191,7 @@
     { name: 'at two VMs, several times', vms: ['a', 'b', 'b', 'a'] as const }
   ]
   for (const { name, vms } of races) {
-    it(`sent at the same time ${name} runs and is billed once`, async () => {
+    it(`sent concurrently ${name} runs and is billed once`, async () => {
       const both = fleetOf()
       both.engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
       const all = await Promise.all(vms.map(async vm => await both[vm].ask({ key: 'k' })))
@@ -203,12 +203,12 @@
   }
 
   const otherBodies = [
-    { name: 'afterwards at the same VM', at: 'a' as const, parallel: false },
-    { name: 'afterwards at another VM', at: 'b' as const, parallel: false },
-    { name: 'at the same time at the same VM', at: 'a' as const, parallel: true }
+    { name: 'later at the same VM', at: 'a' as const, parallel: false },
+    { name: 'later at another VM', at: 'b' as const, parallel: false },
+    { name: 'concurrently at the same VM', at: 'a' as const, parallel: true }
   ]
   for (const { name, at, parallel } of otherBodies) {
-    it(`with another body ${name} is an error and nothing is run`, async () => {
+    it(`sent with a different body ${name} fails with keyReused and does not run`, async () => {
       const both = fleetOf()
       both.engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
       const first = both.a.ask({ key: 'k' })
@@ -219,7 +219,7 @@
     })
   }
 
-  it('goes on when its caller leaves, and the repeat is answered whole with one bill', async () => {
+  it('keeps running when its caller disconnects, and a repeat is answered completely with one bill', async () => {
     const { engines, budgets, a, b } = fleetOf()
     const caller = new AbortController()
     await a.ask({ key: 'k', gone: caller.signal, onPiece: () => { caller.abort() } })
@@ -229,16 +229,16 @@
   })
 
   const cutOff = [
-    { name: 'after the first VM answered', first: true },
-    { name: 'with no run there', first: false }
+    { name: 'after a run there', first: true },
+    { name: 'without a run there', first: false }
   ]
   for (const { name, first } of cutOff) {
-    it(`is billed once though its first runner cannot be sealed, ${name}`, async () => {
+    it(`is billed once although its first runner cannot be sealed, ${name}`, async () => {
       const { engines, budgets, a, b } = fleetOf()
       if (first) expectWhole(await a.ask({ key: 'k' }))
       engines.scripts.set('r1', { unreachableFrom: ['b'] })
       expectWhole(await b.ask({ key: 'k' }))
-      expect(b.unsettled.size, 'held until the first runner can be asked').to.equal(1)
+      expect(b.unsettled.size, 'unsettled until the first runner can be queried').to.equal(1)
       engines.scripts.delete('r1')
       await b.unsettled.retryAll()
       expect(b.unsettled.size).to.equal(0)
@@ -248,10 +248,10 @@
   }
 })
 
-describe('a keyed completion whose runners come back', () => {
+describe('a keyed completion whose runners become reachable again', () => {
   const twice: ReadonlyArray<{ readonly name: string, readonly run: (fleet: ReturnType<typeof fleetOf>) => Promise<void> }> = [
     {
-      name: 'after its first submit was reset and another VM ran it there',
+      name: 'after its first submit was lost and another VM ran it at that runner',
       run: async ({ engines, a, b }) => {
         engines.scripts.set('r1', { resetSubmit: true })
         expectWhole(await a.ask({ key: 'k' }))
@@ -280,22 +280,22 @@
   }
 })
 
-/** Seals nothing and says that it did. */
+/** Reports seals without placing them. */
 class UnsealedClient extends FakeEngineClient {
   override async seal (): Promise<Either<Failure, Maybe<RunRecord>>> {
     return Right(Nothing)
   }
 }
 
-/** Does not say who started a run. */
+/** Omits the holder of a run. */
 class AnonymousClient extends FakeEngineClient {
   override async submit (address: string, req: EngineRequest): Promise<Either<Failure, EngineStream>> {
     return (await super.submit(address, req)).map(stream => ({ ...stream, holder: '' }))
   }
 }
 
-describe('weaker parts break the promises', () => {
-  it('without seals a repeat runs twice and is billed twice', async () => {
+describe('with faulty engine clients', () => {
+  it('a repeat runs and is billed twice without seals', async () => {
     const { engines, budgets, a, b } = fleetOf(UnsealedClient)
     await a.ask({ key: 'k' })
     b.routing.believedDown = ['r1']
@@ -304,7 +304,7 @@
     expect(budgets.bills).to.have.length(2)
   })
 
-  it('without the holder of a run two VMs bill one run', async () => {
+  it('two VMs bill the same run without its holder', async () => {
     const { engines, budgets, a, b } = fleetOf(AnonymousClient)
     engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
     await Promise.all([a.ask({ key: 'k' }), b.ask({ key: 'k' })])
--- a/packages/rosemaryspread/src/completion/completionService.ts
+++ b/packages/rosemaryspread/src/completion/completionService.ts
@@ -1,6 +1,6 @@
 /**
- * Serves completions: admission, reservation, routing, the run, its bill. The decisions come
- * from the pure deciders; this module only carries them out in the right order.
+ * Serves completions: admission, routing, reservation, the run and its settlement. Decisions are made
+ * by pure modules; this one carries them out in order.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { Left, Right, type Either } from 'purify-ts'
@@ -19,20 +19,18 @@
 import { CompletionSettlement, type EndedAttempt, type SettlementDeps } from './completionSettlement.js'
 import type { RunnerAddress } from './completionUnsettled.js'
 
-/** Milliseconds after which a caller refused by a draining VM may ask another address. */
+/** Retry delay for callers refused by a draining VM; they may use another address. */
 const DRAINING_RETRY_MS = 200
-/** Milliseconds to come back after when no configuration is in force. */
+/** Retry delay for callers while no configuration is active. */
 const NO_CONFIG_RETRY_MS = 1_000
-/** Runners tried for one request at most. */
+/** Runners tried per request. */
 const MAX_ATTEMPTS = defaultRetryPolicy.attempts
 
-/** What the service is composed of. */
 export interface CompletionDeps extends PlannerDeps, SettlementDeps {
   readonly random: RandomSource
   readonly config: CurrentConfig
 }
 
-/** Serves completions through the deciders, the budgets and the engines. */
 export class RoutedCompletionService implements CompletionService {
   private readonly local = new LocalRuns()
   private readonly planner: CompletionPlanner
@@ -58,7 +56,7 @@
     await this.serve(call, admitted.unsafeCoerce(), sink, now)
   }
 
-  /** Serves an admitted request; whatever happens, its sink gets exactly one end. */
+  /** Serves an admitted request; its sink receives exactly one end, also after an exception. */
   private async serve (call: CompletionCall, admitted: AdmittedCompletion, sink: AnswerSink, now: Instant): Promise<void> {
     const close = this.deps.work.open()
     const relay = new AnswerRelay(sink, call.gone, admitted.requestId, admitted.model)
@@ -95,7 +93,7 @@
     }
   }
 
-  /** Tries runners in turn until the answer is whole, a part of it was sent, or nothing is left to try. */
+  /** Tries runners until the answer is complete, a piece was received, or no attempt is left; then settles all attempts. */
   private async runAnew (open: OpenCompletion, onStarted: (runner: RunnerAddress) => void): Promise<Either<Failure, void>> {
     const attempts: EndedAttempt[] = []
     try {
@@ -125,10 +123,10 @@
       if (delayMs === null) break
       await pause(delayMs)
     }
-    return Left(last ?? new Failure('noRunner', 'no runner took the request', { retryAfterMs: NO_CONFIG_RETRY_MS }))
+    return Left(last ?? new Failure('noRunner', 'no runner accepted the request', { retryAfterMs: NO_CONFIG_RETRY_MS }))
   }
 
-  /** Milliseconds until another runner is tried; null when none is. */
+  /** Milliseconds until the next attempt; null when there is none. */
   private delayBeforeNext (open: OpenCompletion, failure: Failure, attempts: number): number | null {
     if (attempts >= MAX_ATTEMPTS || !this.repeatable(open, failure)) return null
     return this.deps.routing.retryDelay(open.admitted, attempts).extractNullable()
@@ -140,7 +138,7 @@
   }
 }
 
-/** Tokens that the attempts of a request used, for fairness between teams; 0 when nothing ran. */
+/** Tokens used by all attempts of a request, for fair queueing between teams; 0 when nothing ran. */
 function usedTokens (open: OpenCompletion, attempts: readonly EndedAttempt[]): number {
   const ran = attempts.filter(({ outcome }) => outcome.kind !== 'notStarted')
   return ran.reduce((sum, { outcome }) => sum + open.admitted.promptTokens + generatedTokens(outcome, open.relay), 0)
--- a/packages/rosemaryspread/src/completion/completionSettlement.ts
+++ b/packages/rosemaryspread/src/completion/completionSettlement.ts
@@ -1,6 +1,6 @@
 /**
- * Settles the attempts of an ended request: a reservation is given back, or its run goes to the
- * unsettled runs, which find out what it cost.
+ * Settles the attempts of a finished request: releases the reservation, or passes the run to the
+ * unsettled runs, which determine its cost.
  */
 import { toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -11,7 +11,6 @@
 import type { DrainState } from './completionPorts.js'
 import type { RunDebt, UnsettledRuns } from './completionUnsettled.js'
 
-/** What settlement works with. */
 export interface SettlementDeps {
   readonly holder: string
   readonly work: DrainState
@@ -20,22 +19,16 @@
   readonly log: EventLog
 }
 
-/** An attempt that ended and is to be settled. */
 export interface EndedAttempt {
   readonly plan: PlannedRun
   readonly reservation: Reservation
   readonly outcome: AttemptOutcome
 }
 
-/** Settles attempts of one VM. */
 export class CompletionSettlement {
   constructor (private readonly deps: SettlementDeps) {}
 
-  /**
-   * Settles all attempts of one request; only the last can be billed.
-   * @param admitted - the request
-   * @param attempts - its attempts in order
-   */
+  /** Settles all attempts of one request, given in order; only the last can be billed. */
   settleAll (admitted: AdmittedCompletion, attempts: readonly EndedAttempt[]): void {
     attempts.forEach((attempt, index) => { this.settle(admitted, attempt, index === attempts.length - 1) })
   }
@@ -53,7 +46,7 @@
       .finally(close)
   }
 
-  /** An engine that does not name the holder of a run is taken to speak of ours. */
+  /** A run without a reported holder counts as started by this process. */
   private startedElsewhere (outcome: AttemptOutcome): boolean {
     return outcome.kind === 'whole' && outcome.holder !== '' && outcome.holder !== this.deps.holder
   }
--- a/packages/rosemaryspread/src/completion/completionSystem.ts
+++ b/packages/rosemaryspread/src/completion/completionSystem.ts
@@ -1,5 +1,5 @@
 /**
- * The system's clocks and randomness, bound by the daemon; tests bind their own.
+ * Clock and randomness of the operating system; tests substitute their own.
  */
 import { randomBytes } from 'node:crypto'
 import { performance } from 'node:perf_hooks'
@@ -8,14 +8,12 @@
 
 const ID_BYTES = 16
 
-/** Reads the monotonic and the wall clock of the system. */
 export class SystemClock implements Clock {
   now (): Instant {
     return { mono: performance.now(), wall: Date.now() }
   }
 }
 
-/** Randomness of the system. */
 export class SystemRandom implements RandomSource {
   next (): number {
     return Math.random()
--- a/packages/rosemaryspread/src/completion/completionUnsettled.ts
+++ b/packages/rosemaryspread/src/completion/completionUnsettled.ts
@@ -1,7 +1,7 @@
 /**
- * Runs whose cost is not known yet: the runner could not be asked how the run ended, or an
- * earlier runner of a keyed request could not be sealed. Each keeps its reservation until the
- * runners answer, so that nothing is billed twice and nothing owed is forgotten.
+ * Runs whose cost is not determined yet: the runner could not be queried, or an earlier runner of a
+ * keyed request could not be sealed. Each retains its reservation until the runners respond, so that
+ * no run is billed twice or left unbilled.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { Bill } from '@rosemaryspread/decisions/budget/budgetTypes.js'
@@ -11,37 +11,35 @@
 import { billOf, freeBill } from './completionBill.js'
 import { BilledRequests } from './completionBilled.js'
 
-/** A runner as far as settlement needs it. */
 export interface RunnerAddress {
   readonly runner: string
   readonly address: string
 }
 
-/** One run to be settled. */
 export interface UnsettledRun {
   readonly admitted: AdmittedCompletion
   readonly reservation: Reservation
   readonly ranAt: RunnerAddress
-  /** Known usage; absent when the runner has to be asked. */
+  /** Absent when the runner has to be queried. */
   readonly usage?: Usage
-  /** Earlier runners in the order of a keyed request that could not be sealed. */
+  /** Skipped runners of a keyed request that could not be sealed. */
   readonly unsealed: readonly RunnerAddress[]
   readonly debt: RunDebt
 }
 
 /**
- * Whether a run is paid for: `owed` by the team; `free` when the system failed the request, so
- * that a bill of nothing closes the run; `none` when another run of the request is billed.
+ * Who pays for a run: `owed` by the team; `free` when the system failed the request, so that a bill
+ * of 0 tokens closes the run; `none` when another run of the request is billed.
  */
 export type RunDebt = 'owed' | 'free' | 'none'
 
-/** Bill, or no bill, once it is known; `later` when the runners must be asked again. */
+/** Settles with a bill or without one; `later` when the runners must be queried again. */
 type Settlement = { readonly kind: 'settle', readonly bill?: Bill } | { readonly kind: 'later' }
 
 const LATER: Settlement = { kind: 'later' }
 const NO_BILL: Settlement = { kind: 'settle' }
 
-/** Keeps unsettled runs and settles them as the runners answer. */
+/** Stores unsettled runs and settles them once the runners respond. */
 export class UnsettledRuns {
   private readonly runs = new Map<string, UnsettledRun>()
   private readonly billed = new BilledRequests()
@@ -57,16 +55,13 @@
     return this.runs.size
   }
 
-  /**
-   * Takes a run and tries to settle it at once.
-   * @param run - the run
-   */
+  /** Adds a run and tries to settle it at once. */
   async add (run: UnsettledRun): Promise<void> {
     this.runs.set(run.reservation.reservationId, run)
     await this.trySettle(run)
   }
 
-  /** Tries every kept run once. */
+  /** Tries to settle every stored run once. */
   async retryAll (): Promise<void> {
     for (const run of [...this.runs.values()]) await this.trySettle(run)
   }
@@ -87,8 +82,8 @@
   }
 
   /**
-   * Undefined when every earlier runner is sealed, no longer declared, or ran the request for this
-   * holder, whose own record of bills decides then.
+   * Seals the skipped runners. Undefined when each is sealed, no longer declared, or ran the request
+   * for this holder, in which case the local record of bills decides.
    */
   private async sealEarlier (run: UnsettledRun): Promise<Settlement | undefined> {
     for (const { runner, address } of run.unsealed) {
--- a/packages/rosemaryspread/src/digest/digestTeller.ts
+++ b/packages/rosemaryspread/src/digest/digestTeller.ts
@@ -1,51 +1,49 @@
 /**
- * Writes the digest: what one VM that passes tables on sees and the digest does not say. The first of
- * these VMs writes at once, the others only what it left out for a while.
+ * Publishes the digest: the changes that one publisher VM observes and the digest lacks. The first
+ * publisher writes at once, the others only what has been missing for a while.
  */
 import { isNews, type DigestEntry } from '@rosemaryspread/decisions/digest/digestEntry.js'
 import { DIGEST_BEAT_MS } from '@rosemaryspread/decisions/digest/digestTrust.js'
 import type { RowWrite, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { DIGEST_TABLE } from './digestTypes.js'
 
-/** Milliseconds after which the second of the VMs writes what the first left out, the third after twice as many. */
+/** Delay after which the second publisher writes what the first omitted; the third waits twice as long. */
 const STAND_BY_MS = 400
-/** Entries of one transaction, besides the beat. */
+/** Limit of entries in one transaction, besides the heartbeat. */
 const MOST_WRITTEN = 90
-/** Milliseconds for which the digest keeps an entry of a row that is gone. */
+/** Milliseconds for which the digest retains the entry of a removed row. */
 const KEEP_GONE_MS = 60_000
-/** Milliseconds after which an entry whose row this VM does not see counts as gone: another VM may have seen a new row first. */
+/** Milliseconds after which an entry without a row counts as removed; until then another publisher may have read a new row first. */
 const UNSEEN_MS = 2_000
 
-/** What the teller works with. */
 export interface DigestTellerParts {
   readonly vm: string
   readonly table: TableStore
-  /** Told of entries that were written. */
+  /** Called for each entry that was written; undefined when it was deleted. */
   written (key: string, entry: DigestEntry | undefined): void
   failed (code: string): void
 }
 
-/** What is to be told at one moment. Times are monotonic milliseconds. */
+/** Input of one publishing pass. Times are monotonic milliseconds. */
 export interface DigestSight {
   readonly mono: number
-  /** Place among the VMs that pass tables on. */
+  /** Rank among the publishers, 0 for the first. */
   readonly rank: number
-  /** What this VM sees, by key of the digest. */
+  /** Entries of the rows that this VM reads, by digest key. */
   readonly seen: ReadonlyMap<string, DigestEntry>
-  /** What the digest says. */
+  /** Entries in the digest. */
   readonly told: ReadonlyMap<string, DigestEntry>
-  /** Whether this VM is in touch with all tables. */
+  /** Whether the feeds of all tables responded recently. */
   readonly isInTouch: boolean
-  /** Milliseconds since a beat of any VM was heard. */
+  /** Milliseconds since a heartbeat of any publisher was received. */
   readonly silentMs: number
 }
 
-/** Writes the digest of one VM. */
 export class DigestTeller {
   private beat = 0
   private beatAt = -Infinity
   private isWriting = false
-  /** Since when an entry has been left out. */
+  /** Time since which the digest has lacked a change, by digest key. */
   private readonly leftOutSince = new Map<string, number>()
   private readonly goneSince = new Map<string, number>()
   private readonly unseenSince = new Map<string, number>()
@@ -53,8 +51,7 @@
   constructor (private readonly parts: DigestTellerParts) {}
 
   /**
-   * Writes what is due; to be called several times a second.
-   * @param sight - what this VM sees and what is told
+   * Writes the changes that are due. Must be called several times a second.
    */
   async tick (sight: DigestSight): Promise<void> {
     if (this.isWriting || !sight.isInTouch) return
@@ -91,7 +88,7 @@
     return news
   }
 
-  /** Entries of rows that went while nobody passed the table on; nobody else would take them back. */
+  /** Entries whose rows were removed while no VM published; nothing else would correct them. */
   private unseen ({ seen, told, mono }: DigestSight): ReadonlyArray<readonly [string, DigestEntry]> {
     const entries = [...told].filter(([key, { stage }]) => stage !== 'gone' && !seen.has(key))
     noteSince(this.unseenSince, entries.map(([key]) => key), mono)
@@ -104,7 +101,7 @@
     return mono - (this.leftOutSince.get(key) ?? mono) >= rank * STAND_BY_MS
   }
 
-  /** Entries of rows that have been gone for long. */
+  /** Entries of removed rows whose retention has expired. */
   private forgotten ({ told, rank, mono }: DigestSight): readonly string[] {
     const gone = [...told].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
     noteSince(this.goneSince, gone, mono)
@@ -124,7 +121,7 @@
   }
 }
 
-/** Keeps since when each of some keys has been among them. */
+/** Records the time at which each key was first present, and drops the keys that no longer are. */
 function noteSince (since: Map<string, number>, keys: readonly string[], mono: number): void {
   const present = new Set(keys)
   for (const key of since.keys()) if (!present.has(key)) since.delete(key)
--- a/packages/rosemaryspread/src/digest/digestTypes.ts
+++ b/packages/rosemaryspread/src/digest/digestTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What the digest needs of a table that it passes on, and of who follows it.
+ * Interfaces between the digest, the tables it covers and the handlers that follow them.
  */
 import type { DigestStage } from '@rosemaryspread/decisions/digest/digestEntry.js'
 import type { FeedHandler } from '@rosemaryspread/infra/table/tableFeed.js'
@@ -7,41 +7,29 @@
 /** Table of the digest; keys are `<table>/<key of the row>` and `beat/<vm>`. */
 export const DIGEST_TABLE = 'digests'
 
-/** Takes what a table tells, by its own feed or by the digest. */
+/** Receives the rows of a table, from its own feed or from the digest. */
 export interface DigestHandler<T> extends FeedHandler<T> {
   /**
-   * Takes whether rows are told by the digest from now on: then their silence says nothing, and one whose owner missed
-   * heartbeats is told as late.
-   * @param isVouched - whether they are
+   * Called when the source of the rows changes. The digest omits heartbeats, so an unchanged row says nothing about its
+   * owner; a row whose owner missed heartbeats is delivered as late.
    */
   vouched? (isVouched: boolean): void
 }
 
 /** A table of heartbeats. */
 export interface DigestSource<T> {
-  /** Name in the keys of the digest. */
+  /** Prefix of its keys in the digest. */
   readonly name: string
   readonly handler: DigestHandler<T>
-  /**
-   * Follows the table itself.
-   * @param handler - takes what it tells
-   * @returns ends that
-   */
+  /** Subscribes to the feed of the table; the returned function ends the subscription. */
   follow (handler: FeedHandler<T>): () => void
-  /**
-   * The value of a row without what changes with each heartbeat; a JSON value.
-   * @param value - the value
-   */
+  /** The value of a row as JSON, without the fields that change with each heartbeat. */
   encode (value: T): unknown
   /**
-   * The value of a row from the digest; throws on one that does not fit.
-   * @param value - the JSON value
+   * Decodes the value of a row from the digest; throws when it is malformed.
    * @param isLate - whether heartbeats of its owner are missing
    */
   decode (value: unknown, isLate: boolean): T
-  /**
-   * How the owner of a row is doing, as this VM sees it.
-   * @param key - key of the row
-   */
+  /** Stage of the owner of a row as observed by this VM. */
   stageOf (key: string): DigestStage
 }
--- a/packages/rosemaryspread/src/digest/digestedTable.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.ts
@@ -1,32 +1,28 @@
 /**
- * One table of heartbeats as one VM follows it: by its own feed, or by the digest. Goes from one to the other
- * without taking back what it told.
+ * One heartbeat table as followed by one VM, through its own feed or through the digest. Switching between the
+ * two never reverts rows that were already delivered.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { isLater, type DigestEntry, type DigestStage } from '@rosemaryspread/decisions/digest/digestEntry.js'
 import type { FeedRow } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { DigestSource } from './digestTypes.js'
 
-/** What this VM knows of a row. */
+/** Latest state of a row. */
 interface Known<T> {
   readonly version: number
   readonly stage: DigestStage
-  /** Absent when the row is gone. */
+  /** Absent when the row was removed. */
   readonly value?: T
 }
 
-/** One table. */
 export class DigestedTable<T = unknown> {
-  /** When the table's own feed was answered last, in monotonic milliseconds. */
+  /** Time of the last response to the table's own feed, in monotonic milliseconds. */
   heardAt = -Infinity
   private stopFeed: (() => void) | undefined
-  /** What this VM knows, by key. */
+  /** Latest state of each row, by key. */
   private known = new Map<string, Known<T>>()
 
-  /**
-   * @param source - the table
-   * @param mono - tells the monotonic milliseconds
-   */
+  /** @param mono - returns the monotonic milliseconds */
   constructor (private readonly source: DigestSource<T>, private readonly mono: () => number) {}
 
   get name (): string {
@@ -37,15 +33,11 @@
     return this.stopFeed !== undefined
   }
 
-  /** What this VM would tell, with the stage of each owner. */
+  /** Entries for the digest by row key, with the stage of each owner. */
   entries (): ReadonlyMap<string, DigestEntry> {
     return new Map([...this.known].map(([key, known]) => [key, this.entryOf(key, known)]))
   }
 
-  /**
-   * Whether the value of an entry is of a kind that this VM knows.
-   * @param entry - the entry
-   */
   isDecodable (entry: DigestEntry): boolean {
     try {
       this.knownOf(entry)
@@ -55,7 +47,7 @@
     }
   }
 
-  /** Follows the table itself. */
+  /** Follows the table through its own feed. */
   followDirect (): void {
     if (this.isDirect) return
     const { handler } = this.source
@@ -78,10 +70,7 @@
     })
   }
 
-  /**
-   * Leaves the table to the digest.
-   * @param told - what the digest says
-   */
+  /** Follows the table through the digest, starting from its published entries. */
   followDigest (told: ReadonlyMap<string, DigestEntry>): void {
     this.stop()
     const { handler } = this.source
@@ -90,11 +79,7 @@
     handler.replaced([...this.known].map(([key, known]) => rowOf(key, known)).filter(({ value }) => value !== null))
   }
 
-  /**
-   * Takes an entry that the digest tells; one that is older than what is known is left out.
-   * @param key - key of the row
-   * @param entry - the entry
-   */
+  /** Applies an entry of the digest; one that is older than the current state is ignored. */
   told (key: string, entry: DigestEntry): void {
     if (!isLater(entry, this.known.get(key))) return
     const known = this.knownOf(entry)
@@ -102,21 +87,18 @@
     this.source.handler.changed([rowOf(key, known)])
   }
 
-  /**
-   * Takes that the digest could not be read.
-   * @param failure - why
-   */
+  /** Reports that the digest could not be read. */
   failed (failure: Failure): void {
     this.source.handler.failed(failure)
   }
 
-  /** Ends the feed of the table. */
+  /** Ends the subscription to the table's own feed. */
   stop (): void {
     this.stopFeed?.()
     this.stopFeed = undefined
   }
 
-  /** A row that is not there any more was deleted after the version that is known. */
+  /** A row that is missing was deleted after its last known version. */
   private replaced (rows: ReadonlyArray<FeedRow<T>>): void {
     const present = new Set(rows.map(({ key }) => key))
     const missing = [...this.known].filter(([key]) => !present.has(key))
@@ -124,7 +106,7 @@
     for (const row of rows) this.known.set(row.key, seen(row))
   }
 
-  /** A row that cannot be decoded any more must not be told as it was before. */
+  /** A row that can no longer be decoded must not be published with its old value. */
   private discard (key: string): void {
     const known = this.known.get(key)
     if (known !== undefined) this.known.set(key, { version: known.version, stage: 'gone' })
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -1,7 +1,7 @@
 /**
- * Tables of heartbeats, followed at a cost that does not grow with the number of their rows: in a large fleet a few VMs
- * follow the tables and write a digest of what changed, all others read the digest. No VM depends on those few: where no complete
- * digest is heard for some seconds, each follows the tables itself.
+ * Follows heartbeat tables at a cost that does not grow with the number of their rows: in a large fleet a few publishers follow
+ * the tables and write a digest of the changes, and all other VMs read the digest. No VM depends on the publishers: when no
+ * complete digest is confirmed for some seconds, each VM follows the tables itself.
  */
 import { toFailure, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -15,13 +15,12 @@
 import { DigestTeller } from './digestTeller.js'
 import { DIGEST_TABLE, type DigestSource } from './digestTypes.js'
 
-/** Milliseconds between two looks at what is to be told. */
+/** Interval between two publishing passes. */
 const LOOK_MS = 250
-/** Milliseconds for which the feed of a table may be without an answer while this VM passes it on. */
+/** Age of the last feed response up to which this VM may publish. */
 const HEARD_MS = 2_000
 const BEAT_PREFIX = 'beat/'
 
-/** What the digest works with. */
 export interface TableDigestParts {
   readonly vm: string
   readonly table: TableStore
@@ -32,12 +31,12 @@
   vms (): readonly string[]
 }
 
-/** The digest as one VM reads and writes it. */
+/** Reads the digest, and writes it when this VM is a publisher. */
 export class TableDigest {
   private readonly tables: DigestedTable[] = []
   private readonly trust = new DigestTrust()
   private readonly teller: DigestTeller
-  /** What the digest says, by its keys. */
+  /** Entries of the digest, by digest key. */
   private told = new Map<string, DigestEntry>()
   private stopFeed: (() => void) | undefined
   private lookedAt = -Infinity
@@ -52,17 +51,14 @@
     })
   }
 
-  /**
-   * Follows a table, itself at first.
-   * @param source - the table
-   */
+  /** Follows a table, through its own feed at first. */
   follow<T> (source: DigestSource<T>): void {
     const table = new DigestedTable(source, () => this.mono)
     this.tables.push(table)
     table.followDirect()
   }
 
-  /** Decides whom to follow, and tells what is due; to be called several times a second. */
+  /** Chooses between the feeds and the digest, and publishes changes that are due. Must be called several times a second. */
   tick (): void {
     if (this.isStopped || this.mono - this.lookedAt < LOOK_MS) return
     this.lookedAt = this.mono
@@ -78,7 +74,7 @@
     if (rank !== undefined) this.tell(rank)
   }
 
-  /** Ends all feeds. */
+  /** Ends all subscriptions. */
   stop (): void {
     this.isStopped = true
     this.stopFeed?.()
@@ -125,7 +121,7 @@
     })
   }
 
-  /** What cannot be decoded is not taken for told, so that a VM that passes tables on writes it anew. */
+  /** An entry that cannot be decoded counts as unpublished, so that a publisher writes it again. */
   private takeRow ({ key, value }: FeedRow): void {
     if (key.startsWith(BEAT_PREFIX)) this.takeBeat(key, value)
     else if (value === null) this.take(key, undefined)
--- a/packages/rosemaryspread/src/directory/callerDirectory.ts
+++ b/packages/rosemaryspread/src/directory/callerDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * What callers may know: who they are, the models of their team, the addresses to use, and
- * what their budget is.
+ * Answers callers' queries: authentication, models of their team, addresses, budget usage and
+ * readiness.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { AddressAnswer, CallerDirectory, CallerIdentity, UsageAnswer } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -11,33 +11,31 @@
 import type { Metrics } from '../metrics/metricsTypes.js'
 import type { KeyDirectory } from './keyDirectory.js'
 
-/** Milliseconds to come back after when the VM is not ready. */
+/** Retry delay for callers while this VM is not ready. */
 const NOT_READY_RETRY_MS = 500
 
-/** Reads budgets. */
 export interface BudgetReader {
   show (budget: string): Promise<Either<Failure, BudgetAnswer>>
 }
 
-/** What the directory is composed of. */
 export interface DirectoryDeps {
   readonly config: CurrentConfig
   readonly work: DrainState
   readonly keys: KeyDirectory
   readonly budgets: BudgetReader
   readonly metrics: Metrics
-  /** Callers' addresses in the order to try, without scheme; in a team's own order when it is known. */
+  /** Addresses for callers without a scheme, in the order to try them; each team has its own order. */
   readonly addresses: (team?: string) => readonly string[]
 }
 
-/** Answers callers from the configuration in force. */
+/** Answers from the active configuration. */
 export class ConfiguredDirectory implements CallerDirectory {
   constructor (private readonly deps: DirectoryDeps) {}
 
   authenticate (bearer: string): Either<Failure, CallerIdentity> {
     if (this.deps.config.current().isNothing()) return Left(notLoaded())
     const team = this.deps.keys.ownerOf(bearer)
-    return team === undefined ? Left(new Failure('unauthorized', 'no team has this key')) : Right({ team })
+    return team === undefined ? Left(new Failure('unauthorized', 'the key belongs to no team')) : Right({ team })
   }
 
   models (caller: CallerIdentity): readonly string[] {
--- a/packages/rosemaryspread/src/directory/keyDirectory.ts
+++ b/packages/rosemaryspread/src/directory/keyDirectory.ts
@@ -1,30 +1,27 @@
 /**
- * Finds who a bearer key belongs to. Only SHA-256 hashes of keys are configured; a key is
- * looked up by its hash and the hash then compared in constant time.
+ * Finds the owner of a bearer key. Only SHA-256 hashes of keys are configured; a key is looked up by
+ * its hash, and the hash is then compared in constant time.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
-/** Keys of teams or operators, by hash. */
+/** Owners of keys, teams or operators, by key hash. */
 export class KeyDirectory {
   private owners = new Map<string, string>()
 
   /**
-   * Takes the keys of a configuration that came into force.
-   * @param entries - owners and the hex hashes of their keys
+   * Replaces all keys.
+   * @param entries - owners and the hex SHA-256 hashes of their keys
    */
   replace (entries: ReadonlyArray<readonly [owner: string, keyHashes: readonly string[]]>): void {
     this.owners = new Map(entries.flatMap(([owner, hashes]) => hashes.map(hash => [hash, owner] as const)))
   }
 
-  /** Whether no key is known. */
+  /** Whether no key is configured. */
   get empty (): boolean {
     return this.owners.size === 0
   }
 
-  /**
-   * The owner of a key.
-   * @param key - the key as sent
-   */
+  /** The owner of a key as sent by the caller; undefined when no owner has it. */
   ownerOf (key: string): string | undefined {
     const digest = createHash('sha256').update(key).digest()
     const hash = digest.toString('hex')
--- a/packages/rosemaryspread/src/membership/fleetSize.spec.ts
+++ b/packages/rosemaryspread/src/membership/fleetSize.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The size of the fleet as requests see it.
+ * The cached number of live VMs.
  */
 import { expect } from 'chai'
 import type { MemberState, MemberView } from '@rosemaryspread/decisions/membership/memberTypes.js'
@@ -10,9 +10,9 @@
 })
 
 const cases: ReadonlyArray<{ readonly name: string, readonly states: readonly MemberState[], readonly size: number }> = [
-  { name: 'nobody known yet', states: [], size: 1 },
-  { name: 'live ones', states: ['live', 'live', 'live'], size: 3 },
-  { name: 'those that take no work left out', states: ['live', 'leaving', 'suspected', 'gone', 'live'], size: 2 }
+  { name: 'one VM while the list of members is empty', states: [], size: 1 },
+  { name: 'live VMs', states: ['live', 'live', 'live'], size: 3 },
+  { name: 'no VM that accepts no work', states: ['live', 'leaving', 'suspected', 'gone', 'live'], size: 2 }
 ]
 
 describe('the size of the fleet', () => {
@@ -22,7 +22,7 @@
     })
   }
 
-  it('walks the members once a second however often it is asked', () => {
+  it('iterates over the members once a second however often it is read', () => {
     let mono = 0
     let walks = 0
     const size = new FleetSize({ now: () => ({ mono, wall: mono }) }, () => {
--- a/packages/rosemaryspread/src/membership/fleetSize.ts
+++ b/packages/rosemaryspread/src/membership/fleetSize.ts
@@ -1,24 +1,21 @@
 /**
- * The number of VMs, counted once a second: it is asked with each request, and counting walks all
- * members.
+ * The number of live VMs, counted once a second: every request reads it, and counting iterates over
+ * all members.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { MemberView } from '@rosemaryspread/decisions/membership/memberTypes.js'
 
 const KEEP_MS = 1_000
 
-/** Counts the VMs that take work. */
+/** Counts the VMs that accept work. */
 export class FleetSize {
   private count = 1
   private countedAt = -Infinity
 
-  /**
-   * @param clock - clocks of the VM
-   * @param members - every known VM, this one included
-   */
+  /** @param members - returns all current members, this VM included */
   constructor (private readonly clock: Clock, private readonly members: () => readonly MemberView[]) {}
 
-  /** VMs that are live, at least this one. */
+  /** Number of live VMs, at least 1. */
   live (): number {
     const { mono } = this.clock.now()
     if (mono - this.countedAt >= KEEP_MS) {
--- a/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
@@ -42,7 +42,7 @@
 }
 
 describe('lease driver', () => {
-  it('takes the role, keeps others out, and hands over on release', async () => {
+  it('acquires the role, excludes others, and frees it on release', async () => {
     const setup = new Setup()
     const { a, b } = setup
     await setup.tick(a)
@@ -57,7 +57,7 @@
     expect(setup.events).deep.equal(['a~1 leaseTaken', 'b~1 leaseTaken'])
   })
 
-  it('a write under the lease fails after another took it, though the old holder was asked before', async () => {
+  it('fences a late write of the previous holder whose lease check was read before the takeover', async () => {
     const setup = new Setup()
     const { a, b, table } = setup
     await setup.tick(a)
@@ -67,13 +67,13 @@
     await setup.tick(b)
     expect((await b.transact({ checks: [], writes: [{ ...ROW, value: 2 }] })).isRight()).equal(true)
     const late = await table.transact({ checks: [check], writes: [{ ...ROW, value: 3 }] })
-    expect(late.isLeft(), 'the late write is fenced').equal(true)
+    expect(late.isLeft(), 'late write is fenced').equal(true)
     const refused = await a.transact({ checks: [], writes: [{ ...ROW, value: 4 }] })
     expect(refused.swap().unsafeCoerce().code).equal('leaseLost')
     expect(table.find(ROW)?.value).equal(2)
   })
 
-  it('an unfenced write of the old holder would go through (counter-example)', async () => {
+  it('a write of the previous holder without the lease check succeeds (counter-example)', async () => {
     const setup = new Setup()
     await setup.tick(setup.a)
     setup.pass(durationMs + marginMs)
@@ -82,7 +82,7 @@
     expect(setup.table.find(ROW)?.value).equal(3)
   })
 
-  it('a taking whose answer was lost is read back', async () => {
+  it('reads the lease back when the response to its acquisition was lost', async () => {
     const setup = new Setup()
     setup.table.loseAnswers = 1
     await setup.tick(setup.a)
@@ -90,7 +90,7 @@
     expect(setup.table.find({ table: 'leases', key: ROLE })?.version).equal(1)
   })
 
-  it('holds nothing while the table is down, and goes on after', async () => {
+  it('does not hold the role while the table is down, and acquires it afterwards', async () => {
     const setup = new Setup()
     setup.table.down = true
     await setup.tick(setup.a)
@@ -100,7 +100,7 @@
     expect(setup.a.mayAct()).equal(true)
   })
 
-  it('a row that cannot be read is left alone', async () => {
+  it('does not overwrite a malformed lease row', async () => {
     const setup = new Setup()
     await setup.table.transact({ checks: [], writes: [{ table: 'leases', key: ROLE, value: { strange: true } }] })
     await setup.tick(setup.a, 2 * TICKS_TO_ASK)
--- a/packages/rosemaryspread/src/membership/leaseDriver.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the lease of one role against the table service. Whoever acts in the role asks
- * `mayAct` after every wait and puts `leaseCheck` into every transaction.
+ * Maintains the lease of one role in the table service. Code that acts in the role checks `mayAct`
+ * after every wait and adds `leaseCheck` to every transaction.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -11,26 +11,25 @@
 import type { HolderId } from '@rosemaryspread/decisions/names/nameTypes.js'
 import type { ReadAnswer, Row, RowCheck, TableStore, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Milliseconds between two looks at the clock; shorter than any period of the keeper. */
+/** Tick interval; shorter than any period of the lease manager. */
 const TICK_MS = 250
-/** Ticks between two questions whether this process should try to hold the role. */
+/** Ticks between two calls of `isCandidate`. */
 const CANDIDATE_EVERY = 4
 
-/** What a {@link LeaseDriver} works with. */
 export interface LeaseDriverOptions {
   readonly role: string
   readonly holder: HolderId
   readonly table: TableStore
   readonly clock: Clock
   readonly log: EventLog
-  /** Whether this process should try to hold the role, by what is known of the fleet now. */
+  /** Whether this process should try to hold the role, by the current state of the fleet. */
   readonly isCandidate: () => boolean
-  /** Called when the role was taken and when it was lost. */
+  /** Called when the lease is acquired and when it is lost. */
   readonly onChange?: (holds: boolean) => void
   readonly limits?: LeaseLimits
 }
 
-/** One role's lease at work. */
+/** Executes the actions of a {@link LeaseManager} for one role. */
 export class LeaseDriver {
   private readonly keeper: LeaseKeeper
   private timer: NodeJS.Timeout | undefined
@@ -38,53 +37,50 @@
   private resolveReleased: () => void = () => {}
   private readonly released = new Promise<void>(resolve => { this.resolveReleased = resolve })
 
-  /**
-   * @param options - role and collaborators
-   */
   constructor (private readonly options: LeaseDriverOptions) {
     this.keeper = new LeaseKeeper(options.role, options.holder, options.limits ?? defaultLeaseLimits)
   }
 
-  /** Begins to look for the role. */
+  /** Starts trying to acquire the role. */
   start (): void {
     this.timer = setInterval(() => {
       this.tick().catch((err: unknown) => this.options.log.write('fault', { err }))
     }, TICK_MS)
   }
 
-  /** Looks at the clock once; resolves when everything it started has ended. */
+  /** Advances the lease to the current time; resolves when every call that it started has ended. */
   async tick (): Promise<void> {
     if (this.ticks % CANDIDATE_EVERY === 0) await this.feed({ kind: 'candidate', wanted: this.options.isCandidate() })
     this.ticks += 1
     await this.feed({ kind: 'tick' })
   }
 
-  /** Ends the work without giving the lease up; it then lapses. */
+  /** Stops without releasing the lease, which then expires. */
   stop (): void {
     clearInterval(this.timer)
   }
 
-  /** Whether this process may act in the role now; to be asked anew after every wait. */
+  /** Whether this process may act in the role now. Must be checked again after every wait. */
   mayAct (): boolean {
     return this.keeper.mayAct(this.now())
   }
 
-  /** Fencing number for orders to outside systems; fails with `leaseLost` when the role is not held. */
+  /** Fencing token for calls to external systems; fails with `leaseLost` when the role is not held. */
   fencing (): Either<Failure, number> {
     const fencing = this.keeper.fencing()
     return fencing !== undefined && this.mayAct() ? Right(fencing) : Left(this.lost())
   }
 
-  /** The check for a transaction under the lease; fails with `leaseLost` when the role is not held. */
+  /** Row check that makes a transaction fail once the lease is lost; fails with `leaseLost` when the role is not held. */
   leaseCheck (): Either<Failure, RowCheck> {
     const check = this.keeper.leaseCheck(this.now())
     return check === undefined ? Left(this.lost()) : Right(check)
   }
 
   /**
-   * Runs a transaction under the lease. Failures are those of the table and `leaseLost`; after
-   * a conflict the lease is read again.
-   * @param tx - checks and writes without the lease's own check
+   * Runs a transaction under the lease. Fails as the table does, or with `leaseLost`; after a failure
+   * of the table the lease is read again.
+   * @param tx - checks and writes, without the check of the lease
    */
   async transact (tx: Transaction): ReturnType<TableStore['transact']> {
     const check = this.leaseCheck()
@@ -95,7 +91,7 @@
     return answer
   }
 
-  /** Gives the role up; resolves when it is free for others or has lapsed. */
+  /** Releases the role; resolves when it is available to others or the lease has expired. */
   async release (): Promise<void> {
     await this.feed({ kind: 'release' })
     await this.released
@@ -135,7 +131,7 @@
     })
   }
 
-  /** Rows that cannot be understood are left alone, as if the table had failed. */
+  /** Malformed rows are treated as a failure of the table, so that they are not overwritten. */
   private understand (answer: ReadAnswer): LeaseEvent {
     try {
       return { kind: 'readAnswered', read: parseLease(answer) }
@@ -164,7 +160,7 @@
   }
 
   private lost (): Failure {
-    return new Failure('leaseLost', `this process does not hold ${this.options.role}`)
+    return new Failure('leaseLost', `this process does not hold the lease of role ${this.options.role}`)
   }
 
   private now (): Instant {
--- a/packages/rosemaryspread/src/membership/memberDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.spec.ts
@@ -16,7 +16,7 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-/** One VM of the spec, with real links over loopback and ticks by hand. */
+/** One VM with real links over loopback and manual ticks. */
 class SpecVm {
   replacedBy: string | undefined
   readonly seenVersions: number[] = []
@@ -89,7 +89,7 @@
   beforeEach(() => { world = new SpecWorld() })
   afterEach(async () => { await Promise.all(world.vms.map(vm => vm.close())) })
 
-  it('VMs find each other, pass on versions, and one that leaves is out of the addresses at once', async () => {
+  it('discovers peers, propagates configuration versions, and stops advertising a leaving VM at once', async () => {
     const a = await SpecVm.start(world, 'a', 'quito')
     const b = await SpecVm.start(world, 'b', 'quito')
     const c = await SpecVm.start(world, 'c', 'cumbaya')
@@ -104,7 +104,7 @@
     expect(world.table.find({ table: 'vms', key: 'b' })?.value).include({ state: 'leaving', configVersion: 7 })
   })
 
-  it('a silent VM is suspected, the list makes it gone, and its next incarnation is live', async () => {
+  it('suspects an unresponsive VM, marks it gone by the VM list, and accepts its next incarnation', async () => {
     const a = await SpecVm.start(world, 'a', 'quito')
     const b = await SpecVm.start(world, 'b', 'quito')
     await world.tick(a, b)
@@ -122,7 +122,7 @@
     expect(b.replacedBy).equal('b~2')
   })
 
-  it('without the table a VM starts, is not known, and registers later', async () => {
+  it('starts without the table and registers once it is available', async () => {
     world.table.down = true
     const a = await SpecVm.start(world, 'a', 'quito')
     expect(a.member.members().map(member => member.vm)).deep.equal(['a'])
@@ -132,7 +132,7 @@
     expect(world.table.find({ table: 'vms', key: 'a' })?.value).include({ holder: 'a~1' })
   })
 
-  it('names itself a candidate only among the first few', async () => {
+  it('makes only a few VMs of the domain candidates for a role', async () => {
     const vms: SpecVm[] = []
     for (const name of ['a', 'b', 'c', 'd', 'e']) vms.push(await SpecVm.start(world, name, 'quito'))
     await world.tick(...vms)
--- a/packages/rosemaryspread/src/membership/memberDriver.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.ts
@@ -1,7 +1,7 @@
 /**
- * Carries out what the membership decider asks: heartbeats over the links between VMs, rows in
- * the table service, and the platform's list. It also answers who is there and which addresses
- * callers should use.
+ * Executes the actions of the membership table: heartbeats over the links between VMs, rows in the
+ * table service, and reads of the platform's VM list. Also provides the members and the addresses
+ * for callers.
  */
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -17,21 +17,20 @@
 import type { VmList } from '@rosemaryspread/infra/vmList/vmListTypes.js'
 import { MemberRows } from './memberRows.js'
 
-/** Method of heartbeats between VMs; short, for it is sent with each one. */
+/** RPC method of heartbeats between VMs; short because each heartbeat carries it. */
 export const HEARTBEAT_METHOD = 'beat'
 
-/** Part of the period by which ticks are spread, so that VMs started together drift apart. */
+/** Share of the period by which tick times vary, so that VMs started together do not stay in step. */
 const JITTER = 0.2
 
-/** What the VM says of itself now. */
+/** Current status of this VM. */
 export interface MemberStatus {
   readonly configVersion: number | null
   readonly openRequests: number
 }
 
-/** What a {@link MemberDriver} works with. */
 export interface MemberDriverOptions {
-  /** The row of this process as it starts. */
+  /** Initial row of this process. */
   readonly self: MemberRow
   readonly table: TableStore
   readonly vmList: VmList
@@ -42,14 +41,13 @@
   /** Uniform in [0, 1). */
   readonly random: () => number
   readonly status: () => MemberStatus
-  /** Called when another process runs under this VM's name; this one must stop. */
+  /** Called when another process runs under the name of this VM; this process must stop. */
   readonly onReplaced: (by: HolderId) => void
-  /** Called when a heartbeat names a configuration version; `address` is the sender's peer address. */
+  /** Called when a heartbeat carries a configuration version; `address` is the peer address of its sender. */
   readonly onConfigVersion?: (version: number, address: string) => void
   readonly limits?: MemberLimits
 }
 
-/** Membership of one VM at work. */
 export class MemberDriver {
   private readonly decider: MemberTable
   private readonly rows: MemberRows
@@ -57,9 +55,6 @@
   private timer: NodeJS.Timeout | undefined
   private running = false
 
-  /**
-   * @param options - collaborators
-   */
   constructor (private readonly options: MemberDriverOptions) {
     this.limits = options.limits ?? defaultMemberLimits
     this.decider = new MemberTable(options.self, options.random, this.limits)
@@ -67,8 +62,8 @@
   }
 
   /**
-   * Registers the heartbeat method, writes the own row and reads the others. Resolves when the
-   * first attempt ended; without the table it goes on trying in the background.
+   * Registers the heartbeat method, writes the local row and reads the others. Resolves after the
+   * first attempt; while the table is unavailable, attempts continue in the background.
    */
   async start (): Promise<void> {
     this.options.server.register(HEARTBEAT_METHOD, async (params, from) => { await this.takeHeartbeat(params, from) })
@@ -78,41 +73,40 @@
     await first
   }
 
-  /** One period; resolves when everything it started has ended. */
+  /** Runs one period; resolves when every call that it started has ended. */
   async tick (): Promise<void> {
     const { configVersion, openRequests } = this.options.status()
     await this.feed({ kind: 'self', configVersion, openRequests })
     await this.feed({ kind: 'tick' })
   }
 
-  /** Ends the heartbeats. */
+  /** Stops the heartbeats. */
   stop (): void {
     this.running = false
     clearTimeout(this.timer)
   }
 
-  /** Every known VM, this one included. */
+  /** All current members, this VM included. */
   members (): readonly MemberView[] {
     return this.decider.members(this.now())
   }
 
-  /** Whether a pause was noticed and the own row was not read since. */
+  /** Whether a pause was detected and the local row has not been read since. */
   mayBeReplaced (): boolean {
     return this.decider.mayBeReplaced()
   }
 
   /**
    * Addresses for callers, as IPv4:port.
-   * @param keepMs - how long they may be kept, from the configuration
-   * @param team - the caller's team, when it is known
+   * @param keepMs - how long callers may cache them
+   * @param team - team of the caller, when it is known
    */
   addresses (keepMs: number, team?: string): CallerAddresses {
     return addressesFor(this.options.self, this.members(), keepMs, this.options.random, team)
   }
 
   /**
-   * Whether this VM should try to take a role.
-   * @param role - the role
+   * Whether this VM should try to acquire the lease of a role.
    * @param domain - the failure domain whose VMs may hold it; absent when every VM may
    */
   isCandidate (role: string, domain?: string): boolean {
@@ -120,7 +114,7 @@
     return roleCandidates(role, live.map(member => member.vm), ROLE_CANDIDATES).includes(this.options.self.vm)
   }
 
-  /** Tells the other VMs at once that this one takes no new work, and writes it to the table. */
+  /** Notifies the other VMs immediately that this one accepts no new work, and writes it to the table. */
   async announceLeaving (): Promise<void> {
     await this.feed({ kind: 'leave' })
   }
--- a/packages/rosemaryspread/src/membership/memberRows.ts
+++ b/packages/rosemaryspread/src/membership/memberRows.ts
@@ -1,5 +1,5 @@
 /**
- * The rows `vms/<vm>` in the table service.
+ * Reads and writes the rows `vms/<vm>` of the table service.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -8,15 +8,10 @@
 
 const SCAN_PAGE = 500
 
-/** Reads and writes rows of VMs. */
 export class MemberRows {
-  /**
-   * @param table - the table service
-   * @param log - where faults go
-   */
   constructor (private readonly table: TableStore, private readonly log: EventLog) {}
 
-  /** Every row, or undefined when the table failed on the way. */
+  /** All rows, or undefined when a read failed. */
   async scan (): Promise<readonly ReadMember[] | undefined> {
     const found: ReadMember[] = []
     let after: string | undefined
@@ -30,10 +25,7 @@
     return found
   }
 
-  /**
-   * The rows of some VMs, or undefined when the table failed.
-   * @param vms - names of the VMs
-   */
+  /** The rows of some VMs, or undefined when the read failed. */
   async read (vms: readonly string[]): Promise<readonly ReadMember[] | undefined> {
     const answer = await this.table.read(vms.map(vm => ({ table: MEMBER_TABLE, key: vm })))
     return answer.caseOf<readonly ReadMember[] | undefined>({
@@ -42,10 +34,7 @@
     })
   }
 
-  /**
-   * The row of this VM, as the event that the decider expects.
-   * @param vm - name of this VM
-   */
+  /** Reads the row of this VM; returns the event for the membership table. */
   async readOwn (vm: string): Promise<MemberEvent> {
     const answer = await this.table.read([{ table: MEMBER_TABLE, key: vm }])
     return answer.caseOf<MemberEvent>({
@@ -58,9 +47,8 @@
   }
 
   /**
-   * Writes the row of this VM on condition of its version.
-   * @param row - the new row
-   * @param version - version of the row as last known; null when there is none
+   * Writes the row of this VM if its version is unchanged.
+   * @param version - last known version; null when there is no row
    */
   async writeOwn (row: MemberRow, version: number | null): Promise<OwnWriteOutcome> {
     const key = { table: MEMBER_TABLE, key: row.vm }
@@ -72,9 +60,8 @@
   }
 
   /**
-   * Deletes the row of a VM on condition of its version; a failure is left to a later attempt.
-   * @param vm - name of the VM
-   * @param version - version of the row as last known
+   * Deletes the row of a VM if its version is unchanged; a failure is logged and left to a later attempt.
+   * @param version - last known version
    */
   async drop (vm: string, version: number): Promise<void> {
     const key = { table: MEMBER_TABLE, key: vm }
@@ -101,7 +88,7 @@
   })
 }
 
-/** Holder in a row; a row that cannot be read names nobody. */
+/** Holder in a row; empty when the row is malformed. */
 function holderOfRow (row: Row): string {
   const parsed = memberRowSchema.safeParse(row.value)
   return parsed.success ? parsed.data.holder : ''
--- a/packages/rosemaryspread/src/membership/membershipTable.fixture.ts
+++ b/packages/rosemaryspread/src/membership/membershipTable.fixture.ts
@@ -1,16 +1,14 @@
 /**
- * A table service in memory for the specs of membership: checks, versions, its own clock, and
- * faults on order.
+ * In-memory table service for specs: row checks, versions, its own clock, and injected faults.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ReadAnswer, Row, RowCheck, RowKey, RowWrite, ScanAnswer, ScanRequest, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** The table. */
 export class FixtureTable implements TableStore {
   now = 5_000_000
   down = false
-  /** Answers of the next writes to lose, after they took effect. */
+  /** Number of next writes that take effect but whose responses are lost. */
   loseAnswers = 0
   private version = 0
   private readonly rows = new Map<string, Row>()
--- a/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
+++ b/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
@@ -1,9 +1,6 @@
 /**
- * What callers saw on a calm day of a fleet of 195 VMs: 256 tries found no connection, nearly all at VMs of one failure domain, which
- * took a third of all requests while the busiest of its VMs had six times the mean load.
- * What happened: an answer named all 195 VMs in the order of their names, for callers of every place alike. Answers are allowed 64
- * addresses, and whoever takes the first ones takes those of the domain that comes first by name.
- * Evidence: the answers of one VM, at each size below, held as many addresses as there were VMs, and the same first 64 for all callers.
+ * Addresses that a large fleet advertises to callers: at most 64 per answer, chosen by the location and name of the caller. If every
+ * caller received all VMs sorted by name and used the first ones, one failure domain would be overloaded and refuse connections.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
@@ -32,10 +29,10 @@
   return Array.from({ length: vms }, (_, index) => vmRow(DOMAINS[index % DOMAINS.length] ?? '', index))
 }
 
-/** Presence of the first of some VMs, which has heard of the others. */
+/** Presence of the first VM of the rows, which has received the rows of the others. */
 async function presenceOf (rows: readonly PresenceRow[]): Promise<VmPresence> {
   const [self, ...others] = rows
-  if (self === undefined) throw new Error('a fleet has one VM at least')
+  if (self === undefined) throw new Error('the fleet needs at least one VM')
   let handler: FeedHandler | undefined
   const feed: TableFeed = {
     follow: (_table, taken) => {
@@ -58,7 +55,7 @@
 interface SizeCase {
   readonly vms: number
   readonly named: number
-  /** Failure domains of the VMs that are named. */
+  /** Failure domains of the advertised VMs. */
   readonly domains: number
 }
 
@@ -73,7 +70,7 @@
 
 describe('addresses for callers of a large fleet', () => {
   for (const { vms, named, domains } of sizes) {
-    it(`name ${named} of ${vms} VMs, in ${domains} failure domains`, async () => {
+    it(`include ${named} of ${vms} VMs in ${domains} failure domains`, async () => {
       const presence = await presenceOf(fleet(vms))
       const addresses = presence.addresses(callerIn('calderon'))
       expect(addresses).to.have.length(named)
@@ -82,7 +79,7 @@
     })
   }
 
-  it('name every VM about equally often over callers', async () => {
+  it('include every VM about equally often over all callers', async () => {
     const vms = 360
     const presence = await presenceOf(fleet(vms))
     const counts = new Map<string, number>()
@@ -94,7 +91,7 @@
     expect(Math.max(...counts.values())).to.be.below(mean * 1.2)
   })
 
-  it('are the same whichever VM is asked', async () => {
+  it('are the same from every VM', async () => {
     const rows = fleet(195)
     const one = await presenceOf(rows)
     const other = await presenceOf([...rows].reverse())
@@ -103,7 +100,7 @@
 
   const placed: ReadonlyArray<{ readonly name: string, readonly rows: readonly PresenceRow[], readonly domain: string, readonly named: (addresses: readonly string[]) => void }> = [
     {
-      name: 'others as well where the own domain has a single VM',
+      name: 'VMs of other domains when the domain of the caller has a single VM',
       rows: [...fleet(100), vmRow('alone', 0)],
       domain: 'alone',
       named: addresses => {
@@ -112,43 +109,43 @@
       }
     },
     {
-      name: 'VMs of the own region before others',
+      name: 'VMs of the region of the caller before others',
       rows: [...fleet(100), ...Array.from({ length: 20 }, (_, index) => vmRow('far', index, { region: 'there' }))],
       domain: 'nowhere',
       named: addresses => { expect(addresses.map(domainOf)).to.not.include('far') }
     },
     {
-      name: 'no VM that is pressed',
+      name: 'no overloaded VM',
       rows: [...fleet(60), ...Array.from({ length: 10 }, (_, index) => vmRow('calderon', 100 + index, { isPressed: true }))],
       domain: 'calderon',
       named: addresses => { expect(addresses.filter(address => /-10\d:/.test(address))).to.have.length(0) }
     },
     {
-      name: 'other domains where most VMs of the own one are pressed',
+      name: 'other domains when most VMs of the domain of the caller are overloaded',
       rows: fleet(100).map((row, index) => row.domain === 'calderon' && index > 20 ? { ...row, isPressed: true } : row),
       domain: 'calderon',
       named: addresses => { expect(new Set(addresses.map(domainOf))).to.have.length(DOMAINS.length) }
     },
     {
-      name: 'pressed VMs where all are',
+      name: 'overloaded VMs when all are overloaded',
       rows: fleet(20).map(row => ({ ...row, isPressed: true })),
       domain: 'calderon',
       named: addresses => { expect(addresses).to.have.length(20) }
     },
     {
-      name: 'no VM that leaves or begins',
+      name: 'no leaving or starting VM',
       rows: fleet(60).map((row, index) => ({ ...row, state: index % 3 === 0 ? 'serving' : index % 3 === 1 ? 'leaving' : 'starting' })),
       domain: 'nowhere',
       named: addresses => { expect(addresses).to.have.length(20) }
     }
   ]
   for (const { name, rows, domain, named } of placed) {
-    it(`name ${name}`, async () => {
+    it(`include ${name}`, async () => {
       named((await presenceOf(rows)).addresses(callerIn(domain)))
     })
   }
 
-  it('name VMs of all domains to a caller who tells no place', async () => {
+  it('include VMs of all domains for a caller without a location', async () => {
     const addresses = (await presenceOf(fleet(195))).addresses({ caller: 'c' })
     expect(addresses).to.have.length(MOST)
     expect(new Set(addresses.map(domainOf))).to.have.length(DOMAINS.length)
--- a/packages/rosemaryspread/src/presence/fleetKey.ts
+++ b/packages/rosemaryspread/src/presence/fleetKey.ts
@@ -1,6 +1,6 @@
 /**
- * The key by which VMs of one fleet prove to each other that they belong together. The first VM that
- * finds none makes one; it lies in the table, which only the fleet can read.
+ * The shared key by which VMs of one fleet authenticate to each other. The first VM that finds none
+ * creates it; it is stored in the table service, which only the fleet can read.
  */
 import { randomBytes } from 'node:crypto'
 import { Left, Right, type Either } from 'purify-ts'
@@ -13,17 +13,14 @@
 
 const keyRowSchema = z.object({ secret: z.string().min(1) })
 
-/**
- * Reads the key, or makes it. Failures: those of the table; `platformConflict` when another VM made one meanwhile.
- * @param table - the table service
- */
+/** Reads the key, or creates it. Fails as the table does, with `platformConflict` when another VM created one meanwhile. */
 export async function fleetKey (table: TableStore): Promise<Either<Failure, string>> {
   const read = await table.read([KEY_ROW])
   if (read.isLeft()) return read
   const found = read.unsafeCoerce().rows[0]
   if (found === null || found === undefined) return await makeKey(table)
   const row = keyRowSchema.safeParse(found.value)
-  return row.success ? Right(row.data.secret) : Left(new Failure('internal', 'the row of the fleet key cannot be read'))
+  return row.success ? Right(row.data.secret) : Left(new Failure('internal', 'the stored row of the fleet key is malformed'))
 }
 
 async function makeKey (table: TableStore): Promise<Either<Failure, string>> {
--- a/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Links between the VMs of a fleet: the key that the first VM makes and the others find, and calls
- * before and after the links are open.
+ * Links between the VMs of a fleet: creation of the shared key, and calls before and after the links
+ * are open.
  */
 import { expect } from 'chai'
 import { FixtureTable } from '../membership/membershipTable.fixture.js'
@@ -17,19 +17,19 @@
 }
 
 describe('fleetKey', () => {
-  it('is made once and found by all others', async () => {
+  it('is created once and then read', async () => {
     const table = new FixtureTable()
     const keys = [await fleetKey(table), await fleetKey(table)].map(key => key.extract())
     expect(keys[0]).to.be.a('string').and.equal(keys[1])
   })
 
-  it('is left to the VM that was first where two make one', async () => {
+  it('is created by one VM when two try concurrently', async () => {
     const table = new FixtureTable()
     const both = await Promise.all([fleetKey(table), fleetKey(table)])
     expect(both.map(key => key.isRight())).to.deep.equal([true, false])
   })
 
-  it('is a failure while the table is away', async () => {
+  it('fails while the table is unavailable', async () => {
     const table = new FixtureTable()
     table.down = true
     expect((await fleetKey(table)).extract()).to.include({ code: 'platformUnavailable' })
@@ -38,9 +38,9 @@
 
 describe('FleetLinks', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly opens: boolean, readonly key?: string, readonly answered: boolean }> = [
-    { name: 'carry calls of VMs with the same key', opens: true, answered: true },
-    { name: 'refuse a VM with another key', opens: true, key: 'another', answered: false },
-    { name: 'fail calls before they are open', opens: false, answered: false }
+    { name: 'carry calls between VMs with the same key', opens: true, answered: true },
+    { name: 'refuse a VM with a different key', opens: true, key: 'another', answered: false },
+    { name: 'fail calls until they are open', opens: false, answered: false }
   ]
   for (const { name, opens, key, answered } of cases) {
     it(name, async () => {
@@ -58,7 +58,7 @@
     })
   }
 
-  it('wait for the key while the table is away, and end when they are closed', async () => {
+  it('wait for the key while the table is unavailable, and stop waiting when closed', async () => {
     const table = new FixtureTable()
     table.down = true
     const links = linksOf('vm1~a', table, '127.0.0.1:0')
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -1,6 +1,6 @@
 /**
- * Links between the VMs of a fleet, opened once the key of the fleet could be had. Whoever calls
- * before that, or a VM that cannot be reached, gets `peerUnreachable`.
+ * RPC links between the VMs of a fleet, opened once the fleet key is available. Calls before that, and
+ * calls to an unreachable VM, fail with `peerUnreachable`.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { Left, type Either } from 'purify-ts'
@@ -13,36 +13,33 @@
 import { JsonRpcPeerServer } from '@rosemaryspread/peers/link/peerServer.js'
 import { fleetKey } from './fleetKey.js'
 
-/** Milliseconds before the key is asked for again: the store may be out of reach, or another VM is making it. */
+/** Delay before the key is read again: the table may be unreachable, or another VM is creating the key. */
 const KEY_RETRY_MS = 300
 /**
- * Limits of the links: a connection that went silent without a reset is noticed within a second of its
- * use, and the next call opens another. Round trips take some milliseconds.
+ * Detects a connection that became unresponsive without a reset within a second of its use; the next call
+ * opens another. Round trips take a few milliseconds.
  */
 const limits: LinkLimits = { ...defaultLinkLimits, handshakeMs: 500, probeAfterMs: 400, probeTimeoutMs: 400 }
 
-/** What links work with. */
 export interface FleetLinksParts {
   readonly holder: string
-  /** IPv4:port on which other VMs reach this one; absent where there are no links. */
+  /** IPv4:port on which other VMs reach this one; absent when links are disabled. */
   readonly address: string | undefined
   readonly table: TableStore
   readonly clock: Clock
   readonly log: EventLog
   /** Uniform in [0, 1). */
   random (): number
-  /** Told when links went silent, with the monotonic milliseconds after which nothing was heard. */
+  /** Called when links became unresponsive, with the monotonic milliseconds since which nothing was received. */
   onSilence (since: number): void
 }
 
 /**
- * Other VMs up to which all are told of something over links. Beyond it each hears of little that concerns it, and links between all VMs are
- * opened for it: with 60 VMs a calm day took 185 s of processor time without notices of prompts, 230 s with them, at the same worth
- * (0.702, 0.693); news of ended targets come as quickly by a feed.
+ * Peers up to which notifications are broadcast over links. In a larger fleet few of them concern any one recipient, while the links
+ * between all VMs cost processor time; updates about terminated targets arrive as quickly through a feed.
  */
 export const MOST_TOLD = 20
 
-/** Links of one VM. */
 export class FleetLinks {
   private readonly methods = new Map<string, PeerMethod>()
   private client: JsonRpcPeerClient | undefined
@@ -52,20 +49,18 @@
   constructor (private readonly parts: FleetLinksParts) {}
 
   /**
-   * Adds a method that other VMs may call; to be called before the links are opened.
-   * @param method - method name
-   * @param handler - serves the calls
+   * Registers a method that other VMs may call. Must be called before {@link open}.
    */
   serve (method: string, handler: PeerMethod): void {
     this.methods.set(method, handler)
   }
 
-  /** The address listened on, as IPv4:port; absent while the links are not open. */
+  /** The listening address as IPv4:port; absent until the links are open. */
   get listening (): string | undefined {
     return this.server?.address
   }
 
-  /** Opens the links; resolves once they are open, or closed meanwhile. */
+  /** Opens the links; resolves once they are open, or were closed meanwhile. */
   async open (): Promise<void> {
     const { address, holder, clock, log, random, onSilence } = this.parts
     if (address === undefined) return
@@ -82,10 +77,8 @@
   /**
    * Calls another VM.
    * @param address - IPv4:port of its links
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
-   * @param timeoutMs - milliseconds until the call is given up
-   * @param onLate - takes a result that comes after that
+   * @param params - a value that msgpackr can encode
+   * @param onLate - receives a result that arrives after the timeout
    */
   async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>> {
     if (this.client === undefined) return Left(new Failure('peerUnreachable', 'the links of this VM are not open'))
@@ -93,16 +86,15 @@
   }
 
   /**
-   * Tells another VM something that nobody answers; dropped where it cannot be reached.
+   * Sends a notification to another VM; dropped when the VM is unreachable.
    * @param address - IPv4:port of its links
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
+   * @param params - a value that msgpackr can encode
    */
   notify (address: string, method: string, params: unknown): void {
     this.client?.notify(address, method, params)
   }
 
-  /** Drops all links. */
+  /** Closes all links, and ends a pending {@link open}. */
   async close (): Promise<void> {
     this.isClosed = true
     this.client?.close()
--- a/packages/rosemaryspread/src/presence/presenceView.spec.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Presence of other VMs: silence counts only while the feed works.
+ * Presence of other VMs: missing heartbeats count only while the feed works.
  */
 import { expect } from 'chai'
 import type { PresenceRow } from './presenceTypes.js'
@@ -16,13 +16,13 @@
 }
 
 const cases: readonly PresenceCase[] = [
-  { name: 'names the others', act: () => {}, at: 0, others: ['b', 'c'] },
-  { name: 'drops those that are silent', act: view => { view.changed('b', row('b', 2), 900) }, at: 1_500, others: ['b'] },
-  { name: 'drops a row that was deleted', act: view => { view.changed('b', null, 100) }, at: 100, others: ['c'] },
-  { name: 'a whole read without news is no sign of life', act: view => { view.replaced([row('b', 1), row('c', 2)], 900) }, at: 1_500, others: ['c'] },
-  { name: 'keeps all while the feed does not work', act: view => { view.feedFailed() }, at: 50_000, others: ['b', 'c'] },
+  { name: 'lists the other VMs', act: () => {}, at: 0, others: ['b', 'c'] },
+  { name: 'drops unresponsive VMs', act: view => { view.changed('b', row('b', 2), 900) }, at: 1_500, others: ['b'] },
+  { name: 'drops a VM whose row was deleted', act: view => { view.changed('b', null, 100) }, at: 100, others: ['c'] },
+  { name: 'does not count an unchanged row of a full read as a heartbeat', act: view => { view.replaced([row('b', 1), row('c', 2)], 900) }, at: 1_500, others: ['c'] },
+  { name: 'retains all VMs while the feed is down', act: view => { view.feedFailed() }, at: 50_000, others: ['b', 'c'] },
   {
-    name: 'gives all their time once the feed works again',
+    name: 'restarts the expiry of all VMs once the feed recovers',
     act: view => {
       view.feedFailed()
       view.changed('b', row('b', 2), 50_000)
@@ -31,7 +31,7 @@
     others: ['b', 'c']
   },
   {
-    name: 'and drops those that stay silent',
+    name: 'drops VMs that stay unresponsive after the feed recovers',
     act: view => {
       view.feedFailed()
       view.changed('b', row('b', 2), 50_500)
--- a/packages/rosemaryspread/src/presence/presenceView.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.ts
@@ -1,13 +1,13 @@
 /**
- * Which other VMs are present, as one VM sees it. A VM counts as gone when its row did not change
- * for some heartbeats, but only as long as the feed works: silence of the store says nothing of VMs.
+ * Tracks which other VMs are present. A VM counts as terminated when its row has not changed for several
+ * heartbeats, but only while the feed works: an unreachable store says nothing about the VMs.
  */
 import type { DigestStage } from '@rosemaryspread/decisions/digest/digestEntry.js'
 import type { PresenceRow } from './presenceTypes.js'
 
 /**
- * Milliseconds for which the list of VMs is kept while no news of any comes. It is asked for many times with each pass over the
- * budgets; a VM that falls silent is missed seconds later anyhow.
+ * Milliseconds for which the list of VMs is cached while no row changes. Each pass over the budgets reads it many times, and
+ * an unresponsive VM is only detected after seconds anyway.
  */
 const KEPT_MS = 100
 
@@ -16,14 +16,14 @@
   readonly at: number
 }
 
-/** The other VMs at one moment. */
+/** The other VMs present at one moment. */
 interface Present {
   readonly all: readonly PresenceRow[]
-  /** Those of them that are not late. */
+  /** The VMs that have not missed heartbeats. */
   readonly punctual: readonly PresenceRow[]
 }
 
-/** The other VMs. Times are monotonic milliseconds. */
+/** Last row and last change of each VM. Times are monotonic milliseconds. */
 export class PresenceView {
   private seen = new Map<string, Seen>()
   private healthySince: number | undefined
@@ -33,16 +33,12 @@
 
   /**
    * @param self - name of this VM
-   * @param expiryMs - silence after which a VM counts as gone, in a fleet of so many VMs
-   * @param lateMs - silence after which it counts as late
+   * @param expiryMs - silence after which a VM counts as terminated, by the size of the fleet
+   * @param lateMs - silence after which it counts as late, by the size of the fleet
    */
   constructor (private readonly self: string, private readonly expiryMs: (vms: number) => number, private readonly lateMs: (vms: number) => number) {}
 
-  /**
-   * Takes the rows of all VMs. Rows that are not there any more belong to VMs that left.
-   * @param rows - all rows
-   * @param mono - present time
-   */
+  /** Replaces the rows of all VMs; a VM without a row has left. */
   replaced (rows: readonly PresenceRow[], mono: number): void {
     const before = this.seen
     this.seen = new Map()
@@ -54,10 +50,8 @@
   }
 
   /**
-   * Takes the row of one VM.
-   * @param vm - name of the VM
-   * @param row - its row; null when it was deleted
-   * @param mono - present time
+   * Updates the row of one VM.
+   * @param row - the row; null when it was deleted
    */
   changed (vm: string, row: PresenceRow | null, mono: number): void {
     if (row === null) this.seen.delete(vm)
@@ -65,27 +59,20 @@
     this.feedWorks(mono)
   }
 
-  /** Notes that the feed does not work. */
+  /** Suspends expiry until the feed delivers rows again. */
   feedFailed (): void {
     this.healthySince = undefined
     this.kept = undefined
   }
 
-  /**
-   * Takes whether others tell which VMs are late or gone: then silence says nothing.
-   * @param isVouched - whether they do
-   */
+  /** Sets whether rows come from a digest, which reports late and terminated VMs itself; expiry is then off. */
   vouched (isVouched: boolean): void {
     this.isVouched = isVouched
     this.healthySince = undefined
     this.kept = undefined
   }
 
-  /**
-   * How a VM is doing by its heartbeats; the VM itself counts as present.
-   * @param vm - name of the VM
-   * @param mono - present time
-   */
+  /** Stage of a VM by its heartbeats; this VM always counts as present. */
   stageOf (vm: string, mono: number): DigestStage {
     const seen = this.seen.get(vm)
     if (vm === this.self || seen === undefined) return 'present'
@@ -94,18 +81,12 @@
     return silentMs > this.lateMs(this.seen.size) ? 'late' : 'present'
   }
 
-  /**
-   * Other VMs that are present.
-   * @param mono - present time
-   */
+  /** Other VMs that have not expired. */
   others (mono: number): readonly PresenceRow[] {
     return this.present(mono).all
   }
 
-  /**
-   * Other VMs that are present and not late.
-   * @param mono - present time
-   */
+  /** Other VMs that are not late. */
   punctual (mono: number): readonly PresenceRow[] {
     return this.present(mono).punctual
   }
@@ -125,7 +106,7 @@
     this.kept = undefined
   }
 
-  /** Milliseconds for which a VM was silent while the feed worked. */
+  /** Milliseconds without a change of the row while the feed worked. */
   private silentMs (at: number, mono: number): number {
     return this.isVouched || this.healthySince === undefined ? 0 : mono - Math.max(at, this.healthySince)
   }
--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -1,6 +1,6 @@
 /**
- * What a VM learns of others that begin: each process of another VM is told once, so that it gets its
- * part of the budgets, however often its row changes or the table is read anew.
+ * Presence of this VM and of its peers: joins, expiry, advertised addresses and the final row. Each process of
+ * another VM is reported once, so that it gets its share of the budgets, however often its row changes.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
@@ -18,7 +18,7 @@
   transact: async () => Right({ version: 1, now: 0 })
 }
 
-/** A feed that tells what a test hands it. */
+/** A feed whose updates the test sends through `handler`. */
 class Feed implements TableFeed {
   handler: FeedHandler | undefined
 
@@ -50,17 +50,17 @@
 const replaced = (...rows: readonly FeedRow[]): Told => feed => { feed.replaced(rows) }
 
 const cases: ReadonlyArray<{ readonly name: string, readonly told: readonly Told[], readonly joined: readonly string[] }> = [
-  { name: 'tells of each VM with its process', told: [changed(row('b', '1', 1)), changed(row('c', '1', 1))], joined: ['b~1', 'c~1'] },
-  { name: 'is silent about itself', told: [changed(row('a', '1', 1))], joined: [] },
-  { name: 'tells of a process once', told: [changed(row('b', '1', 1)), changed(row('b', '1', 2)), replaced(row('b', '1', 3))], joined: ['b~1'] },
-  { name: 'tells of a VM that began again', told: [changed(row('b', '1', 1)), changed(row('b', '2', 1))], joined: ['b~1', 'b~2'] },
-  { name: 'tells of all that a whole read names', told: [replaced(row('a', '1', 1), row('b', '1', 1), row('c', '1', 1))], joined: ['b~1', 'c~1'] },
-  { name: 'takes a VM that was out of sight for the same', told: [changed(row('b', '1', 1)), changed({ key: 'b', value: null, version: 2 }), changed(row('b', '1', 3))], joined: ['b~1'] }
+  { name: 'reports each VM with its process', told: [changed(row('b', '1', 1)), changed(row('c', '1', 1))], joined: ['b~1', 'c~1'] },
+  { name: 'does not report itself', told: [changed(row('a', '1', 1))], joined: [] },
+  { name: 'reports a process once', told: [changed(row('b', '1', 1)), changed(row('b', '1', 2)), replaced(row('b', '1', 3))], joined: ['b~1'] },
+  { name: 'reports a VM that was restarted', told: [changed(row('b', '1', 1)), changed(row('b', '2', 1))], joined: ['b~1', 'b~2'] },
+  { name: 'reports all VMs of a full read', told: [replaced(row('a', '1', 1), row('b', '1', 1), row('c', '1', 1))], joined: ['b~1', 'c~1'] },
+  { name: 'does not report a process again after its row was missing', told: [changed(row('b', '1', 1)), changed({ key: 'b', value: null, version: 2 }), changed(row('b', '1', 3))], joined: ['b~1'] }
 ]
 
 /**
- * Read in the code, seen by no user: a VM of 360 writes a heartbeat every 9 s and counted as gone after 6 s of silence,
- * so each VM would have seen the others come and go all the time, and owners of budgets with them.
+ * Guards against an expiry that ignores the size of the fleet: a VM of 360 writes a heartbeat every 9 s, so an expiry of 6 s
+ * would make peers, and with them the owners of budgets, disappear and return continually.
  */
 const ages: ReadonlyArray<{ readonly vms: number, readonly silentMs: number, readonly isPresent: boolean }> = [
   { vms: 6, silentMs: 5_900, isPresent: true },
@@ -69,9 +69,9 @@
   { vms: 360, silentMs: 36_100, isPresent: false }
 ]
 
-describe('presence of a VM that is silent', () => {
+describe('presence of a VM without heartbeats', () => {
   for (const { vms, silentMs, isPresent } of ages) {
-    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
+    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'expired'}`, () => {
       const feed = new Feed()
       const clock = { mono: 0 }
       const presence = presenceOf(feed, clock)
@@ -84,13 +84,13 @@
 })
 
 /**
- * Read in the code, seen by no user: a VM that stood still for longer than others are waited for heard nothing meanwhile and took all
- * of them for gone until its feed told again; for that time it counted as the only one, and took the repeats of all for its own.
+ * Guards against a VM that was paused for longer than the expiry and then takes all peers for terminated until its feed delivers
+ * again; meanwhile it would act as the only VM and claim the retries of all others.
  */
-describe('presence as seen by a VM that stood still', () => {
+describe('presence as seen by a VM that was paused', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly stepMs: number, readonly size: number }> = [
     { name: 'for ten seconds', stepMs: 10_000, size: 3 },
-    { name: 'not at all, while the others were silent', stepMs: 50, size: 1 }
+    { name: 'not at all, while the others were unresponsive', stepMs: 50, size: 1 }
   ]
   for (const { name, stepMs, size } of cases) {
     it(`${name}: ${size} VMs`, () => {
@@ -107,22 +107,21 @@
 })
 
 /**
- * What callers saw: seven seconds after most VMs of a fleet had lost power, a VM that was left still named them.
- * In a fleet of seven the only VM left did so six seconds after the others had ended.
- * What happened: a VM counts as gone when four heartbeats are missing, six seconds in a fleet of sixty, eight in one of eighty, and a loaded VM
- * reads the last heartbeats late. For budgets that is right: what a VM holds is not taken early. For callers it costs a second each.
+ * Guards against advertising terminated VMs until they expire. Expiry takes four missed heartbeats, six seconds in a fleet of 60 and
+ * eight in one of 80, which suits budgets, where an allotment must not be reclaimed early. Callers lose a second for each terminated VM
+ * that they try, so a VM is no longer advertised after three.
  */
 describe('addresses for callers', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly vms: number, readonly ended: number, readonly afterMs: number, readonly named: number, readonly isFeedDown?: true }> = [
-    { name: 'all while they beat', vms: 16, ended: 0, afterMs: 9_000, named: 16 },
-    { name: 'an ended VM as long as it may only be late', vms: 16, ended: 13, afterMs: 4_000, named: 16 },
+    { name: 'all VMs while they send heartbeats', vms: 16, ended: 0, afterMs: 9_000, named: 16 },
+    { name: 'a terminated VM until it has missed three heartbeats', vms: 16, ended: 13, afterMs: 4_000, named: 16 },
     { name: 'no VM that missed three heartbeats', vms: 16, ended: 13, afterMs: 5_000, named: 3 },
-    { name: 'no VM that missed three heartbeats of a large fleet', vms: 79, ended: 60, afterMs: 6_500, named: 19 },
-    { name: 'itself alone where all others missed them', vms: 7, ended: 6, afterMs: 5_000, named: 1 },
-    { name: 'all while the feed does not work', vms: 16, ended: 15, afterMs: 9_000, named: 16, isFeedDown: true }
+    { name: 'no VM of a large fleet that missed three heartbeats', vms: 79, ended: 60, afterMs: 6_500, named: 19 },
+    { name: 'only the VM itself when all others missed three heartbeats', vms: 7, ended: 6, afterMs: 5_000, named: 1 },
+    { name: 'all VMs while the feed is down', vms: 16, ended: 15, afterMs: 9_000, named: 16, isFeedDown: true }
   ]
   for (const { name, vms, ended, afterMs, named, isFeedDown } of cases) {
-    it(`name ${name}`, async () => {
+    it(`include ${name}`, async () => {
       const feed = new Feed()
       const clock = { mono: 0 }
       const presence = presenceOf(feed, clock)
@@ -141,9 +140,8 @@
   }
 })
 
-/** Read in the code, seen by no user. */
 describe('presence of a VM that left', () => {
-  it('writes its row no more, also when it becomes pressed', async () => {
+  it('does not write its row again, also when the VM becomes overloaded', async () => {
     const writes: unknown[] = []
     const presence = new VmPresence({
       self: { vm: 'a', holder: 'a~1', domain: 'd', callers: 'a:1' },
@@ -169,8 +167,8 @@
   })
 })
 
-describe('presence that a digest tells', () => {
-  it('takes the new state of a VM where the digest is read whole again', () => {
+describe('presence from a digest', () => {
+  it('updates the state of a VM when the whole digest is read again', () => {
     const view = new PresenceView('a', () => 6_000, () => 4_500)
     const told = (state: PresenceRow['state']): PresenceRow => ({ vm: 'b', holder: 'b~1', domain: 'd', callers: 'b:1', state, beat: 0 })
     view.vouched(true)
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the other VMs of this one and follows what they tell: one row a VM, rewritten with each
- * heartbeat. It needs no messages between VMs.
+ * Publishes the presence of this VM and follows that of the others: one table row per VM, rewritten
+ * with each heartbeat. It needs no messages between VMs.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -13,29 +13,28 @@
 import { digestedPresenceSchema, PRESENCE_TABLE, presenceRowSchema, type PresenceRow } from './presenceTypes.js'
 import { PresenceView } from './presenceView.js'
 
-/** Milliseconds between two heartbeats of a small fleet. */
+/** Heartbeat interval of a small fleet. */
 const HEARTBEAT_MS = 1_500
-/** Heartbeats that all VMs together write in a second at most; a larger fleet beats less often. */
+/** Limit of heartbeats per second of all VMs together; a larger fleet uses a longer interval. */
 const FLEET_BEATS_PER_S = 40
-/** Heartbeats that may be missed. */
+/** Missed heartbeats after which a VM is late; it expires after one more. */
 const MISSED_BEATS = 3
 const MS_PER_SECOND = 1_000
 /**
- * Milliseconds from the first read of all rows until the view counts as settled: VMs that start together have written theirs
- * by then. Sixty VMs that each took themselves for alone drew all budgets at once, and 672 of their draws failed.
+ * Milliseconds from the first full read until the list of VMs counts as complete: VMs that start together have written their
+ * rows by then. Without this delay each of them takes itself for the only one and draws from every budget, and most draws conflict.
  */
 const SETTLE_MS = 1_200
 
-/** Milliseconds between two ticks from which on this VM stood still; ticks come every 50 to 150, and late by some hundred on a busy VM. */
+/** Gap between two ticks that counts as a pause of this VM. Ticks come every 50 to 150 ms, and a few hundred late on a busy VM. */
 const STANDSTILL_MS = 1_000
 
-/** Another VM and the address of its links. */
+/** Another VM and the IPv4:port of its links. */
 export interface PeerVm {
   readonly holder: string
   readonly address: string
 }
 
-/** What presence works with. */
 export interface PresenceParts {
   readonly self: Pick<PresenceRow, 'vm' | 'holder' | 'domain' | 'region' | 'callers' | 'peers'>
   readonly table: TableStore
@@ -43,20 +42,19 @@
   readonly digest: Pick<TableDigest, 'follow'>
   readonly clock: Clock
   readonly log: EventLog
-  /** Told when a process of another VM was seen for the first time; gets its holder. */
+  /** Called when a process of another VM is seen for the first time. */
   onJoined (holder: string): void
 }
 
-/** Milliseconds between two heartbeats of a VM. */
+/** Interval between two heartbeats of one VM, by the size of the fleet. */
 function beatMs (vms: number): number {
   return Math.max(HEARTBEAT_MS, vms * MS_PER_SECOND / FLEET_BEATS_PER_S)
 }
 
-/** Presence of this VM and of the others. */
 export class VmPresence {
   private readonly view: PresenceView
   private state: PresenceRow['state'] = 'starting'
-  /** Last holder seen of each other VM. */
+  /** Last reported holder of each other VM. */
   private readonly seenHolders = new Map<string, string>()
   private isPressed = false
   private hasLeft = false
@@ -70,7 +68,6 @@
     this.view = new PresenceView(parts.self.vm, vms => beatMs(vms) * (MISSED_BEATS + 1), vms => beatMs(vms) * MISSED_BEATS)
   }
 
-  /** Begins to follow the other VMs. */
   start (): void {
     this.parts.digest.follow<unknown>({
       name: PRESENCE_TABLE,
@@ -94,71 +91,64 @@
     })
   }
 
-  /** Writes a heartbeat when one is due; to be called several times a second. */
+  /** Writes a heartbeat when one is due. Must be called several times a second. */
   tick (): void {
     this.noteStandstill()
     if (this.hasLeft || this.writing || this.mono < this.nextBeatAt) return
     this.write().catch((err: unknown) => { this.parts.log.write('fault', { err: String(err) }) })
   }
 
-  /**
-   * Tells a new state at once.
-   * @param state - the state
-   */
+  /** Publishes a new state immediately. */
   async tell (state: PresenceRow['state']): Promise<void> {
     if (this.state === state) return
     this.state = state
     await this.write()
-    // VMs that begin together would go on to beat together, more at once than the store takes.
+    // VMs that start together would otherwise send their heartbeats together, more than the store can handle at once.
     this.nextBeatAt = this.mono + beatMs(this.size) * hashName(this.parts.self.vm) / HASH_RANGE
   }
 
-  /** Deletes the row of this VM and writes none any more. */
+  /** Deletes the row of this VM and stops writing it. */
   async leave (): Promise<void> {
-    // A row written after its deletion would name a VM that has ended.
+    // A row written after its deletion would advertise a terminated VM.
     this.hasLeft = true
     await this.parts.table.transact({ checks: [], writes: [{ table: PRESENCE_TABLE, key: this.parts.self.vm, value: null }] })
   }
 
-  /** The other VMs that hold budgets. */
+  /** The other VMs that may hold budget allotments. */
   members (): readonly BudgetMember[] {
     return this.view.others(this.mono).map(({ holder, domain }) => ({ holder, domain }))
   }
 
-  /** The other VMs that can be asked directly. */
+  /** The other VMs that can be called over links. */
   peers (): readonly PeerVm[] {
     return this.view.others(this.mono).flatMap(({ holder, peers, state }) => peers === undefined || state === 'leaving' ? [] : [{ holder, address: peers }])
   }
 
-  /** Whether the other VMs that began together with this one are known. */
+  /** Whether VMs that started together with this one had time to publish their rows. */
   get isSettled (): boolean {
     return this.firstReadAt !== undefined && this.mono - this.firstReadAt >= SETTLE_MS
   }
 
-  /** VMs present, this one included. */
+  /** Number of VMs present, this one included. */
   get size (): number {
     return this.view.others(this.mono).length + 1
   }
 
-  /** Names of the VMs present, this one included; empty until those that began together are known. */
+  /** Names of the VMs present, this one included; empty until {@link isSettled}. */
   get names (): readonly string[] {
     return this.isSettled ? [this.parts.self.vm, ...this.view.others(this.mono).map(({ vm }) => vm)] : []
   }
 
   /**
-   * Addresses for a caller, of VMs that serve, this one included. Those that missed their heartbeats are left out before they count as
-   * gone: an address of an ended VM costs a caller a second, while its tokens must not be taken early.
-   * @param place - the caller
+   * Addresses of serving VMs for a caller, this one included. Late VMs are left out before they expire: the address of a terminated VM
+   * costs a caller a second, while its allotments must not be reclaimed early.
    */
   addresses (place: CallerPlace): readonly string[] {
     const all = [this.ownRow, ...this.view.punctual(this.mono)]
     return namedVms(place, all.filter(({ state }) => state === 'serving')).map(({ callers }) => callers)
   }
 
-  /**
-   * Takes whether this VM has more to do than it can; a change is told with the next tick, as heartbeats of a large fleet are seldom.
-   * @param isPressed - whether it has
-   */
+  /** Sets whether this VM is overloaded; a change is published with the next tick, as heartbeats of a large fleet are rare. */
   pressed (isPressed: boolean): void {
     if (isPressed !== this.isPressed) this.nextBeatAt = Math.min(this.nextBeatAt, this.mono)
     this.isPressed = isPressed
@@ -172,7 +162,7 @@
     return this.parts.clock.now().mono
   }
 
-  /** A VM that stood still heard nothing meanwhile: the others are as present as before until the feed works again. */
+  /** A VM that was paused received no updates: it retains the others until the feed delivers rows again. */
   private noteStandstill (): void {
     const { mono } = this
     if (mono - this.tickedAt > STANDSTILL_MS) this.view.feedFailed()
@@ -203,7 +193,7 @@
   }
 }
 
-/** A row without what changes with each heartbeat; what is no row stays as it is. */
+/** A row without the heartbeat counter; a value that is not a row is returned unchanged. */
 function withoutBeat (value: unknown): unknown {
   const parsed = digestedPresenceSchema.safeParse(value)
   return parsed.success ? parsed.data : value
