--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -71,7 +71,7 @@
 
 describe('presence of a VM without heartbeats', () => {
   for (const { vms, silentMs, isPresent } of ages) {
-    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'expired'}`, () => {
+    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
       const feed = new Feed()
       const clock = { mono: 0 }
       const presence = presenceOf(feed, clock)
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -22,7 +22,7 @@
 const MS_PER_SECOND = 1_000
 /**
  * Milliseconds from the first full read until the list of VMs counts as complete: VMs that start together have written their
- * rows by then. Without this delay each of them takes itself for the only one and draws from every budget, and most draws conflict.
+ * rows by then. Without this delay each of them takes itself for the only one and draws from every budget at once, and many draws fail.
  */
 const SETTLE_MS = 1_200
 
