--- a/packages/rosemaryspread/src/digest/digestTeller.ts
+++ b/packages/rosemaryspread/src/digest/digestTeller.ts
@@ -50,9 +50,7 @@
 
   constructor (private readonly parts: DigestTellerParts) {}
 
-  /**
-   * Writes the changes that are due. Must be called several times a second.
-   */
+  /** Writes the changes that are due. Must be called several times a second. */
   async tick (sight: DigestSight): Promise<void> {
     if (this.isWriting || !sight.isInTouch) return
     const news = this.newsOf(sight)
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -48,9 +48,7 @@
 
   constructor (private readonly parts: FleetLinksParts) {}
 
-  /**
-   * Registers a method that other VMs may call. Must be called before {@link open}.
-   */
+  /** Registers a method that other VMs may call. Must be called before {@link open}. */
   serve (method: string, handler: PeerMethod): void {
     this.methods.set(method, handler)
   }
