--- a/packages/rosemaryspread/src/admin/adminService.ts
+++ b/packages/rosemaryspread/src/admin/adminService.ts
@@ -49,7 +49,7 @@
       const role = this.deps.current.current().extractNullable()?.config.operators[operator]?.role
       return Right({ operator, role: role ?? 'viewer' })
     }
-    const isBootstrap = this.deps.keys.empty && this.deps.bootstrapKeys.ownerOf(bearer) !== undefined
+    const isBootstrap = this.deps.keys.isEmpty && this.deps.bootstrapKeys.ownerOf(bearer) !== undefined
     return isBootstrap
       ? Right({ operator: BOOTSTRAP_OPERATOR, role: 'admin' })
       : Left(new Failure('unauthorized', 'no operator has this key'))
--- a/packages/rosemaryspread/src/completion/completionAdmission.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionAdmission.spec.ts
@@ -5,7 +5,7 @@
 import type { CompletionBody } from '@rosemaryspread/callers/completion/completionTypes.js'
 import { failureOf } from '@rosemaryspread/decisions/codes/failure.js'
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
-import { admitCompletion, promptBound, type AdmittedCompletion } from './completionAdmission.js'
+import { admitCompletion, promptTokenBound, type AdmittedCompletion } from './completionAdmission.js'
 
 const config = fleetConfigSchema.parse({
   teams: {
@@ -62,6 +62,6 @@
 
   it('counts at least one token for each byte of the prompt', () => {
     const content = 'xóa hình vẽ'
-    expect(promptBound([{ content }])).to.be.at.least(Buffer.byteLength(content))
+    expect(promptTokenBound([{ content }])).to.be.at.least(Buffer.byteLength(content))
   })
 })
--- a/packages/rosemaryspread/src/completion/completionAdmission.ts
+++ b/packages/rosemaryspread/src/completion/completionAdmission.ts
@@ -32,7 +32,7 @@
 }
 
 /** Upper bound of the tokens of a prompt: a byte-level tokenizer emits at most one token per byte. */
-export function promptBound (messages: ReadonlyArray<{ readonly content: string }>): number {
+export function promptTokenBound (messages: ReadonlyArray<{ readonly content: string }>): number {
   return messages.reduce((sum, message) => sum + Buffer.byteLength(message.content) + TEMPLATE_TOKENS_PER_MESSAGE, 0)
 }
 
@@ -40,7 +40,7 @@
  * Validates a request against the active configuration.
  * @param newId - request id used when the caller sent neither an idempotency key nor a request id
  */
-export function admitCompletion (call: CompletionCall, config: FleetConfig, freshId: string, now: Instant): Either<Failure, AdmittedCompletion> {
+export function admitCompletion (call: CompletionCall, config: FleetConfig, newId: string, now: Instant): Either<Failure, AdmittedCompletion> {
   const { team } = call.caller
   const { model, adapter, messages } = call.body
   const teamConfig = config.teams[team]
@@ -50,12 +50,12 @@
   if (adapter !== undefined && !modelConfig.adapters.includes(adapter)) {
     return Left(new Failure('unknownModel', `model ${model} has no adapter ${adapter}`))
   }
-  const budget = payingBudget(teamConfig.budget, call.budget)
+  const budget = resolveBudget(teamConfig.budget, call.budget)
   if (budget === undefined) return Left(new Failure('forbidden', `team ${team} may not draw on budget ${call.budget}`))
-  const asked = call.body.max_completion_tokens ?? call.body.max_tokens ?? modelConfig.maxTokens
+  const requestedTokens = call.body.max_completion_tokens ?? call.body.max_tokens ?? modelConfig.maxTokens
   const timeoutMs = Math.min(call.timeoutMs ?? config.limits.requestTimeoutMs, config.limits.requestTimeoutMs)
   return Right({
-    requestId: call.idempotencyKey === undefined ? call.requestId ?? freshId : keyedRequestId(team, call.idempotencyKey),
+    requestId: call.idempotencyKey === undefined ? call.requestId ?? newId : keyedRequestId(team, call.idempotencyKey),
     keyed: call.idempotencyKey !== undefined,
     team,
     teamConfig,
@@ -64,16 +64,16 @@
     ...(adapter === undefined ? {} : { adapter }),
     digest: call.digest,
     messages,
-    promptTokens: promptBound(messages),
-    maxTokens: Math.min(asked, modelConfig.maxTokens),
+    promptTokens: promptTokenBound(messages),
+    maxTokens: Math.min(requestedTokens, modelConfig.maxTokens),
     deadline: { mono: now.mono + timeoutMs, wall: now.wall + timeoutMs }
   })
 }
 
 /** A team may draw on its own budget and on sub-budgets `<budget>:<name>`; a budget id cannot contain `:`. */
-function payingBudget (own: string, named: string | undefined): string | undefined {
-  if (named === undefined || named === own) return own
-  return named.startsWith(`${own}:`) ? named : undefined
+function resolveBudget (teamBudget: string, requestedBudget: string | undefined): string | undefined {
+  if (requestedBudget === undefined || requestedBudget === teamBudget) return teamBudget
+  return requestedBudget.startsWith(`${teamBudget}:`) ? requestedBudget : undefined
 }
 
 /** Milliseconds left until a deadline, by the monotonic clock; negative once it has passed. */
--- a/packages/rosemaryspread/src/completion/completionAttempt.ts
+++ b/packages/rosemaryspread/src/completion/completionAttempt.ts
@@ -28,7 +28,7 @@
   readonly deadline: Instant
   readonly relay: AnswerRelay
   /** Whether the attempt ends when the caller disconnects; keyed requests run to completion. */
-  readonly stopWhenGone: boolean
+  readonly cancelOnDisconnect: boolean
   readonly gone: AbortSignal
   readonly onFirstPiece: () => void
   /** Called for each piece after the first, with the milliseconds since the previous one. */
@@ -41,11 +41,11 @@
  */
 export async function runAttempt (context: AttemptContext, open: () => Promise<Either<Failure, EngineStream>>): Promise<AttemptOutcome> {
   const opened = await open()
-  if (opened.isLeft()) return failedToOpen(opened.extract())
+  if (opened.isLeft()) return openFailure(opened.extract())
   return await new StreamReader(context).read(opened.unsafeCoerce())
 }
 
-function failedToOpen (failure: Failure): AttemptOutcome {
+function openFailure (failure: Failure): AttemptOutcome {
   return failure.ran === 'no' ? { kind: 'notStarted', failure } : { kind: 'cut', failure }
 }
 
@@ -62,37 +62,37 @@
   async read (first: EngineStream): Promise<AttemptOutcome> {
     const { holder } = first
     const timer = setTimeout(() => { this.stop(new Failure('deadlineExceeded', 'the deadline passed while the answer was streaming', { ran: 'yes' })) }, Math.max(0, msUntil(this.context.deadline, this.context.clock.now())))
-    const onGone = (): void => { this.stop(new Failure('callerGone', 'the caller closed the connection', { ran: 'yes' })) }
-    if (this.context.stopWhenGone) this.context.gone.addEventListener('abort', onGone)
+    const onDisconnect = (): void => { this.stop(new Failure('callerGone', 'the caller closed the connection', { ran: 'yes' })) }
+    if (this.context.cancelOnDisconnect) this.context.gone.addEventListener('abort', onDisconnect)
     try {
-      const ended = await this.readConnections(first)
-      return ended instanceof Failure ? { kind: 'cut', failure: this.stopped ?? ended } : { kind: 'whole', end: ended, holder }
+      const result = await this.readWithResumes(first)
+      return result instanceof Failure ? { kind: 'cut', failure: this.stopped ?? result } : { kind: 'whole', end: result, holder }
     } finally {
       clearTimeout(timer)
-      this.context.gone.removeEventListener('abort', onGone)
+      this.context.gone.removeEventListener('abort', onDisconnect)
     }
   }
 
-  private async readConnections (first: EngineStream): Promise<AnswerEnd | Failure> {
+  private async readWithResumes (first: EngineStream): Promise<AnswerEnd | Failure> {
     let stream = first
     for (;;) {
-      const ended = await this.readOne(stream)
-      if (!(ended instanceof Failure)) return ended
-      if (this.stopped !== undefined || ended.code === 'answerMixed' || this.resumes >= MAX_RESUMES) return ended
+      const result = await this.readStream(stream)
+      if (!(result instanceof Failure)) return result
+      if (this.stopped !== undefined || result.code === 'answerMixed' || this.resumes >= MAX_RESUMES) return result
       this.resumes += 1
       const resumed = await this.context.client.resume(this.context.address, this.context.requestId, this.next)
-      if (resumed.isLeft()) return ended
+      if (resumed.isLeft()) return result
       stream = resumed.unsafeCoerce()
     }
   }
 
-  private async readOne (stream: EngineStream): Promise<AnswerEnd | Failure> {
+  private async readStream (stream: EngineStream): Promise<AnswerEnd | Failure> {
     this.current = stream
-    if (this.context.gone.aborted && this.context.stopWhenGone) this.stop(new Failure('callerGone', 'the caller closed the connection', { ran: 'yes' }))
+    if (this.context.gone.aborted && this.context.cancelOnDisconnect) this.stop(new Failure('callerGone', 'the caller closed the connection', { ran: 'yes' }))
     try {
       for await (const event of stream.events) {
-        const ended = this.take(event)
-        if (ended !== undefined) return ended
+        const result = this.handleEvent(event)
+        if (result !== undefined) return result
       }
       return new Failure('answerCut', 'the stream ended before the answer was complete', { ran: 'yes' })
     } catch (err) {
@@ -102,17 +102,17 @@
     }
   }
 
-  private take (event: EngineEvent): AnswerEnd | Failure | undefined {
+  private handleEvent (event: EngineEvent): AnswerEnd | Failure | undefined {
     if (this.stopped !== undefined) return this.stopped
     const requestId = event.kind === 'piece' ? event.piece.requestId : event.requestId
-    if (requestId !== this.context.requestId) return mixed(`received a piece of request ${requestId}`)
+    if (requestId !== this.context.requestId) return mixedFailure(`received a piece of request ${requestId}`)
     if (event.kind === 'end') return event.end
-    if (event.piece.sequence > this.next) return mixed(`received piece ${event.piece.sequence}, expected ${this.next}`)
-    if (event.piece.sequence === this.next) this.pass(event.piece.text)
+    if (event.piece.sequence > this.next) return mixedFailure(`received piece ${event.piece.sequence}, expected ${this.next}`)
+    if (event.piece.sequence === this.next) this.relayPiece(event.piece.text)
     return undefined
   }
 
-  private pass (text: string): void {
+  private relayPiece (text: string): void {
     const at = this.context.clock.now().mono
     if (this.lastPieceAt === undefined) this.context.onFirstPiece()
     else this.context.onPieceGap(at - this.lastPieceAt)
@@ -127,6 +127,6 @@
   }
 }
 
-function mixed (detail: string): Failure {
+function mixedFailure (detail: string): Failure {
   return new Failure('answerMixed', detail, { ran: 'yes' })
 }
--- a/packages/rosemaryspread/src/completion/completionBill.ts
+++ b/packages/rosemaryspread/src/completion/completionBill.ts
@@ -21,7 +21,7 @@
 }
 
 /** Bill of 0 tokens for a run that failed through no fault of the team; it keeps recovery from billing the run later. */
-export function freeBill (admitted: AdmittedCompletion, runner: string): Bill {
+export function zeroBill (admitted: AdmittedCompletion, runner: string): Bill {
   return billOf(admitted, runner, { promptTokens: 0, completionTokens: 0 })
 }
 
--- a/packages/rosemaryspread/src/completion/completionBilled.ts
+++ b/packages/rosemaryspread/src/completion/completionBilled.ts
@@ -14,7 +14,7 @@
    * Adds a request that is being billed.
    * @returns false when it was already billed
    */
-  isFirst (requestId: string): boolean {
+  addIfNew (requestId: string): boolean {
     if (this.ids.has(requestId)) return false
     this.ids.add(requestId)
     if (this.ids.size > MAX_IDS) this.dropOldest()
--- a/packages/rosemaryspread/src/completion/completionDrain.ts
+++ b/packages/rosemaryspread/src/completion/completionDrain.ts
@@ -11,10 +11,10 @@
 
   open (): () => void {
     this.count += 1
-    let ended = false
+    let isClosed = false
     return () => {
-      if (ended) return
-      ended = true
+      if (isClosed) return
+      isClosed = true
       this.count -= 1
       if (this.count === 0) this.waiters.splice(0).forEach(wake => wake())
     }
@@ -25,7 +25,7 @@
   }
 
   /** Resolves to true once no work is open, or to false after the timeout. */
-  async idle (timeoutMs: number): Promise<boolean> {
+  async waitUntilIdle (timeoutMs: number): Promise<boolean> {
     if (this.count === 0) return true
     return await new Promise(resolve => {
       const timer = setTimeout(() => { resolve(false) }, timeoutMs)
--- a/packages/rosemaryspread/src/completion/completionFakes.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionFakes.spec.ts
@@ -46,14 +46,14 @@
   state: RunRecord['state']
 }
 
-export const PIECES = 4
+export const ANSWER_PIECES = 4
 
 /** The complete answer to a request. */
-export function wholeText (requestId: string): string {
-  return Array.from({ length: PIECES }, (_, index) => textOf(requestId, index)).join('')
+export function fullText (requestId: string): string {
+  return Array.from({ length: ANSWER_PIECES }, (_, index) => pieceText(requestId, index)).join('')
 }
 
-function textOf (requestId: string, index: number): string {
+function pieceText (requestId: string, index: number): string {
   return `${requestId.slice(0, 6)}/${index} `
 }
 
@@ -73,7 +73,7 @@
   }
 
   /** Started runs, without seals, as `address:state`. */
-  began (): string[] {
+  startedRuns (): string[] {
     return [...this.runs].flatMap(([address, runs]) =>
       [...runs.values()].filter(({ state }) => state !== 'sealed').map(({ state }) => `${address}:${state}`))
   }
@@ -84,9 +84,9 @@
   constructor (protected readonly engines: FakeEngines, private readonly vm: string) {}
 
   async submit (address: string, req: EngineRequest, onLeaving: () => void = () => {}): Promise<Either<Failure, EngineStream>> {
-    return await this.reach(address, async () => {
+    return await this.whenReachable(address, async () => {
       const runs = this.engines.at(address)
-      const known = runs.get(req.requestId)
+      const existing = runs.get(req.requestId)
       if (this.engines.script(address).isLeaving === true) {
         onLeaving()
         return Left(new Failure('runnerRefused', 'leaving', { ran: 'no' }))
@@ -95,9 +95,9 @@
         this.engines.scripts.set(address, { unreachableFrom: [this.vm] })
         return Left(new Failure('runnerUnreachable', 'reset', { ran: 'unknown' }))
       }
-      if (known?.state === 'sealed') return Left(new Failure('runnerRefused', 'sealed'))
-      if (known !== undefined && known.req.digest !== req.digest) return Left(new Failure('keyReused', 'another body'))
-      const run = known ?? { req, state: 'running' as const }
+      if (existing?.state === 'sealed') return Left(new Failure('runnerRefused', 'sealed'))
+      if (existing !== undefined && existing.req.digest !== req.digest) return Left(new Failure('keyReused', 'another body'))
+      const run = existing ?? { req, state: 'running' as const }
       runs.set(req.requestId, run)
       const script = this.engines.script(address)
       if (script.loseSubmit === true) {
@@ -109,7 +109,7 @@
   }
 
   async resume (address: string, requestId: string, sequence: number): Promise<Either<Failure, EngineStream>> {
-    return await this.reach(address, async () => {
+    return await this.whenReachable(address, async () => {
       const run = this.engines.at(address).get(requestId)
       if (run === undefined || run.state === 'sealed') return Left(new Failure('runnerRefused', 'unknown run'))
       return Right(this.stream(address, run, Math.max(0, sequence - (this.engines.script(address).overlap ?? 0))))
@@ -117,7 +117,7 @@
   }
 
   async find (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>> {
-    return await this.reach(address, async () => Right(this.record(address, requestId)))
+    return await this.whenReachable(address, async () => Right(this.record(address, requestId)))
   }
 
   async listByHolder (): Promise<Either<Failure, readonly RunRecord[]>> {
@@ -125,7 +125,7 @@
   }
 
   async cancel (address: string, requestId: string): Promise<Either<Failure, RunRecord>> {
-    return await this.reach(address, async () => {
+    return await this.whenReachable(address, async () => {
       const run = this.engines.at(address).get(requestId)
       if (run?.state === 'running') run.state = 'cancelled'
       return this.record(address, requestId).toEither(new Failure('notFound', 'unknown run'))
@@ -133,9 +133,9 @@
   }
 
   async seal (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>> {
-    return await this.reach(address, async () => {
-      const known = this.record(address, requestId)
-      if (known.isJust()) return Right(known.filter(({ state }) => state !== 'sealed'))
+    return await this.whenReachable(address, async () => {
+      const existing = this.record(address, requestId)
+      if (existing.isJust()) return Right(existing.filter(({ state }) => state !== 'sealed'))
       const req = { requestId, digest: '', holder: '', team: '', budget: '', model: '', messages: [], maxTokens: 0, priority: 0 }
       this.engines.at(address).set(requestId, { req, state: 'sealed' })
       return Right(Nothing)
@@ -158,10 +158,10 @@
     const run = this.engines.at(address).get(requestId)
     if (run === undefined) return Nothing
     const { digest, holder, team, budget, model } = run.req
-    return Just({ requestId, digest, holder, team, budget, model, state: run.state, promptTokens: 5, completionTokens: PIECES })
+    return Just({ requestId, digest, holder, team, budget, model, state: run.state, promptTokens: 5, completionTokens: ANSWER_PIECES })
   }
 
-  private async reach<T> (address: string, work: () => Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+  private async whenReachable<T> (address: string, work: () => Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
     const { unreachableFrom: from } = this.engines.script(address)
     if (from === 'all' || from?.includes(this.vm) === true) return Left(new Failure('runnerUnreachable', 'no connection'))
     return await work()
@@ -174,17 +174,17 @@
 
   private async * events (script: EngineScript, run: FakeRun, from: number): AsyncIterable<EngineEvent> {
     const { requestId } = run.req
-    const cut = script.cuts?.shift()
-    for (let sequence = from; sequence < PIECES; sequence += 1) {
-      if (cut !== undefined && sequence - from >= cut) throw new Failure('answerCut', 'broken', { ran: 'yes' })
+    const cutAfter = script.cuts?.shift()
+    for (let sequence = from; sequence < ANSWER_PIECES; sequence += 1) {
+      if (cutAfter !== undefined && sequence - from >= cutAfter) throw new Failure('answerCut', 'broken', { ran: 'yes' })
       if (sequence === 1) await script.hold
       if (script.gapAt === sequence) continue
-      const mixed = script.mixAt === sequence
-      if (mixed) delete script.mixAt
-      yield { kind: 'piece', piece: { requestId: mixed ? 'of-another' : requestId, sequence, text: mixed ? 'foreign ' : textOf(requestId, sequence) } }
+      const isMixed = script.mixAt === sequence
+      if (isMixed) delete script.mixAt
+      yield { kind: 'piece', piece: { requestId: isMixed ? 'of-another' : requestId, sequence, text: isMixed ? 'foreign ' : pieceText(requestId, sequence) } }
     }
     run.state = 'finished'
-    yield { kind: 'end', requestId, end: { finishReason: 'stop', usage: { promptTokens: 5, completionTokens: script.report ?? PIECES } } }
+    yield { kind: 'end', requestId, end: { finishReason: 'stop', usage: { promptTokens: 5, completionTokens: script.report ?? ANSWER_PIECES } } }
   }
 }
 
@@ -193,7 +193,7 @@
   readonly bills: Bill[] = []
   open = 0
   refuse: Failure | undefined
-  lapsed: Failure | undefined
+  confirmFailure: Failure | undefined
 
   async reserve (budget: string, tokens: number): Promise<Either<Failure, Reservation>> {
     if (this.refuse !== undefined) return Left(this.refuse)
@@ -202,7 +202,7 @@
   }
 
   confirm (): Either<Failure, void> {
-    return this.lapsed === undefined ? Right(undefined) : Left(this.lapsed)
+    return this.confirmFailure === undefined ? Right(undefined) : Left(this.confirmFailure)
   }
 
   settle (_: Reservation, bill?: Bill): void {
@@ -215,7 +215,7 @@
 export class FakeRouting implements RoutingPort {
   believedDown: string[] = []
   /** Runners reported as leaving. */
-  readonly saidLeaving: string[] = []
+  readonly reportedLeaving: string[] = []
   /** Dispatched runs that have not ended. */
   open = 0
 
@@ -226,7 +226,7 @@
     const choice = usable.find(({ runner }) => !this.believedDown.includes(runner))
     if (choice === undefined) return Left({ failure: new Failure('noRunner', 'none', { retryAfterMs: 100 }), lookIn: admitted.keyed ? this.runners : [] })
     this.open += 1
-    const run = { opened: () => {}, leaving: () => { this.saidLeaving.push(choice.runner) }, firstToken: () => {}, ended: () => { this.open -= 1 } }
+    const run = { opened: () => {}, leaving: () => { this.reportedLeaving.push(choice.runner) }, firstToken: () => {}, ended: () => { this.open -= 1 } }
     return Right({ run, choice, before: admitted.keyed ? usable.slice(0, usable.indexOf(choice)) : [] })
   }
 
@@ -242,7 +242,7 @@
 }
 
 /** The answer as its caller received it. */
-export interface Seen {
+export interface ReceivedAnswer {
   text: string
   end: 'whole' | Failure | 'none'
   ends: number
@@ -284,29 +284,29 @@
   }
 
   /** Sends one completion and waits until its work is closed. */
-  async ask (over: { key?: string, text?: string, gone?: AbortSignal, timeoutMs?: number, requestId?: string, onPiece?: () => void } = {}): Promise<Seen> {
-    const content = over.text ?? 'hola'
+  async ask (options: { key?: string, text?: string, gone?: AbortSignal, timeoutMs?: number, requestId?: string, onPiece?: () => void } = {}): Promise<ReceivedAnswer> {
+    const content = options.text ?? 'hola'
     const call: CompletionCall = {
       caller: { team: 'desk' },
       body: { model: 'm', messages: [{ role: 'user', content }], stream: true },
       digest: content,
-      gone: over.gone ?? new AbortController().signal,
-      ...(over.key === undefined ? {} : { idempotencyKey: over.key }),
-      ...(over.requestId === undefined ? {} : { requestId: over.requestId }),
-      ...(over.timeoutMs === undefined ? {} : { timeoutMs: over.timeoutMs })
+      gone: options.gone ?? new AbortController().signal,
+      ...(options.key === undefined ? {} : { idempotencyKey: options.key }),
+      ...(options.requestId === undefined ? {} : { requestId: options.requestId }),
+      ...(options.timeoutMs === undefined ? {} : { timeoutMs: options.timeoutMs })
     }
-    const seen: Seen = { text: '', end: 'none', ends: 0 }
+    const seen: ReceivedAnswer = { text: '', end: 'none', ends: 0 }
     const sink: AnswerSink = {
       begin: () => {},
       piece: text => {
         seen.text += text
-        over.onPiece?.()
+        options.onPiece?.()
       },
       finish: (_, usage) => Object.assign(seen, { end: 'whole', ends: seen.ends + 1, usage }),
       fail: failure => Object.assign(seen, { end: failure, ends: seen.ends + 1 })
     }
     await this.service.complete(call, sink)
-    await this.work.idle(1_000)
+    await this.work.waitUntilIdle(1_000)
     return seen
   }
 }
--- a/packages/rosemaryspread/src/completion/completionFinder.ts
+++ b/packages/rosemaryspread/src/completion/completionFinder.ts
@@ -7,18 +7,18 @@
 import type { RunnerAddress } from './completionUnsettled.js'
 
 /** A run that an engine has on record. */
-export interface KnownRun {
+export interface ExistingRun {
   readonly runner: RunnerAddress
   readonly record: RunRecord
 }
 
 /** Result of {@link sealAndFindRun}. */
-export interface FoundRun {
-  readonly at?: KnownRun
+export interface RunSearch {
+  readonly at?: ExistingRun
   /** Skipped runners that could not be sealed. */
   readonly unsealed: readonly RunnerAddress[]
   /** The chosen runner was sealed by an earlier attempt: the run, if any, is at a later runner of the order. */
-  readonly choiceSealed: boolean
+  readonly isChoiceSealed: boolean
 }
 
 /**
@@ -26,28 +26,28 @@
  * @param skipped - runners ahead of `choice` in the order of the request
  * @param choice - runner chosen for a new run
  */
-export async function findRun (client: EngineClient, requestId: string, before: readonly RunnerAddress[], choice: RunnerAddress): Promise<FoundRun> {
+export async function sealAndFindRun (client: EngineClient, requestId: string, skipped: readonly RunnerAddress[], choice: RunnerAddress): Promise<RunSearch> {
   const unsealed: RunnerAddress[] = []
-  for (const runner of before) {
+  for (const runner of skipped) {
     const sealed = await client.seal(runner.address, requestId)
     if (sealed.isLeft()) {
       unsealed.push(runner)
       continue
     }
-    const record = knownRun(sealed.unsafeCoerce())
-    if (record !== undefined) return { at: { runner, record }, unsealed, choiceSealed: false }
+    const record = startedRun(sealed.unsafeCoerce())
+    if (record !== undefined) return { at: { runner, record }, unsealed, isChoiceSealed: false }
   }
   const found = await client.find(choice.address, requestId)
-  if (found.isLeft()) return { unsealed, choiceSealed: false }
+  if (found.isLeft()) return { unsealed, isChoiceSealed: false }
   const record = found.unsafeCoerce().extractNullable()
-  if (record === null) return { unsealed, choiceSealed: false }
-  if (record.state === 'sealed') return { unsealed, choiceSealed: true }
-  return { at: { runner: choice, record }, unsealed, choiceSealed: false }
+  if (record === null) return { unsealed, isChoiceSealed: false }
+  if (record.state === 'sealed') return { unsealed, isChoiceSealed: true }
+  return { at: { runner: choice, record }, unsealed, isChoiceSealed: false }
 }
 
 /** Result of {@link lookUpRun}. */
-export interface LookedUpRun {
-  readonly at?: KnownRun
+export interface RunLookup {
+  readonly at?: ExistingRun
   /** Whether it is certain that no earlier attempt ran. */
   readonly notRun: boolean
 }
@@ -57,7 +57,7 @@
  * was sealed, so the first runner without a record proves that nothing ran.
  * @param order - runners in the order of the request
  */
-export async function lookForRun (client: EngineClient, requestId: string, order: readonly RunnerAddress[]): Promise<LookedUpRun> {
+export async function lookUpRun (client: EngineClient, requestId: string, order: readonly RunnerAddress[]): Promise<RunLookup> {
   let isCertain = true
   for (const runner of order) {
     const found = await client.find(runner.address, requestId)
@@ -72,7 +72,7 @@
   return { notRun: isCertain }
 }
 
-function knownRun (record: Maybe<RunRecord>): RunRecord | undefined {
-  const known = record.extractNullable()
-  return known === null || known.state === 'sealed' ? undefined : known
+function startedRun (record: Maybe<RunRecord>): RunRecord | undefined {
+  const run = record.extractNullable()
+  return run === null || run.state === 'sealed' ? undefined : run
 }
--- a/packages/rosemaryspread/src/completion/completionLocalRuns.ts
+++ b/packages/rosemaryspread/src/completion/completionLocalRuns.ts
@@ -5,7 +5,7 @@
 import type { RunnerAddress } from './completionUnsettled.js'
 
 /** Permission of one request to proceed with its id. */
-export interface LocalTurn {
+export interface RunTurn {
   /** Runner of the run to join; absent when this request has to start it. */
   readonly runningAt?: RunnerAddress
   started (runner: RunnerAddress): void
@@ -15,7 +15,7 @@
 /** A run that is being started or is in progress. */
 interface LocalRun {
   readonly digest: string
-  readonly decided: Promise<RunnerAddress | undefined>
+  readonly startedRunner: Promise<RunnerAddress | undefined>
 }
 
 /** Serializes keyed requests by request id. */
@@ -27,25 +27,25 @@
    * @param digest - digest of the request body
    * @returns the turn, or `otherBody` when the run in progress has a different body
    */
-  async enter (requestId: string, digest: string): Promise<LocalTurn | 'otherBody'> {
+  async waitForTurn (requestId: string, digest: string): Promise<RunTurn | 'otherBody'> {
     for (;;) {
       const running = this.runs.get(requestId)
       if (running === undefined) return this.open(requestId, digest)
       if (running.digest !== digest) return 'otherBody'
-      const runningAt = await running.decided
+      const runningAt = await running.startedRunner
       if (runningAt !== undefined) return { runningAt, started: () => {}, leave: () => {} }
     }
   }
 
-  private open (requestId: string, digest: string): LocalTurn {
-    let decide: (runner: RunnerAddress | undefined) => void = () => {}
-    const run: LocalRun = { digest, decided: new Promise(resolve => { decide = resolve }) }
+  private open (requestId: string, digest: string): RunTurn {
+    let resolveRunner: (runner: RunnerAddress | undefined) => void = () => {}
+    const run: LocalRun = { digest, startedRunner: new Promise(resolve => { resolveRunner = resolve }) }
     this.runs.set(requestId, run)
     return {
-      started: runner => { decide(runner) },
+      started: runner => { resolveRunner(runner) },
       leave: () => {
         this.runs.delete(requestId)
-        decide(undefined)
+        resolveRunner(undefined)
       }
     }
   }
--- a/packages/rosemaryspread/src/completion/completionPlanner.ts
+++ b/packages/rosemaryspread/src/completion/completionPlanner.ts
@@ -10,7 +10,7 @@
 import type { Metrics } from '../metrics/metricsTypes.js'
 import type { DispatchedRun, RoutedRunner, RouteRefusal, RoutingPort } from '../routing/routingPort.js'
 import { msUntil, type AdmittedCompletion } from './completionAdmission.js'
-import { findRun, lookForRun, type KnownRun } from './completionFinder.js'
+import { sealAndFindRun, lookUpRun, type ExistingRun } from './completionFinder.js'
 import type { RunnerAddress } from './completionUnsettled.js'
 
 export interface PlannerDeps {
@@ -54,7 +54,7 @@
   async plan (admitted: AdmittedCompletion, tried: TriedRunners, gone: AbortSignal): Promise<Either<Failure, PlannedRun>> {
     for (;;) {
       const routed = await this.deps.routing.route(admitted, tried.exclude, gone)
-      if (routed.isLeft()) return await this.refusedOrJoined(admitted, routed.extract())
+      if (routed.isLeft()) return await this.joinOrRefuse(admitted, routed.extract())
       const planned = await this.planAt(admitted, routed.unsafeCoerce(), tried)
       if (planned !== 'sealed') return planned
     }
@@ -64,31 +64,31 @@
   private async planAt (admitted: AdmittedCompletion, routed: RoutedRunner, tried: TriedRunners): Promise<Either<Failure, PlannedRun> | 'sealed'> {
     const { choice, before, run } = routed
     if (!admitted.keyed) return await this.reserveAt(admitted, routed, [])
-    const found = await findRun(this.deps.engines, admitted.requestId, before, choice)
-    if (found.at === undefined && !found.choiceSealed) {
+    const found = await sealAndFindRun(this.deps.engines, admitted.requestId, before, choice)
+    if (found.at === undefined && !found.isChoiceSealed) {
       return await this.reserveAt(admitted, routed, [...tried.unsealed, ...found.unsealed])
     }
     run.ended(true, 0)
-    if (found.at !== undefined) return joinOf(admitted, found.at)
+    if (found.at !== undefined) return planJoin(admitted, found.at)
     tried.exclude.push(choice.runner)
     return 'sealed'
   }
 
   /** A keyed request that routing refuses may still be answered by the run of an earlier attempt. */
-  private async refusedOrJoined (admitted: AdmittedCompletion, { failure, lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
+  private async joinOrRefuse (admitted: AdmittedCompletion, { failure, lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
     if (lookIn.length === 0) return Left(failure)
-    const found = await lookForRun(this.deps.engines, admitted.requestId, lookIn)
-    if (found.at !== undefined) return joinOf(admitted, found.at)
+    const found = await lookUpRun(this.deps.engines, admitted.requestId, lookIn)
+    if (found.at !== undefined) return planJoin(admitted, found.at)
     const { code, message, retryAfterMs } = failure
     const ran = found.notRun ? 'no' : 'unknown'
     return Left(new Failure(code, message, { ran, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) }))
   }
 
   private async reserveAt (admitted: AdmittedCompletion, { choice, run }: RoutedRunner, unsealed: readonly RunnerAddress[]): Promise<Either<Failure, PlannedRun>> {
-    const before = this.deps.clock.now()
-    const waitMs = Math.min(this.deps.reserveTimeoutMs, Math.max(0, msUntil(admitted.deadline, before)))
+    const waitStart = this.deps.clock.now()
+    const waitMs = Math.min(this.deps.reserveTimeoutMs, Math.max(0, msUntil(admitted.deadline, waitStart)))
     const reserved = await this.deps.budgets.reserve(admitted.budget, admitted.promptTokens + admitted.maxTokens, waitMs)
-    this.deps.metrics.record('reserve_wait_ms', this.deps.clock.now().mono - before.mono)
+    this.deps.metrics.record('reserve_wait_ms', this.deps.clock.now().mono - waitStart.mono)
     return reserved
       .ifLeft(() => { run.ended(true, 0) })
       .map(reservation => ({ at: choice, unsealed, paid: { reservation, run } }))
@@ -96,10 +96,10 @@
 }
 
 /** Failure for an idempotency key that is reused with a different body. */
-export function keyReused (): Failure {
+export function keyReusedFailure (): Failure {
   return new Failure('keyReused', 'the Idempotency-Key was used with another body')
 }
 
-function joinOf (admitted: AdmittedCompletion, { runner, record }: KnownRun): Either<Failure, PlannedRun> {
-  return record.digest === admitted.digest ? Right({ at: runner, unsealed: [] }) : Left(keyReused())
+function planJoin (admitted: AdmittedCompletion, { runner, record }: ExistingRun): Either<Failure, PlannedRun> {
+  return record.digest === admitted.digest ? Right({ at: runner, unsealed: [] }) : Left(keyReusedFailure())
 }
--- a/packages/rosemaryspread/src/completion/completionRelay.ts
+++ b/packages/rosemaryspread/src/completion/completionRelay.ts
@@ -9,7 +9,7 @@
 export class AnswerRelay {
   /** Pieces received so far, including those that arrived after the caller disconnected. */
   pieces = 0
-  private begun = false
+  private hasBegun = false
   private ended = false
 
   constructor (
@@ -50,8 +50,8 @@
 
   /** Deferred until the first piece, so that a failure before it can still set the HTTP status. */
   private begin (): void {
-    if (this.begun) return
-    this.begun = true
+    if (this.hasBegun) return
+    this.hasBegun = true
     this.sink.begin(this.requestId, this.model)
   }
 
--- a/packages/rosemaryspread/src/completion/completionRun.ts
+++ b/packages/rosemaryspread/src/completion/completionRun.ts
@@ -30,11 +30,11 @@
    * Starts a run that the request pays for, and relays its answer.
    * @param onStarted - called once the runner has accepted the run
    */
-  async start (open: OpenCompletion, plan: PlannedRun, paid: PaidRun, onStarted: (runner: RunnerAddress) => void): Promise<AttemptOutcome> {
-    const { admitted } = open
+  async start (completion: OpenCompletion, plan: PlannedRun, paid: PaidRun, onStarted: (runner: RunnerAddress) => void): Promise<AttemptOutcome> {
+    const { admitted } = completion
     const { reservation, run } = paid
     this.deps.log.write('requestAccepted', { request: admitted.requestId, team: admitted.team, model: admitted.model, reserved: reservation.tokens })
-    const outcome = await runAttempt(this.context(open, plan.at, run.firstToken), async () => {
+    const outcome = await runAttempt(this.context(completion, plan.at, run.firstToken), async () => {
       const submitted = await this.submit(admitted, plan.at, paid)
       submitted.ifRight(({ load }) => {
         run.opened(load)
@@ -42,22 +42,22 @@
       })
       return submitted
     })
-    run.ended(!isRunnersFault(outcome), generatedTokens(outcome, open.relay))
-    if (outcome.kind === 'whole') this.answered(open, plan.at.runner, outcome)
+    run.ended(!isRunnerAtFault(outcome), generatedTokens(outcome, completion.relay))
+    if (outcome.kind === 'whole') this.answered(completion, plan.at.runner, outcome)
     return outcome
   }
 
   /** Relays the answer of a run that another request started and pays for. */
-  async join (open: OpenCompletion, plan: PlannedRun): Promise<Either<Failure, void>> {
-    const { admitted } = open
+  async join (completion: OpenCompletion, plan: PlannedRun): Promise<Either<Failure, void>> {
+    const { admitted } = completion
     this.deps.log.write('requestJoined', { request: admitted.requestId, runner: plan.at.runner })
-    const outcome = await runAttempt(this.context(open, plan.at, () => {}), async () =>
+    const outcome = await runAttempt(this.context(completion, plan.at, () => {}), async () =>
       await this.deps.engines.resume(plan.at.address, admitted.requestId, 0))
     if (outcome.kind !== 'whole') {
       this.report.attemptFailed(admitted.requestId, plan.at.runner, outcome.failure, false)
       return Left(outcome.failure)
     }
-    this.answered(open, plan.at.runner, outcome)
+    this.answered(completion, plan.at.runner, outcome)
     return Right(undefined)
   }
 
@@ -78,8 +78,8 @@
     }, () => { run.leaving() })
   }
 
-  private context (open: OpenCompletion, at: RunnerAddress, onFirstToken: (afterMs: number) => void): AttemptContext {
-    const { admitted, relay, call } = open
+  private context (completion: OpenCompletion, at: RunnerAddress, onFirstToken: (afterMs: number) => void): AttemptContext {
+    const { admitted, relay, call } = completion
     return {
       client: this.deps.engines,
       clock: this.deps.clock,
@@ -87,10 +87,10 @@
       requestId: admitted.requestId,
       deadline: admitted.deadline,
       relay,
-      stopWhenGone: !admitted.keyed,
+      cancelOnDisconnect: !admitted.keyed,
       gone: call.gone,
       onFirstPiece: () => {
-        const afterMs = this.deps.clock.now().mono - open.startedAt
+        const afterMs = this.deps.clock.now().mono - completion.startedAt
         onFirstToken(afterMs)
         this.deps.metrics.record('first_token_ms', afterMs)
       },
@@ -98,10 +98,10 @@
     }
   }
 
-  private answered (open: OpenCompletion, runner: string, { end }: AttemptOutcome & { readonly kind: 'whole' }): void {
-    const totalMs = Math.round(this.deps.clock.now().mono - open.startedAt)
-    open.relay.finish(end)
-    this.report.answered(open.admitted.requestId, runner, end, totalMs)
+  private answered (completion: OpenCompletion, runner: string, { end }: AttemptOutcome & { readonly kind: 'whole' }): void {
+    const totalMs = Math.round(this.deps.clock.now().mono - completion.startedAt)
+    completion.relay.finish(end)
+    this.report.answered(completion.admitted.requestId, runner, end, totalMs)
   }
 }
 
@@ -111,7 +111,7 @@
 }
 
 /** Whether the runner is at fault: not when the caller disconnected or this VM may no longer spend. */
-function isRunnersFault (outcome: AttemptOutcome): boolean {
+function isRunnerAtFault (outcome: AttemptOutcome): boolean {
   if (outcome.kind === 'whole') return false
   return outcome.failure.code !== 'callerGone' && outcome.failure.code !== 'allotmentClosed'
 }
--- a/packages/rosemaryspread/src/completion/completionService.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionService.spec.ts
@@ -8,11 +8,11 @@
 import type { ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 import { keyedRequestId } from '@rosemaryspread/decisions/request/requestIdentity.js'
 import type { EngineRequest, EngineStream, RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { FakeBudgets, FakeEngineClient, FakeEngines, FakeVm, PIECES, wholeText, type EngineScript, type Seen } from './completionFakes.spec.js'
+import { FakeBudgets, FakeEngineClient, FakeEngines, FakeVm, ANSWER_PIECES, fullText, type EngineScript, type ReceivedAnswer } from './completionFakes.spec.js'
 
-const COST = 5 + PIECES
+const ANSWER_COST_TOKENS = 5 + ANSWER_PIECES
 
-function fleetOf (Client: typeof FakeEngineClient = FakeEngineClient): { engines: FakeEngines, budgets: FakeBudgets, a: FakeVm, b: FakeVm } {
+function createFleet (Client: typeof FakeEngineClient = FakeEngineClient): { engines: FakeEngines, budgets: FakeBudgets, a: FakeVm, b: FakeVm } {
   const engines = new FakeEngines()
   const budgets = new FakeBudgets()
   const a = new FakeVm('a', new Client(engines, 'a'), budgets)
@@ -21,53 +21,53 @@
 }
 
 /** Each piece contains the id of its request, so a piece of another request is detected. */
-function expectWhole (seen: Seen): void {
+function expectComplete (seen: ReceivedAnswer): void {
   expect(seen.end).to.equal('whole')
   expect(seen.ends).to.equal(1)
-  expect(seen.text).to.equal(wholeText(seen.text.split('/')[0] ?? ''))
+  expect(seen.text).to.equal(fullText(seen.text.split('/')[0] ?? ''))
 }
 
-function expectRefused (seen: Seen, code: ResultName, ran: string): void {
+function expectRefused (seen: ReceivedAnswer, code: ResultName, ran: string): void {
   expect(seen.end).to.be.instanceOf(Failure)
   expect((seen.end as Failure).code).to.equal(code)
   expect((seen.end as Failure).ran).to.equal(ran)
   expect(seen.ends).to.equal(1)
 }
 
-interface OneAsk {
+interface SingleRequestCase {
   readonly name: string
   readonly scripts: Record<string, EngineScript>
   readonly refused?: readonly [code: ResultName, ran: string]
   readonly bills: readonly number[]
-  readonly began: readonly string[]
+  readonly startedRuns: readonly string[]
 }
 
-const oneAsk: readonly OneAsk[] = [
-  { name: 'no fault', scripts: {}, bills: [COST], began: ['r1:finished'] },
-  { name: 'an unreachable runner', scripts: { r1: { unreachableFrom: 'all' } }, bills: [COST], began: ['r2:finished'] },
-  { name: 'all runners unreachable', scripts: { r1: { unreachableFrom: 'all' }, r2: { unreachableFrom: 'all' }, r3: { unreachableFrom: 'all' } }, refused: ['runnerUnreachable', 'no'], bills: [], began: [] },
-  { name: 'a stream broken once', scripts: { r1: { cuts: [2] } }, bills: [COST], began: ['r1:finished'] },
-  { name: 'a resumed stream that overlaps', scripts: { r1: { cuts: [2], overlap: 1 } }, bills: [COST], began: ['r1:finished'] },
-  { name: 'a stream that cannot be resumed after some pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, refused: ['answerCut', 'yes'], bills: [0], began: ['r1:cancelled'] },
-  { name: 'a stream that cannot be resumed before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'a lost response to the submit', scripts: { r1: { loseSubmit: true } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'a first piece that belongs to another request', scripts: { r1: { mixAt: 0 } }, bills: [COST], began: ['r1:cancelled', 'r2:finished'] },
-  { name: 'a later piece that belongs to another request', scripts: { r1: { mixAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], began: ['r1:cancelled'] },
-  { name: 'a missing piece', scripts: { r1: { gapAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], began: ['r1:cancelled'] },
-  { name: 'reported usage above the cap', scripts: { r1: { report: 1_000_000 } }, bills: [5 + 8], began: ['r1:finished'] }
+const singleRequestCases: readonly SingleRequestCase[] = [
+  { name: 'no fault', scripts: {}, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:finished'] },
+  { name: 'an unreachable runner', scripts: { r1: { unreachableFrom: 'all' } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r2:finished'] },
+  { name: 'all runners unreachable', scripts: { r1: { unreachableFrom: 'all' }, r2: { unreachableFrom: 'all' }, r3: { unreachableFrom: 'all' } }, refused: ['runnerUnreachable', 'no'], bills: [], startedRuns: [] },
+  { name: 'a stream broken once', scripts: { r1: { cuts: [2] } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:finished'] },
+  { name: 'a resumed stream that overlaps', scripts: { r1: { cuts: [2], overlap: 1 } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:finished'] },
+  { name: 'a stream that cannot be resumed after some pieces', scripts: { r1: { cuts: [2, 0, 0, 0] } }, refused: ['answerCut', 'yes'], bills: [0], startedRuns: ['r1:cancelled'] },
+  { name: 'a stream that cannot be resumed before any piece', scripts: { r1: { cuts: [0, 0, 0, 0] } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a lost response to the submit', scripts: { r1: { loseSubmit: true } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a first piece that belongs to another request', scripts: { r1: { mixAt: 0 } }, bills: [ANSWER_COST_TOKENS], startedRuns: ['r1:cancelled', 'r2:finished'] },
+  { name: 'a later piece that belongs to another request', scripts: { r1: { mixAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], startedRuns: ['r1:cancelled'] },
+  { name: 'a missing piece', scripts: { r1: { gapAt: 2 } }, refused: ['answerMixed', 'yes'], bills: [0], startedRuns: ['r1:cancelled'] },
+  { name: 'reported usage above the cap', scripts: { r1: { report: 1_000_000 } }, bills: [5 + 8], startedRuns: ['r1:finished'] }
 ]
 
 describe('one completion', () => {
-  for (const { name, scripts, refused, bills, began } of oneAsk) {
+  for (const { name, scripts, refused, bills, startedRuns: began } of singleRequestCases) {
     it(`ends with correct answer, bills and reservations for ${name}`, async () => {
-      const { engines, budgets, a } = fleetOf()
+      const { engines, budgets, a } = createFleet()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       const seen = await a.ask()
-      if (refused === undefined) expectWhole(seen)
+      if (refused === undefined) expectComplete(seen)
       else expectRefused(seen, ...refused)
       await a.unsettled.retryAll()
       expect(budgets.bills.map(({ tokens }) => tokens)).to.deep.equal(bills)
-      expect(engines.began()).to.deep.equal(began)
+      expect(engines.startedRuns()).to.deep.equal(began)
       expect(budgets.open, 'reservations left open').to.equal(0)
       expect(a.routing.open, 'runs left counted').to.equal(0)
     })
@@ -76,46 +76,46 @@
   const refusals = [
     { name: 'a draining VM', arrange: (vm: FakeVm) => { vm.work.draining = true }, code: 'draining' as const },
     { name: 'a spent budget', arrange: (vm: FakeVm) => { vm.budgets.refuse = new Failure('budgetSpent', 'spent') }, code: 'budgetSpent' as const },
-    { name: 'an allotment that expired while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.lapsed = new Failure('allotmentClosed', 'lapsed') }, code: 'allotmentClosed' as const }
+    { name: 'an allotment that expired while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.confirmFailure = new Failure('allotmentClosed', 'lapsed') }, code: 'allotmentClosed' as const }
   ]
   for (const { name, arrange, code } of refusals) {
     it(`is refused without dispatch for ${name}`, async () => {
-      const { engines, budgets, a } = fleetOf()
+      const { engines, budgets, a } = createFleet()
       arrange(a)
       expectRefused(await a.ask(), code, 'no')
-      expect(engines.began()).to.deep.equal([])
+      expect(engines.startedRuns()).to.deep.equal([])
       expect(budgets.open).to.equal(0)
     })
   }
 
   it('is cancelled and billed for the generated tokens when its caller disconnects', async () => {
-    const { engines, budgets, a } = fleetOf()
+    const { engines, budgets, a } = createFleet()
     const caller = new AbortController()
     engines.scripts.set('r1', { hold: new Promise(resolve => setImmediate(resolve)) })
     await a.ask({ gone: caller.signal, onPiece: () => { caller.abort() } })
-    expect(engines.began()).to.deep.equal(['r1:cancelled'])
+    expect(engines.startedRuns()).to.deep.equal(['r1:cancelled'])
     expect(budgets.bills).to.have.length(1)
   })
 
   it('is cancelled and fails with deadlineExceeded at its deadline', async () => {
-    const { engines, a } = fleetOf()
+    const { engines, a } = createFleet()
     engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 40)) })
     expectRefused(await a.ask({ timeoutMs: 10 }), 'deadlineExceeded', 'yes')
-    expect(engines.began()).to.deep.equal(['r1:cancelled'])
+    expect(engines.startedRuns()).to.deep.equal(['r1:cancelled'])
   })
 })
 
 describe('a runner that refuses a completion because it is leaving', () => {
-  const cases: ReadonlyArray<{ readonly name: string, readonly script: EngineScript, readonly told: readonly string[] }> = [
-    { name: 'is reported to routing', script: { isLeaving: true }, told: ['r1'] },
-    { name: 'is not confused with an unreachable runner', script: { unreachableFrom: 'all' }, told: [] }
+  const cases: ReadonlyArray<{ readonly name: string, readonly script: EngineScript, readonly reported: readonly string[] }> = [
+    { name: 'is reported to routing', script: { isLeaving: true }, reported: ['r1'] },
+    { name: 'is not confused with an unreachable runner', script: { unreachableFrom: 'all' }, reported: [] }
   ]
-  for (const { name, script, told } of cases) {
+  for (const { name, script, reported: told } of cases) {
     it(name, async () => {
-      const { engines, a } = fleetOf()
+      const { engines, a } = createFleet()
       engines.scripts.set('r1', script)
-      expectWhole(await a.ask())
-      expect([a.routing.saidLeaving, engines.began()]).to.deep.equal([told, ['r2:finished']])
+      expectComplete(await a.ask())
+      expect([a.routing.reportedLeaving, engines.startedRuns()]).to.deep.equal([told, ['r2:finished']])
     })
   }
 })
@@ -132,7 +132,7 @@
   ]
   for (const { name, scripts, lines } of attempts) {
     it(`name each failed attempt with ${name}`, async () => {
-      const { engines, a } = fleetOf()
+      const { engines, a } = createFleet()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       await a.ask({ requestId: id })
       const seen = a.lines.filter(({ event }) => event === 'attemptFailed')
@@ -141,7 +141,7 @@
   }
 
   it('name the request id sent by the caller when refused before admission', async () => {
-    const { a } = fleetOf()
+    const { a } = createFleet()
     a.work.draining = true
     await a.ask({ requestId: id })
     expect(a.lines.map(({ event, request }) => ({ event, request }))).to.deep.equal([{ event: 'requestRefused', request: id }])
@@ -160,14 +160,14 @@
   ]
   for (const { name, at, believedDown } of repeats) {
     it(`is answered completely again, with one run and one bill, by ${name}`, async () => {
-      const both = fleetOf()
-      expectWhole(await both.a.ask({ key: 'k' }))
+      const both = createFleet()
+      expectComplete(await both.a.ask({ key: 'k' }))
       both[at].routing.believedDown = believedDown
       const again = await both[at].ask({ key: 'k' })
-      expectWhole(again)
-      expect(again.text).to.equal(wholeText(id))
-      expect(both.engines.began()).to.deep.equal(['r1:finished'])
-      expect(both.budgets.bills.map(({ tokens }) => tokens)).to.deep.equal([COST])
+      expectComplete(again)
+      expect(again.text).to.equal(fullText(id))
+      expect(both.engines.startedRuns()).to.deep.equal(['r1:finished'])
+      expect(both.budgets.bills.map(({ tokens }) => tokens)).to.deep.equal([ANSWER_COST_TOKENS])
     })
   }
 
@@ -177,11 +177,11 @@
   ]
   for (const { name, scripts, ran } of refusals) {
     it(`that never ran is refused with ran=${ran} when ${name}`, async () => {
-      const { engines, a } = fleetOf()
+      const { engines, a } = createFleet()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
       a.routing.believedDown = ['r1', 'r2', 'r3']
       expectRefused(await a.ask({ key: 'k' }), 'noRunner', ran)
-      expect(engines.began()).to.deep.equal([])
+      expect(engines.startedRuns()).to.deep.equal([])
     })
   }
 
@@ -192,11 +192,11 @@
   ]
   for (const { name, vms } of races) {
     it(`sent concurrently ${name} runs and is billed once`, async () => {
-      const both = fleetOf()
+      const both = createFleet()
       both.engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
       const all = await Promise.all(vms.map(async vm => await both[vm].ask({ key: 'k' })))
-      all.forEach(seen => { expect(seen.text).to.equal(wholeText(id)) })
-      expect(both.engines.began()).to.deep.equal(['r1:finished'])
+      all.forEach(seen => { expect(seen.text).to.equal(fullText(id)) })
+      expect(both.engines.startedRuns()).to.deep.equal(['r1:finished'])
       expect(both.budgets.bills).to.have.length(1)
       expect(both.budgets.open).to.equal(0)
     })
@@ -209,35 +209,35 @@
   ]
   for (const { name, at, parallel } of otherBodies) {
     it(`sent with a different body ${name} fails with keyReused and does not run`, async () => {
-      const both = fleetOf()
+      const both = createFleet()
       both.engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
       const first = both.a.ask({ key: 'k' })
       if (!parallel) await first
       expectRefused(await both[at].ask({ key: 'k', text: 'other' }), 'keyReused', 'no')
-      expectWhole(await first)
-      expect(both.engines.began()).to.deep.equal(['r1:finished'])
+      expectComplete(await first)
+      expect(both.engines.startedRuns()).to.deep.equal(['r1:finished'])
     })
   }
 
   it('keeps running when its caller disconnects, and a repeat is answered completely with one bill', async () => {
-    const { engines, budgets, a, b } = fleetOf()
+    const { engines, budgets, a, b } = createFleet()
     const caller = new AbortController()
     await a.ask({ key: 'k', gone: caller.signal, onPiece: () => { caller.abort() } })
-    expectWhole(await b.ask({ key: 'k' }))
-    expect(engines.began()).to.deep.equal(['r1:finished'])
-    expect(budgets.bills.map(({ tokens }) => tokens)).to.deep.equal([COST])
+    expectComplete(await b.ask({ key: 'k' }))
+    expect(engines.startedRuns()).to.deep.equal(['r1:finished'])
+    expect(budgets.bills.map(({ tokens }) => tokens)).to.deep.equal([ANSWER_COST_TOKENS])
   })
 
-  const cutOff = [
+  const unsealedCases = [
     { name: 'after a run there', first: true },
     { name: 'without a run there', first: false }
   ]
-  for (const { name, first } of cutOff) {
+  for (const { name, first } of unsealedCases) {
     it(`is billed once although its first runner cannot be sealed, ${name}`, async () => {
-      const { engines, budgets, a, b } = fleetOf()
-      if (first) expectWhole(await a.ask({ key: 'k' }))
+      const { engines, budgets, a, b } = createFleet()
+      if (first) expectComplete(await a.ask({ key: 'k' }))
       engines.scripts.set('r1', { unreachableFrom: ['b'] })
-      expectWhole(await b.ask({ key: 'k' }))
+      expectComplete(await b.ask({ key: 'k' }))
       expect(b.unsettled.size, 'unsettled until the first runner can be queried').to.equal(1)
       engines.scripts.delete('r1')
       await b.unsettled.retryAll()
@@ -249,27 +249,27 @@
 })
 
 describe('a keyed completion whose runners become reachable again', () => {
-  const twice: ReadonlyArray<{ readonly name: string, readonly run: (fleet: ReturnType<typeof fleetOf>) => Promise<void> }> = [
+  const doubleRuns: ReadonlyArray<{ readonly name: string, readonly run: (fleet: ReturnType<typeof createFleet>) => Promise<void> }> = [
     {
       name: 'after its first submit was lost and another VM ran it at that runner',
       run: async ({ engines, a, b }) => {
         engines.scripts.set('r1', { resetSubmit: true })
-        expectWhole(await a.ask({ key: 'k' }))
-        expectWhole(await b.ask({ key: 'k' }))
+        expectComplete(await a.ask({ key: 'k' }))
+        expectComplete(await b.ask({ key: 'k' }))
       }
     },
     {
       name: 'after the same VM ran it twice',
       run: async ({ engines, a }) => {
-        expectWhole(await a.ask({ key: 'k' }))
+        expectComplete(await a.ask({ key: 'k' }))
         engines.scripts.set('r1', { unreachableFrom: ['a'] })
-        expectWhole(await a.ask({ key: 'k' }))
+        expectComplete(await a.ask({ key: 'k' }))
       }
     }
   ]
-  for (const { name, run } of twice) {
+  for (const { name, run } of doubleRuns) {
     it(`is billed once ${name}`, async () => {
-      const both = fleetOf()
+      const both = createFleet()
       await run(both)
       both.engines.scripts.clear()
       await both.a.unsettled.retryAll()
@@ -296,19 +296,19 @@
 
 describe('with faulty engine clients', () => {
   it('a repeat runs and is billed twice without seals', async () => {
-    const { engines, budgets, a, b } = fleetOf(UnsealedClient)
+    const { engines, budgets, a, b } = createFleet(UnsealedClient)
     await a.ask({ key: 'k' })
     b.routing.believedDown = ['r1']
     await b.ask({ key: 'k' })
-    expect(engines.began()).to.have.length(2)
+    expect(engines.startedRuns()).to.have.length(2)
     expect(budgets.bills).to.have.length(2)
   })
 
   it('two VMs bill the same run without its holder', async () => {
-    const { engines, budgets, a, b } = fleetOf(AnonymousClient)
+    const { engines, budgets, a, b } = createFleet(AnonymousClient)
     engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
     await Promise.all([a.ask({ key: 'k' }), b.ask({ key: 'k' })])
-    expect(engines.began()).to.have.length(1)
+    expect(engines.startedRuns()).to.have.length(1)
     expect(budgets.bills).to.have.length(2)
   })
 })
--- a/packages/rosemaryspread/src/completion/completionService.ts
+++ b/packages/rosemaryspread/src/completion/completionService.ts
@@ -12,7 +12,7 @@
 import { admitCompletion, type AdmittedCompletion } from './completionAdmission.js'
 import { LocalRuns } from './completionLocalRuns.js'
 import type { CurrentConfig, RandomSource } from './completionPorts.js'
-import { CompletionPlanner, keyReused, type PlannerDeps, type TriedRunners } from './completionPlanner.js'
+import { CompletionPlanner, keyReusedFailure, type PlannerDeps, type TriedRunners } from './completionPlanner.js'
 import { AnswerRelay } from './completionRelay.js'
 import { CompletionReport } from './completionReport.js'
 import { CompletionRuns, generatedTokens, type OpenCompletion } from './completionRun.js'
@@ -32,7 +32,7 @@
 }
 
 export class RoutedCompletionService implements CompletionService {
-  private readonly local = new LocalRuns()
+  private readonly localRuns = new LocalRuns()
   private readonly planner: CompletionPlanner
   private readonly settlement: CompletionSettlement
   private readonly report: CompletionReport
@@ -47,7 +47,7 @@
 
   async complete (call: CompletionCall, sink: AnswerSink): Promise<void> {
     const now = this.deps.clock.now()
-    const admitted = this.admissible()
+    const admitted = this.activeConfig()
       .chain(config => admitCompletion(call, config.config, this.deps.random.id(), now))
     if (admitted.isLeft()) {
       sink.fail(this.report.refused(call.requestId ?? '-', call.caller.team, admitted.extract()))
@@ -61,7 +61,7 @@
     const close = this.deps.work.open()
     const relay = new AnswerRelay(sink, call.gone, admitted.requestId, admitted.model)
     try {
-      const served = await this.serveOpen({ call, admitted, relay, startedAt: now.mono })
+      const served = await this.runOrJoin({ call, admitted, relay, startedAt: now.mono })
       served.ifLeft(failure => { relay.fail(this.report.refused(admitted.requestId, admitted.team, failure)) })
     } catch (err) {
       this.deps.log.write('fault', { err: toFailure(err).message })
@@ -71,7 +71,7 @@
     }
   }
 
-  private admissible (): Either<Failure, VersionedConfig> {
+  private activeConfig (): Either<Failure, VersionedConfig> {
     if (this.deps.work.draining) {
       return Left(new Failure('draining', 'this VM is draining; use another address', { retryAfterMs: DRAINING_RETRY_MS }))
     }
@@ -79,57 +79,57 @@
       .toEither(new Failure('configNotLoaded', 'no configuration is in force yet', { retryAfterMs: NO_CONFIG_RETRY_MS }))
   }
 
-  private async serveOpen (open: OpenCompletion): Promise<Either<Failure, void>> {
-    const { requestId, keyed, digest } = open.admitted
-    if (!keyed) return await this.runAnew(open, () => {})
-    const turn = await this.local.enter(requestId, digest)
-    if (turn === 'otherBody') return Left(keyReused())
+  private async runOrJoin (completion: OpenCompletion): Promise<Either<Failure, void>> {
+    const { requestId, keyed, digest } = completion.admitted
+    if (!keyed) return await this.runAndSettle(completion, () => {})
+    const turn = await this.localRuns.waitForTurn(requestId, digest)
+    if (turn === 'otherBody') return Left(keyReusedFailure())
     try {
       return turn.runningAt === undefined
-        ? await this.runAnew(open, runner => { turn.started(runner) })
-        : await this.runs.join(open, { at: turn.runningAt, unsealed: [] })
+        ? await this.runAndSettle(completion, runner => { turn.started(runner) })
+        : await this.runs.join(completion, { at: turn.runningAt, unsealed: [] })
     } finally {
       turn.leave()
     }
   }
 
   /** Tries runners until the answer is complete, a piece was received, or no attempt is left; then settles all attempts. */
-  private async runAnew (open: OpenCompletion, onStarted: (runner: RunnerAddress) => void): Promise<Either<Failure, void>> {
+  private async runAndSettle (completion: OpenCompletion, onStarted: (runner: RunnerAddress) => void): Promise<Either<Failure, void>> {
     const attempts: EndedAttempt[] = []
     try {
-      return await this.tryRunners(open, attempts, onStarted)
+      return await this.tryRunners(completion, attempts, onStarted)
     } finally {
-      this.settlement.settleAll(open.admitted, attempts)
-      this.deps.routing.finish(open.admitted, usedTokens(open, attempts))
+      this.settlement.settleAll(completion.admitted, attempts)
+      this.deps.routing.finish(completion.admitted, usedTokens(completion, attempts))
     }
   }
 
-  private async tryRunners (open: OpenCompletion, attempts: EndedAttempt[], onStarted: (runner: RunnerAddress) => void): Promise<Either<Failure, void>> {
+  private async tryRunners (completion: OpenCompletion, attempts: EndedAttempt[], onStarted: (runner: RunnerAddress) => void): Promise<Either<Failure, void>> {
     const tried: TriedRunners = { exclude: [], unsealed: [] }
-    let last: Failure | undefined
+    let lastFailure: Failure | undefined
     while (attempts.length < MAX_ATTEMPTS) {
-      const planned = await this.planner.plan(open.admitted, tried, open.call.gone)
-      if (planned.isLeft()) return Left(last ?? planned.extract())
+      const planned = await this.planner.plan(completion.admitted, tried, completion.call.gone)
+      if (planned.isLeft()) return Left(lastFailure ?? planned.extract())
       const plan = planned.unsafeCoerce()
-      if (plan.paid === undefined) return await this.runs.join(open, plan)
-      const outcome = await this.runs.start(open, plan, plan.paid, onStarted)
+      if (plan.paid === undefined) return await this.runs.join(completion, plan)
+      const outcome = await this.runs.start(completion, plan, plan.paid, onStarted)
       attempts.push({ plan, reservation: plan.paid.reservation, outcome })
       if (outcome.kind === 'whole') return Right(undefined)
-      last = outcome.failure
+      lastFailure = outcome.failure
       tried.exclude.push(plan.at.runner)
-      if (open.admitted.keyed && last.code === 'runnerUnreachable') tried.unsealed.push(plan.at)
-      const delayMs = this.delayBeforeNext(open, last, attempts.length)
-      this.report.attemptFailed(open.admitted.requestId, plan.at.runner, last, delayMs !== null)
+      if (completion.admitted.keyed && lastFailure.code === 'runnerUnreachable') tried.unsealed.push(plan.at)
+      const delayMs = this.delayBeforeNext(completion, lastFailure, attempts.length)
+      this.report.attemptFailed(completion.admitted.requestId, plan.at.runner, lastFailure, delayMs !== null)
       if (delayMs === null) break
       await pause(delayMs)
     }
-    return Left(last ?? new Failure('noRunner', 'no runner accepted the request', { retryAfterMs: NO_CONFIG_RETRY_MS }))
+    return Left(lastFailure ?? new Failure('noRunner', 'no runner accepted the request', { retryAfterMs: NO_CONFIG_RETRY_MS }))
   }
 
   /** Milliseconds until the next attempt; null when there is none. */
-  private delayBeforeNext (open: OpenCompletion, failure: Failure, attempts: number): number | null {
-    if (attempts >= MAX_ATTEMPTS || !this.repeatable(open, failure)) return null
-    return this.deps.routing.retryDelay(open.admitted, attempts).extractNullable()
+  private delayBeforeNext (completion: OpenCompletion, failure: Failure, attempts: number): number | null {
+    if (attempts >= MAX_ATTEMPTS || !this.repeatable(completion, failure)) return null
+    return this.deps.routing.retryDelay(completion.admitted, attempts).extractNullable()
   }
 
   private repeatable ({ relay }: OpenCompletion, { code }: Failure): boolean {
@@ -139,7 +139,7 @@
 }
 
 /** Tokens used by all attempts of a request, for fair queueing between teams; 0 when nothing ran. */
-function usedTokens (open: OpenCompletion, attempts: readonly EndedAttempt[]): number {
+function usedTokens (completion: OpenCompletion, attempts: readonly EndedAttempt[]): number {
   const ran = attempts.filter(({ outcome }) => outcome.kind !== 'notStarted')
-  return ran.reduce((sum, { outcome }) => sum + open.admitted.promptTokens + generatedTokens(outcome, open.relay), 0)
+  return ran.reduce((sum, { outcome }) => sum + completion.admitted.promptTokens + generatedTokens(outcome, completion.relay), 0)
 }
--- a/packages/rosemaryspread/src/completion/completionSettlement.ts
+++ b/packages/rosemaryspread/src/completion/completionSettlement.ts
@@ -34,7 +34,7 @@
   }
 
   private settle (admitted: AdmittedCompletion, { plan, reservation, outcome }: EndedAttempt, isLast: boolean): void {
-    if (outcome.kind === 'notStarted' || this.startedElsewhere(outcome)) {
+    if (outcome.kind === 'notStarted' || this.isStartedByPeer(outcome)) {
       this.deps.budgets.settle(reservation)
       return
     }
@@ -47,7 +47,7 @@
   }
 
   /** A run without a reported holder counts as started by this process. */
-  private startedElsewhere (outcome: AttemptOutcome): boolean {
+  private isStartedByPeer (outcome: AttemptOutcome): boolean {
     return outcome.kind === 'whole' && outcome.holder !== '' && outcome.holder !== this.deps.holder
   }
 }
--- a/packages/rosemaryspread/src/completion/completionUnsettled.ts
+++ b/packages/rosemaryspread/src/completion/completionUnsettled.ts
@@ -8,7 +8,7 @@
 import type { EngineClient, RunRecord, Usage } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { BudgetPort, Reservation } from '../budget/budgetPort.js'
 import type { AdmittedCompletion } from './completionAdmission.js'
-import { billOf, freeBill } from './completionBill.js'
+import { billOf, zeroBill } from './completionBill.js'
 import { BilledRequests } from './completionBilled.js'
 
 export interface RunnerAddress {
@@ -36,8 +36,8 @@
 /** Settles with a bill or without one; `later` when the runners must be queried again. */
 type Settlement = { readonly kind: 'settle', readonly bill?: Bill } | { readonly kind: 'later' }
 
-const LATER: Settlement = { kind: 'later' }
-const NO_BILL: Settlement = { kind: 'settle' }
+const RETRY_LATER: Settlement = { kind: 'later' }
+const SETTLE_UNBILLED: Settlement = { kind: 'settle' }
 
 /** Stores unsettled runs and settles them once the runners respond. */
 export class UnsettledRuns {
@@ -67,54 +67,54 @@
   }
 
   private async trySettle (run: UnsettledRun): Promise<void> {
-    const settlement = await this.settlementOf(run)
+    const settlement = await this.resolveSettlement(run)
     if (settlement.kind === 'later' || !this.runs.delete(run.reservation.reservationId)) return
     const { bill } = settlement
-    if (bill !== undefined && this.billed.isFirst(bill.requestId)) this.budgets.settle(run.reservation, bill)
+    if (bill !== undefined && this.billed.addIfNew(bill.requestId)) this.budgets.settle(run.reservation, bill)
     else this.budgets.settle(run.reservation)
   }
 
-  private async settlementOf (run: UnsettledRun): Promise<Settlement> {
-    const earlier = await this.sealEarlier(run)
-    if (earlier !== undefined) return earlier
+  private async resolveSettlement (run: UnsettledRun): Promise<Settlement> {
+    const skippedOutcome = await this.sealSkipped(run)
+    if (skippedOutcome !== undefined) return skippedOutcome
     if (run.usage !== undefined) return { kind: 'settle', bill: billOf(run.admitted, run.ranAt.runner, run.usage) }
-    return await this.askRunner(run)
+    return await this.queryRunner(run)
   }
 
   /**
    * Seals the skipped runners. Undefined when each is sealed, no longer declared, or ran the request
    * for this holder, in which case the local record of bills decides.
    */
-  private async sealEarlier (run: UnsettledRun): Promise<Settlement | undefined> {
+  private async sealSkipped (run: UnsettledRun): Promise<Settlement | undefined> {
     for (const { runner, address } of run.unsealed) {
       if (!this.isDeclared(runner)) continue
       const sealed = await this.client.seal(address, run.admitted.requestId)
-      if (sealed.isLeft()) return LATER
+      if (sealed.isLeft()) return RETRY_LATER
       const record = sealed.unsafeCoerce().extractNullable()
-      if (record !== null && record.state !== 'sealed' && record.holder !== this.holder) return NO_BILL
+      if (record !== null && record.state !== 'sealed' && record.holder !== this.holder) return SETTLE_UNBILLED
     }
     return undefined
   }
 
-  private async askRunner (run: UnsettledRun): Promise<Settlement> {
+  private async queryRunner (run: UnsettledRun): Promise<Settlement> {
     const { requestId, keyed } = run.admitted
     const found = await this.client.find(run.ranAt.address, requestId)
-    if (found.isLeft()) return this.isDeclared(run.ranAt.runner) ? LATER : NO_BILL
+    if (found.isLeft()) return this.isDeclared(run.ranAt.runner) ? RETRY_LATER : SETTLE_UNBILLED
     const record = found.unsafeCoerce().extractNullable()
-    if (record === null || record.holder !== this.holder) return NO_BILL
-    if (record.state !== 'running') return this.settleRecord(run, record)
-    if (keyed) return LATER
+    if (record === null || record.holder !== this.holder) return SETTLE_UNBILLED
+    if (record.state !== 'running') return this.settlementFromRecord(run, record)
+    if (keyed) return RETRY_LATER
     const cancelled = await this.client.cancel(run.ranAt.address, requestId)
     return cancelled.caseOf<Settlement>({
-      Left: (_: Failure) => LATER,
-      Right: ended => this.settleRecord(run, ended)
+      Left: (_: Failure) => RETRY_LATER,
+      Right: ended => this.settlementFromRecord(run, ended)
     })
   }
 
-  private settleRecord (run: UnsettledRun, record: RunRecord): Settlement {
-    if (run.debt === 'none') return NO_BILL
-    const owed = run.debt === 'owed' || run.admitted.keyed
-    const bill = owed ? billOf(run.admitted, run.ranAt.runner, record) : freeBill(run.admitted, run.ranAt.runner)
+  private settlementFromRecord (run: UnsettledRun, record: RunRecord): Settlement {
+    if (run.debt === 'none') return SETTLE_UNBILLED
+    const isOwed = run.debt === 'owed' || run.admitted.keyed
+    const bill = isOwed ? billOf(run.admitted, run.ranAt.runner, record) : zeroBill(run.admitted, run.ranAt.runner)
     return { kind: 'settle', bill }
   }
 }
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -69,7 +69,7 @@
     this.container.get(ids.callerServer).linger()
     await Promise.all([this.container.get(ids.members).announceLeaving(), pause(drainLingerMs)])
     const released = this.within(this.container.get(ids.placementLease).release(), drainTimeoutMs)
-    const idle = await work.idle(drainTimeoutMs)
+    const idle = await work.waitUntilIdle(drainTimeoutMs)
     await this.container.get(ids.callerServer).close()
     const settled = await this.within(this.container.get(ids.budgets).drain(), drainTimeoutMs)
     await released
--- a/packages/rosemaryspread/src/digest/digestTeller.ts
+++ b/packages/rosemaryspread/src/digest/digestTeller.ts
@@ -8,15 +8,15 @@
 import { DIGEST_TABLE } from './digestTypes.js'
 
 /** Delay after which the second publisher writes what the first omitted; the third waits twice as long. */
-const STAND_BY_MS = 400
+const STANDBY_DELAY_MS = 400
 /** Limit of entries in one transaction, besides the heartbeat. */
-const MOST_WRITTEN = 90
+const MAX_ENTRIES_PER_WRITE = 90
 /** Milliseconds for which the digest retains the entry of a removed row. */
-const KEEP_GONE_MS = 60_000
+const REMOVED_RETENTION_MS = 60_000
 /** Milliseconds after which an entry without a row counts as removed; until then another publisher may have read a new row first. */
-const UNSEEN_MS = 2_000
+const MISSING_ROW_TIMEOUT_MS = 2_000
 
-export interface DigestTellerParts {
+export interface DigestPublisherParts {
   readonly vm: string
   readonly table: TableStore
   /** Called for each entry that was written; undefined when it was deleted. */
@@ -25,48 +25,48 @@
 }
 
 /** Input of one publishing pass. Times are monotonic milliseconds. */
-export interface DigestSight {
+export interface DigestState {
   readonly mono: number
   /** Rank among the publishers, 0 for the first. */
   readonly rank: number
   /** Entries of the rows that this VM reads, by digest key. */
-  readonly seen: ReadonlyMap<string, DigestEntry>
+  readonly observed: ReadonlyMap<string, DigestEntry>
   /** Entries in the digest. */
-  readonly told: ReadonlyMap<string, DigestEntry>
+  readonly published: ReadonlyMap<string, DigestEntry>
   /** Whether the feeds of all tables responded recently. */
-  readonly isInTouch: boolean
+  readonly areFeedsHealthy: boolean
   /** Milliseconds since a heartbeat of any publisher was received. */
-  readonly silentMs: number
+  readonly silenceMs: number
 }
 
-export class DigestTeller {
+export class DigestPublisher {
   private beat = 0
-  private beatAt = -Infinity
+  private lastHeartbeatAt = -Infinity
   private isWriting = false
   /** Time since which the digest has lacked a change, by digest key. */
-  private readonly leftOutSince = new Map<string, number>()
-  private readonly goneSince = new Map<string, number>()
-  private readonly unseenSince = new Map<string, number>()
+  private readonly omittedSince = new Map<string, number>()
+  private readonly removedSince = new Map<string, number>()
+  private readonly missingSince = new Map<string, number>()
 
-  constructor (private readonly parts: DigestTellerParts) {}
+  constructor (private readonly parts: DigestPublisherParts) {}
 
   /** Writes the changes that are due. Must be called several times a second. */
-  async tick (sight: DigestSight): Promise<void> {
-    if (this.isWriting || !sight.isInTouch) return
-    const news = this.newsOf(sight)
-    const due = news.filter(([key]) => this.isDue(key, sight)).slice(0, MOST_WRITTEN)
-    const forgotten = this.forgotten(sight)
-    const isBeating = this.isBeatDue(sight)
-    if (due.length === 0 && forgotten.length === 0 && !isBeating) return
+  async tick (state: DigestState): Promise<void> {
+    if (this.isWriting || !state.areFeedsHealthy) return
+    const changes = this.findChanges(state)
+    const due = changes.filter(([key]) => this.isDue(key, state)).slice(0, MAX_ENTRIES_PER_WRITE)
+    const forgotten = this.expiredKeys(state)
+    const writesHeartbeat = this.isHeartbeatDue(state)
+    if (due.length === 0 && forgotten.length === 0 && !writesHeartbeat) return
     const writes = [
       ...due.map(([key, entry]): RowWrite => ({ table: DIGEST_TABLE, key, value: entry })),
       ...forgotten.map((key): RowWrite => ({ table: DIGEST_TABLE, key, value: null })),
-      ...(isBeating ? [this.nextBeat(sight.mono, due.length === news.length)] : [])
+      ...(writesHeartbeat ? [this.nextHeartbeat(state.mono, due.length === changes.length)] : [])
     ]
     await this.write(writes, due, forgotten)
   }
 
-  private async write (writes: readonly RowWrite[], due: ReadonlyArray<readonly [string, DigestEntry]>, forgotten: readonly string[]): Promise<void> {
+  private async write (writes: readonly RowWrite[], due: ReadonlyArray<readonly [string, DigestEntry]>, expired: readonly string[]): Promise<void> {
     this.isWriting = true
     const written = await this.parts.table.transact({ checks: [], writes: [...writes] })
     this.isWriting = false
@@ -74,53 +74,53 @@
       Left: ({ code }) => { this.parts.failed(code) },
       Right: () => {
         for (const [key, entry] of due) this.parts.written(key, entry)
-        for (const key of forgotten) this.parts.written(key, undefined)
+        for (const key of expired) this.parts.written(key, undefined)
       }
     })
   }
 
-  private newsOf (sight: DigestSight): ReadonlyArray<readonly [string, DigestEntry]> {
-    const { seen, told, mono } = sight
-    const news = [...[...seen].filter(([key, entry]) => needsPublishing(entry, told.get(key))), ...this.unseen(sight)]
-    noteSince(this.leftOutSince, news.map(([key]) => key), mono)
-    return news
+  private findChanges (state: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
+    const { observed: seen, published: told, mono } = state
+    const changes = [...[...seen].filter(([key, entry]) => needsPublishing(entry, told.get(key))), ...this.missingRows(state)]
+    updateSince(this.omittedSince, changes.map(([key]) => key), mono)
+    return changes
   }
 
   /** Entries whose rows were removed while no VM published; nothing else would correct them. */
-  private unseen ({ seen, told, mono }: DigestSight): ReadonlyArray<readonly [string, DigestEntry]> {
+  private missingRows ({ observed: seen, published: told, mono }: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
     const entries = [...told].filter(([key, { stage }]) => stage !== 'gone' && !seen.has(key))
-    noteSince(this.unseenSince, entries.map(([key]) => key), mono)
+    updateSince(this.missingSince, entries.map(([key]) => key), mono)
     return entries
-      .filter(([key]) => mono - (this.unseenSince.get(key) ?? mono) >= UNSEEN_MS)
+      .filter(([key]) => mono - (this.missingSince.get(key) ?? mono) >= MISSING_ROW_TIMEOUT_MS)
       .map(([key, { version }]) => [key, { version, stage: 'gone' }])
   }
 
-  private isDue (key: string, { rank, mono }: DigestSight): boolean {
-    return mono - (this.leftOutSince.get(key) ?? mono) >= rank * STAND_BY_MS
+  private isDue (key: string, { rank, mono }: DigestState): boolean {
+    return mono - (this.omittedSince.get(key) ?? mono) >= rank * STANDBY_DELAY_MS
   }
 
   /** Entries of removed rows whose retention has expired. */
-  private forgotten ({ told, rank, mono }: DigestSight): readonly string[] {
-    const gone = [...told].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
-    noteSince(this.goneSince, gone, mono)
+  private expiredKeys ({ published: told, rank, mono }: DigestState): readonly string[] {
+    const removed = [...told].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
+    updateSince(this.removedSince, removed, mono)
     if (rank !== 0) return []
-    return gone.filter(key => mono - (this.goneSince.get(key) ?? mono) >= KEEP_GONE_MS).slice(0, MOST_WRITTEN)
+    return removed.filter(key => mono - (this.removedSince.get(key) ?? mono) >= REMOVED_RETENTION_MS).slice(0, MAX_ENTRIES_PER_WRITE)
   }
 
-  private isBeatDue ({ rank, mono, silentMs }: DigestSight): boolean {
-    if (mono - this.beatAt < DIGEST_HEARTBEAT_MS) return false
-    return rank === 0 || silentMs >= DIGEST_HEARTBEAT_MS + rank * STAND_BY_MS
+  private isHeartbeatDue ({ rank, mono, silenceMs: silentMs }: DigestState): boolean {
+    if (mono - this.lastHeartbeatAt < DIGEST_HEARTBEAT_MS) return false
+    return rank === 0 || silentMs >= DIGEST_HEARTBEAT_MS + rank * STANDBY_DELAY_MS
   }
 
-  private nextBeat (mono: number, isComplete: boolean): RowWrite {
-    this.beatAt = mono
+  private nextHeartbeat (mono: number, isComplete: boolean): RowWrite {
+    this.lastHeartbeatAt = mono
     this.beat += 1
     return { table: DIGEST_TABLE, key: `beat/${this.parts.vm}`, value: { beat: this.beat, isComplete } }
   }
 }
 
 /** Records the time at which each key was first present, and drops the keys that no longer are. */
-function noteSince (since: Map<string, number>, keys: readonly string[], mono: number): void {
+function updateSince (since: Map<string, number>, keys: readonly string[], mono: number): void {
   const present = new Set(keys)
   for (const key of since.keys()) if (!present.has(key)) since.delete(key)
   for (const key of present) if (!since.has(key)) since.set(key, mono)
--- a/packages/rosemaryspread/src/digest/digestTypes.ts
+++ b/packages/rosemaryspread/src/digest/digestTypes.ts
@@ -13,7 +13,7 @@
    * Called when the source of the rows changes. The digest omits heartbeats, so an unchanged row says nothing about its
    * owner; a row whose owner missed heartbeats is delivered as late.
    */
-  vouched? (isVouched: boolean): void
+  sourceChanged? (isDigest: boolean): void
 }
 
 /** A table of heartbeats. */
--- a/packages/rosemaryspread/src/digest/digestedTable.spec.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.spec.ts
@@ -5,9 +5,9 @@
 import type { FeedHandler } from '@rosemaryspread/infra/table/tableFeed.js'
 import { DigestedTable } from './digestedTable.js'
 
-type News = (feed: FeedHandler<string>) => void
+type FeedUpdate = (feed: FeedHandler<string>) => void
 
-const cases: ReadonlyArray<{ readonly name: string, readonly news: readonly News[], readonly entry: unknown }> = [
+const cases: ReadonlyArray<{ readonly name: string, readonly news: readonly FeedUpdate[], readonly entry: unknown }> = [
   { name: 'a row', news: [feed => { feed.changed([{ key: 'a', value: 'x', version: 1 }]) }], entry: { version: 1, stage: 'present', value: 'x' } },
   { name: 'a row that was deleted', news: [feed => { feed.changed([{ key: 'a', value: null, version: 2 }]) }], entry: { version: 2, stage: 'gone' } },
   { name: 'a row that is missing from a full read', news: [feed => { feed.changed([{ key: 'a', value: 'x', version: 1 }]) }, feed => { feed.replaced([]) }], entry: { version: 1, stage: 'gone' } },
@@ -31,7 +31,7 @@
         stageOf: () => 'present'
       }, () => 0)
       table.followDirect()
-      for (const feed of feeds) for (const tell of news) tell(feed)
+      for (const feed of feeds) for (const update of news) update(feed)
       expect(table.entries().get('a')).to.deep.equal(entry)
     })
   }
--- a/packages/rosemaryspread/src/digest/digestedTable.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.ts
@@ -8,7 +8,7 @@
 import type { DigestSource } from './digestTypes.js'
 
 /** Latest state of a row. */
-interface Known<T> {
+interface RowState<T> {
   readonly version: number
   readonly stage: DigestStage
   /** Absent when the row was removed. */
@@ -17,10 +17,10 @@
 
 export class DigestedTable<T = unknown> {
   /** Time of the last response to the table's own feed, in monotonic milliseconds. */
-  heardAt = -Infinity
+  lastResponseAt = -Infinity
   private stopFeed: (() => void) | undefined
   /** Latest state of each row, by key. */
-  private known = new Map<string, Known<T>>()
+  private rows = new Map<string, RowState<T>>()
 
   /** @param mono - returns the monotonic milliseconds */
   constructor (private readonly source: DigestSource<T>, private readonly mono: () => number) {}
@@ -35,12 +35,12 @@
 
   /** Entries for the digest by row key, with the stage of each owner. */
   entries (): ReadonlyMap<string, DigestEntry> {
-    return new Map([...this.known].map(([key, known]) => [key, this.entryOf(key, known)]))
+    return new Map([...this.rows].map(([key, known]) => [key, this.encodeEntry(key, known)]))
   }
 
   isDecodable (entry: DigestEntry): boolean {
     try {
-      this.knownOf(entry)
+      this.decodeEntry(entry)
       return true
     } catch {
       return false
@@ -51,16 +51,16 @@
   followDirect (): void {
     if (this.isDirect) return
     const { handler } = this.source
-    handler.vouched?.(false)
+    handler.sourceChanged?.(false)
     this.stopFeed = this.source.follow({
       ...handler,
-      answered: () => { this.heardAt = this.mono() },
+      answered: () => { this.lastResponseAt = this.mono() },
       replaced: rows => {
         this.replaced(rows)
         handler.replaced(rows)
       },
       changed: rows => {
-        for (const row of rows) this.known.set(row.key, seen(row))
+        for (const row of rows) this.rows.set(row.key, toRowState(row))
         handler.changed(rows)
       },
       undecodable: (key, err) => {
@@ -71,20 +71,20 @@
   }
 
   /** Follows the table through the digest, starting from its published entries. */
-  followDigest (told: ReadonlyMap<string, DigestEntry>): void {
+  followDigest (published: ReadonlyMap<string, DigestEntry>): void {
     this.stop()
     const { handler } = this.source
-    handler.vouched?.(true)
-    for (const [key, entry] of told) if (isLater(entry, this.known.get(key))) this.known.set(key, this.knownOf(entry))
-    handler.replaced([...this.known].map(([key, known]) => rowOf(key, known)).filter(({ value }) => value !== null))
+    handler.sourceChanged?.(true)
+    for (const [key, entry] of published) if (isLater(entry, this.rows.get(key))) this.rows.set(key, this.decodeEntry(entry))
+    handler.replaced([...this.rows].map(([key, known]) => toFeedRow(key, known)).filter(({ value }) => value !== null))
   }
 
   /** Applies an entry of the digest; one that is older than the current state is ignored. */
-  told (key: string, entry: DigestEntry): void {
-    if (!isLater(entry, this.known.get(key))) return
-    const known = this.knownOf(entry)
-    this.known.set(key, known)
-    this.source.handler.changed([rowOf(key, known)])
+  applyEntry (key: string, entry: DigestEntry): void {
+    if (!isLater(entry, this.rows.get(key))) return
+    const state = this.decodeEntry(entry)
+    this.rows.set(key, state)
+    this.source.handler.changed([toFeedRow(key, state)])
   }
 
   /** Reports that the digest could not be read. */
@@ -101,31 +101,31 @@
   /** A row that is missing was deleted after its last known version. */
   private replaced (rows: ReadonlyArray<FeedRow<T>>): void {
     const present = new Set(rows.map(({ key }) => key))
-    const missing = [...this.known].filter(([key]) => !present.has(key))
-    this.known = new Map(missing.map(([key, { version }]) => [key, { version, stage: 'gone' }]))
-    for (const row of rows) this.known.set(row.key, seen(row))
+    const missing = [...this.rows].filter(([key]) => !present.has(key))
+    this.rows = new Map(missing.map(([key, { version }]) => [key, { version, stage: 'gone' }]))
+    for (const row of rows) this.rows.set(row.key, toRowState(row))
   }
 
   /** A row that can no longer be decoded must not be published with its old value. */
   private discard (key: string): void {
-    const known = this.known.get(key)
-    if (known !== undefined) this.known.set(key, { version: known.version, stage: 'gone' })
+    const known = this.rows.get(key)
+    if (known !== undefined) this.rows.set(key, { version: known.version, stage: 'gone' })
   }
 
-  private entryOf (key: string, { version, stage, value }: Known<T>): DigestEntry {
+  private encodeEntry (key: string, { version, stage, value }: RowState<T>): DigestEntry {
     const present = stage === 'gone' ? stage : this.source.stageOf(key)
     return present === 'gone' || value === undefined ? { version, stage: 'gone' } : { version, stage: present, value: this.source.encode(value) }
   }
 
-  private knownOf ({ version, stage, value }: DigestEntry): Known<T> {
+  private decodeEntry ({ version, stage, value }: DigestEntry): RowState<T> {
     return stage === 'gone' ? { version, stage } : { version, stage, value: this.source.decode(value, stage === 'late') }
   }
 }
 
-function seen<T> ({ value, version }: FeedRow<T>): Known<T> {
+function toRowState<T> ({ value, version }: FeedRow<T>): RowState<T> {
   return value === null ? { version, stage: 'gone' } : { version, stage: 'present', value }
 }
 
-function rowOf<T> (key: string, { version, value }: Known<T>): FeedRow<T> {
+function toFeedRow<T> (key: string, { version, value }: RowState<T>): FeedRow<T> {
   return { key, version, value: value ?? null }
 }
--- a/packages/rosemaryspread/src/digest/directTables.fixture.ts
+++ b/packages/rosemaryspread/src/digest/directTables.fixture.ts
@@ -3,6 +3,6 @@
  */
 import type { DigestSource } from './digestTypes.js'
 
-export const directly = {
+export const directTables = {
   follow: <T>({ follow, handler }: DigestSource<T>): void => { follow(handler) }
 }
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -12,14 +12,14 @@
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { DigestedTable } from './digestedTable.js'
-import { DigestTeller } from './digestTeller.js'
+import { DigestPublisher } from './digestTeller.js'
 import { DIGEST_TABLE, type DigestSource } from './digestTypes.js'
 
 /** Interval between two publishing passes. */
-const LOOK_MS = 250
+const PUBLISH_INTERVAL_MS = 250
 /** Age of the last feed response up to which this VM may publish. */
-const HEARD_MS = 2_000
-const BEAT_PREFIX = 'beat/'
+const MAX_RESPONSE_AGE_MS = 2_000
+const HEARTBEAT_PREFIX = 'beat/'
 
 export interface TableDigestParts {
   readonly vm: string
@@ -35,18 +35,18 @@
 export class TableDigest {
   private readonly tables: DigestedTable[] = []
   private readonly trust = new DigestTrust()
-  private readonly teller: DigestTeller
+  private readonly publisher: DigestPublisher
   /** Entries of the digest, by digest key. */
-  private told = new Map<string, DigestEntry>()
+  private published = new Map<string, DigestEntry>()
   private stopFeed: (() => void) | undefined
-  private lookedAt = -Infinity
+  private lastPassAt = -Infinity
   private isStopped = false
 
   constructor (private readonly parts: TableDigestParts) {
-    this.teller = new DigestTeller({
+    this.publisher = new DigestPublisher({
       vm: parts.vm,
       table: parts.table,
-      written: (key, entry) => { this.take(key, entry) },
+      written: (key, entry) => { this.applyEntry(key, entry) },
       failed: code => { parts.log.write('platformFault', { service: 'table', operation: 'digest', code }) }
     })
   }
@@ -60,18 +60,18 @@
 
   /** Chooses between the feeds and the digest, and publishes changes that are due. Must be called several times a second. */
   tick (): void {
-    if (this.isStopped || this.mono - this.lookedAt < LOOK_MS) return
-    this.lookedAt = this.mono
+    if (this.isStopped || this.mono - this.lastPassAt < PUBLISH_INTERVAL_MS) return
+    this.lastPassAt = this.mono
     const vms = this.parts.vms()
     if (vms.length <= MAX_VMS_WITHOUT_DIGEST) {
-      this.leaveDigest()
+      this.stopDigest()
       return
     }
-    this.stopFeed ??= this.followDigest()
+    this.stopFeed ??= this.subscribeDigest()
     const rank = publisherRank(this.parts.vm, vms)
-    if (rank === undefined && this.trust.isTrusted(this.mono)) this.relyOnDigest()
-    else this.followDirect()
-    if (rank !== undefined) this.tell(rank)
+    if (rank === undefined && this.trust.isTrusted(this.mono)) this.switchToDigest()
+    else this.switchToDirect()
+    if (rank !== undefined) this.publish(rank)
   }
 
   /** Ends all subscriptions. */
@@ -81,71 +81,71 @@
     for (const table of this.tables) table.stop()
   }
 
-  private tell (rank: number): void {
+  private publish (rank: number): void {
     const { mono } = this
-    const seen = new Map(this.tables.flatMap(table => [...table.entries()].map(([key, entry]): [string, DigestEntry] => [`${table.name}/${key}`, entry])))
-    const isInTouch = this.tables.every(({ heardAt }) => mono - heardAt <= HEARD_MS)
-    this.teller.tick({ mono, rank, seen, told: this.told, isInTouch, silentMs: this.trust.silenceMs(mono) })
+    const observed = new Map(this.tables.flatMap(table => [...table.entries()].map(([key, entry]): [string, DigestEntry] => [`${table.name}/${key}`, entry])))
+    const areFeedsHealthy = this.tables.every(({ lastResponseAt: heardAt }) => mono - heardAt <= MAX_RESPONSE_AGE_MS)
+    this.publisher.tick({ mono, rank, observed, published: this.published, areFeedsHealthy, silenceMs: this.trust.silenceMs(mono) })
       .catch((err: unknown) => { this.parts.log.write('fault', { err: toFailure(err).message }) })
   }
 
-  private leaveDigest (): void {
+  private stopDigest (): void {
     this.stopFeed?.()
     this.stopFeed = undefined
     this.trust.lost()
-    this.followDirect()
+    this.switchToDirect()
   }
 
-  private followDirect (): void {
+  private switchToDirect (): void {
     if (this.tables.every(({ isDirect }) => isDirect)) return
     for (const table of this.tables) table.followDirect()
-    this.parts.log.write('digestFollowed', { isFollowed: false, entries: this.told.size })
+    this.parts.log.write('digestFollowed', { isFollowed: false, entries: this.published.size })
   }
 
-  private relyOnDigest (): void {
+  private switchToDigest (): void {
     if (!this.tables.some(({ isDirect }) => isDirect)) return
-    for (const table of this.tables) table.followDigest(this.toldOf(table))
-    this.parts.log.write('digestFollowed', { isFollowed: true, entries: this.told.size })
+    for (const table of this.tables) table.followDigest(this.publishedEntriesOf(table))
+    this.parts.log.write('digestFollowed', { isFollowed: true, entries: this.published.size })
   }
 
-  private followDigest (): () => void {
+  private subscribeDigest (): () => void {
     return this.parts.feed.follow(DIGEST_TABLE, {
       replaced: rows => {
-        this.told = new Map()
-        for (const row of rows) if (!row.key.startsWith(BEAT_PREFIX)) this.takeRow(row)
-        this.tellAgain()
+        this.published = new Map()
+        for (const row of rows) if (!row.key.startsWith(HEARTBEAT_PREFIX)) this.applyRow(row)
+        this.deliverPublished()
       },
-      changed: rows => { for (const row of rows) this.takeRow(row) },
-      failed: failure => { this.unreadable(failure) },
+      changed: rows => { for (const row of rows) this.applyRow(row) },
+      failed: failure => { this.reportReadFailure(failure) },
       undecodable: key => { this.undecodable(key) }
     })
   }
 
   /** An entry that cannot be decoded counts as unpublished, so that a publisher writes it again. */
-  private takeRow ({ key, value }: FeedRow): void {
-    if (key.startsWith(BEAT_PREFIX)) this.takeBeat(key, value)
-    else if (value === null) this.take(key, undefined)
+  private applyRow ({ key, value }: FeedRow): void {
+    if (key.startsWith(HEARTBEAT_PREFIX)) this.applyHeartbeat(key, value)
+    else if (value === null) this.applyEntry(key, undefined)
     else {
       const entry = digestEntrySchema.safeParse(value)
-      if (entry.success && this.isDecodable(key, entry.data)) this.take(key, entry.data)
+      if (entry.success && this.isDecodable(key, entry.data)) this.applyEntry(key, entry.data)
       else {
-        this.told.delete(key)
+        this.published.delete(key)
         this.undecodable(key)
       }
     }
   }
 
-  private takeBeat (key: string, value: unknown): void {
-    const beat = digestHeartbeatSchema.safeParse(value)
-    if (beat.success) this.trust.recordHeartbeat(beat.data, this.mono)
+  private applyHeartbeat (key: string, value: unknown): void {
+    const heartbeat = digestHeartbeatSchema.safeParse(value)
+    if (heartbeat.success) this.trust.recordHeartbeat(heartbeat.data, this.mono)
     else if (value !== null) this.undecodable(key)
   }
 
-  private take (key: string, entry: DigestEntry | undefined): void {
-    if (entry === undefined) this.told.delete(key)
-    else this.told.set(key, entry)
+  private applyEntry (key: string, entry: DigestEntry | undefined): void {
+    if (entry === undefined) this.published.delete(key)
+    else this.published.set(key, entry)
     const table = this.tableOf(key)
-    if (entry !== undefined && table?.isDirect === false) table.told(rowKeyOf(table, key), entry)
+    if (entry !== undefined && table?.isDirect === false) table.applyEntry(rowKeyOf(table, key), entry)
   }
 
   private isDecodable (key: string, entry: DigestEntry): boolean {
@@ -156,16 +156,16 @@
     return this.tables.find(({ name }) => key.startsWith(`${name}/`))
   }
 
-  private tellAgain (): void {
-    for (const table of this.tables) if (!table.isDirect) table.followDigest(this.toldOf(table))
+  private deliverPublished (): void {
+    for (const table of this.tables) if (!table.isDirect) table.followDigest(this.publishedEntriesOf(table))
   }
 
-  private toldOf (table: DigestedTable): ReadonlyMap<string, DigestEntry> {
-    const entries = [...this.told].filter(([key]) => this.tableOf(key) === table)
+  private publishedEntriesOf (table: DigestedTable): ReadonlyMap<string, DigestEntry> {
+    const entries = [...this.published].filter(([key]) => this.tableOf(key) === table)
     return new Map(entries.map(([key, entry]) => [rowKeyOf(table, key), entry]))
   }
 
-  private unreadable (failure: Failure): void {
+  private reportReadFailure (failure: Failure): void {
     for (const table of this.tables) if (!table.isDirect) table.failed(failure)
   }
 
--- a/packages/rosemaryspread/src/directory/keyDirectory.ts
+++ b/packages/rosemaryspread/src/directory/keyDirectory.ts
@@ -17,7 +17,7 @@
   }
 
   /** Whether no key is configured. */
-  get empty (): boolean {
+  get isEmpty (): boolean {
     return this.owners.size === 0
   }
 
@@ -26,7 +26,7 @@
     const digest = createHash('sha256').update(key).digest()
     const hash = digest.toString('hex')
     const owner = this.owners.get(hash)
-    const known = Buffer.from(owner === undefined ? '0'.repeat(hash.length) : hash, 'hex')
-    return timingSafeEqual(known, digest) ? owner : undefined
+    const expected = Buffer.from(owner === undefined ? '0'.repeat(hash.length) : hash, 'hex')
+    return timingSafeEqual(expected, digest) ? owner : undefined
   }
 }
--- a/packages/rosemaryspread/src/gateway/gatewayVm.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayVm.ts
@@ -83,8 +83,8 @@
       budgets.tick()
       targets.tick()
       quarantine.tick()
-      if (this.isReady) await presence.tell('serving')
-      presence.pressed(frontWatch.isPressed)
+      if (this.isReady) await presence.publishState('serving')
+      presence.setOverloaded(frontWatch.isPressed)
       presence.tick()
       digest.tick()
     }
@@ -114,13 +114,13 @@
     const leftMs = (): number => Math.max(0, this.settings.graceMs * FINISH_PART - (this.clock.now().mono - startedAt))
     work.draining = true
     this.log.write('draining', { open: work.openCount() })
-    this.inBackground(this.container.get(ids.presence).tell('leaving'))
+    this.inBackground(this.container.get(ids.presence).publishState('leaving'))
     await pause(this.settings.graceMs * LINGER_PART)
     stopAccepting()
-    await work.idle(leftMs())
+    await work.waitUntilIdle(leftMs())
     await Promise.race([this.handBack(), pause(leftMs())])
     // Requests that came on open connections meanwhile are answered too, and the last bytes are on their way.
-    await work.idle(leftMs())
+    await work.waitUntilIdle(leftMs())
     await pause(FLUSH_MS)
     this.container.get(ids.quarantineShare).stop()
     await this.container.get(ids.links).close()
--- a/packages/rosemaryspread/src/gateway/workNotices.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { workNotificationSchema, type WorkNotification } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
-import { MOST_TOLD } from '../presence/fleetLinks.js'
+import { MAX_NOTIFIED_PEERS } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 
 /** Method between VMs. */
@@ -39,7 +39,7 @@
   tell (notice: WorkNotification): void {
     const peers = this.parts.peers()
     this.refill()
-    if (peers.length > MOST_TOLD || peers.length > this.allowance) return
+    if (peers.length > MAX_NOTIFIED_PEERS || peers.length > this.allowance) return
     this.allowance -= peers.length
     for (const { address } of peers) this.parts.notify(address, WORK_METHOD, notice)
   }
--- a/packages/rosemaryspread/src/membership/fleetSize.ts
+++ b/packages/rosemaryspread/src/membership/fleetSize.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { MemberView } from '@rosemaryspread/decisions/membership/memberTypes.js'
 
-const KEEP_MS = 1_000
+const CACHE_MS = 1_000
 
 /** Counts the VMs that accept work. */
 export class FleetSize {
@@ -18,7 +18,7 @@
   /** Number of live VMs, at least 1. */
   live (): number {
     const { mono } = this.clock.now()
-    if (mono - this.countedAt >= KEEP_MS) {
+    if (mono - this.countedAt >= CACHE_MS) {
       this.count = Math.max(1, this.members().filter(({ state }) => state === 'live').length)
       this.countedAt = mono
     }
--- a/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
@@ -7,7 +7,7 @@
 const ROLE = 'writer/quito'
 const ROW = { table: 'config', key: 'x' }
 const { durationMs, marginMs, pollMs } = defaultLeaseLimits
-const TICKS_TO_ASK = 4
+const TICKS_PER_POLL = 4
 
 class ManualClock implements Clock {
   ms = 1_000
@@ -16,7 +16,7 @@
   }
 }
 
-class Setup {
+class Harness {
   readonly table = new FixtureTable()
   readonly clock = new ManualClock()
   readonly events: string[] = []
@@ -28,14 +28,14 @@
     return new LeaseDriver({ role: ROLE, holder, table: this.table, clock: this.clock, log, isCandidate: () => true })
   }
 
-  pass (ms: number): void {
+  advance (ms: number): void {
     this.clock.ms += ms
     this.table.now += ms
   }
 
-  async tick (driver: LeaseDriver, times = TICKS_TO_ASK): Promise<void> {
+  async tick (driver: LeaseDriver, times = TICKS_PER_POLL): Promise<void> {
     for (let i = 0; i < times; i += 1) {
-      this.pass(pollMs / TICKS_TO_ASK)
+      this.advance(pollMs / TICKS_PER_POLL)
       await driver.tick()
     }
   }
@@ -43,28 +43,28 @@
 
 describe('lease driver', () => {
   it('acquires the role, excludes others, and frees it on release', async () => {
-    const setup = new Setup()
-    const { a, b } = setup
-    await setup.tick(a)
-    await setup.tick(b)
+    const harness = new Harness()
+    const { a, b } = harness
+    await harness.tick(a)
+    await harness.tick(b)
     expect([a.mayAct(), b.mayAct()]).deep.equal([true, false])
     expect([a.fencing().extract(), b.fencing().isLeft()]).deep.equal([1, true])
     await a.release()
     await a.release()
     expect(a.mayAct()).equal(false)
-    await setup.tick(b)
+    await harness.tick(b)
     expect(b.fencing().extract()).equal(2)
-    expect(setup.events).deep.equal(['a~1 leaseTaken', 'b~1 leaseTaken'])
+    expect(harness.events).deep.equal(['a~1 leaseTaken', 'b~1 leaseTaken'])
   })
 
   it('fences a late write of the previous holder whose lease check was read before the takeover', async () => {
-    const setup = new Setup()
-    const { a, b, table } = setup
-    await setup.tick(a)
+    const harness = new Harness()
+    const { a, b, table } = harness
+    await harness.tick(a)
     expect((await a.transact({ checks: [], writes: [{ ...ROW, value: 1 }] })).isRight()).equal(true)
     const check = a.leaseCheck().unsafeCoerce()
-    setup.pass(durationMs + marginMs)
-    await setup.tick(b)
+    harness.advance(durationMs + marginMs)
+    await harness.tick(b)
     expect((await b.transact({ checks: [], writes: [{ ...ROW, value: 2 }] })).isRight()).equal(true)
     const late = await table.transact({ checks: [check], writes: [{ ...ROW, value: 3 }] })
     expect(late.isLeft(), 'late write is fenced').equal(true)
@@ -74,37 +74,37 @@
   })
 
   it('a write of the previous holder without the lease check succeeds (counter-example)', async () => {
-    const setup = new Setup()
-    await setup.tick(setup.a)
-    setup.pass(durationMs + marginMs)
-    await setup.tick(setup.b)
-    await setup.table.transact({ checks: [], writes: [{ ...ROW, value: 3 }] })
-    expect(setup.table.find(ROW)?.value).equal(3)
+    const harness = new Harness()
+    await harness.tick(harness.a)
+    harness.advance(durationMs + marginMs)
+    await harness.tick(harness.b)
+    await harness.table.transact({ checks: [], writes: [{ ...ROW, value: 3 }] })
+    expect(harness.table.find(ROW)?.value).equal(3)
   })
 
   it('reads the lease back when the response to its acquisition was lost', async () => {
-    const setup = new Setup()
-    setup.table.loseAnswers = 1
-    await setup.tick(setup.a)
-    expect(setup.a.mayAct()).equal(true)
-    expect(setup.table.find({ table: 'leases', key: ROLE })?.version).equal(1)
+    const harness = new Harness()
+    harness.table.loseAnswers = 1
+    await harness.tick(harness.a)
+    expect(harness.a.mayAct()).equal(true)
+    expect(harness.table.find({ table: 'leases', key: ROLE })?.version).equal(1)
   })
 
   it('does not hold the role while the table is down, and acquires it afterwards', async () => {
-    const setup = new Setup()
-    setup.table.down = true
-    await setup.tick(setup.a)
-    expect(setup.a.mayAct()).equal(false)
-    setup.table.down = false
-    await setup.tick(setup.a)
-    expect(setup.a.mayAct()).equal(true)
+    const harness = new Harness()
+    harness.table.down = true
+    await harness.tick(harness.a)
+    expect(harness.a.mayAct()).equal(false)
+    harness.table.down = false
+    await harness.tick(harness.a)
+    expect(harness.a.mayAct()).equal(true)
   })
 
   it('does not overwrite a malformed lease row', async () => {
-    const setup = new Setup()
-    await setup.table.transact({ checks: [], writes: [{ table: 'leases', key: ROLE, value: { strange: true } }] })
-    await setup.tick(setup.a, 2 * TICKS_TO_ASK)
-    expect(setup.a.mayAct()).equal(false)
-    expect(setup.table.find({ table: 'leases', key: ROLE })?.value).deep.equal({ strange: true })
+    const harness = new Harness()
+    await harness.table.transact({ checks: [], writes: [{ table: 'leases', key: ROLE, value: { strange: true } }] })
+    await harness.tick(harness.a, 2 * TICKS_PER_POLL)
+    expect(harness.a.mayAct()).equal(false)
+    expect(harness.table.find({ table: 'leases', key: ROLE })?.value).deep.equal({ strange: true })
   })
 })
--- a/packages/rosemaryspread/src/membership/leaseDriver.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.ts
@@ -14,7 +14,7 @@
 /** Tick interval; shorter than any period of the lease manager. */
 const TICK_MS = 250
 /** Ticks between two calls of `isCandidate`. */
-const CANDIDATE_EVERY = 4
+const CANDIDATE_CHECK_TICKS = 4
 
 export interface LeaseDriverOptions {
   readonly role: string
@@ -31,14 +31,14 @@
 
 /** Executes the actions of a {@link LeaseManager} for one role. */
 export class LeaseDriver {
-  private readonly keeper: LeaseManager
+  private readonly manager: LeaseManager
   private timer: NodeJS.Timeout | undefined
   private ticks = 0
   private resolveReleased: () => void = () => {}
   private readonly released = new Promise<void>(resolve => { this.resolveReleased = resolve })
 
   constructor (private readonly options: LeaseDriverOptions) {
-    this.keeper = new LeaseManager(options.role, options.holder, options.limits ?? defaultLeaseLimits)
+    this.manager = new LeaseManager(options.role, options.holder, options.limits ?? defaultLeaseLimits)
   }
 
   /** Starts trying to acquire the role. */
@@ -50,9 +50,9 @@
 
   /** Advances the lease to the current time; resolves when every call that it started has ended. */
   async tick (): Promise<void> {
-    if (this.ticks % CANDIDATE_EVERY === 0) await this.feed({ kind: 'candidate', wanted: this.options.isCandidate() })
+    if (this.ticks % CANDIDATE_CHECK_TICKS === 0) await this.dispatch({ kind: 'candidate', wanted: this.options.isCandidate() })
     this.ticks += 1
-    await this.feed({ kind: 'tick' })
+    await this.dispatch({ kind: 'tick' })
   }
 
   /** Stops without releasing the lease, which then expires. */
@@ -62,18 +62,18 @@
 
   /** Whether this process may act in the role now. Must be checked again after every wait. */
   mayAct (): boolean {
-    return this.keeper.mayAct(this.now())
+    return this.manager.mayAct(this.now())
   }
 
   /** Fencing token for calls to external systems; fails with `leaseLost` when the role is not held. */
   fencing (): Either<Failure, number> {
-    const fencing = this.keeper.fencing()
+    const fencing = this.manager.fencing()
     return fencing !== undefined && this.mayAct() ? Right(fencing) : Left(this.lost())
   }
 
   /** Row check that makes a transaction fail once the lease is lost; fails with `leaseLost` when the role is not held. */
   leaseCheck (): Either<Failure, RowCheck> {
-    const check = this.keeper.leaseCheck(this.now())
+    const check = this.manager.leaseCheck(this.now())
     return check === undefined ? Left(this.lost()) : Right(check)
   }
 
@@ -87,27 +87,27 @@
     if (check.isLeft()) return check
     const checks = [...tx.checks, check.extract() as RowCheck]
     const answer = await this.options.table.transact({ checks, writes: tx.writes })
-    if (answer.isLeft()) this.feed({ kind: 'recheck' }).catch((err: unknown) => this.options.log.write('fault', { err }))
+    if (answer.isLeft()) this.dispatch({ kind: 'recheck' }).catch((err: unknown) => this.options.log.write('fault', { err }))
     return answer
   }
 
   /** Releases the role; resolves when it is available to others or the lease has expired. */
   async release (): Promise<void> {
-    await this.feed({ kind: 'release' })
+    await this.dispatch({ kind: 'release' })
     await this.released
     this.stop()
   }
 
-  private async feed (event: LeaseEvent): Promise<void> {
-    const actions = this.keeper.handle(event, this.now())
-    for (const action of actions) await this.carryOut(action)
+  private async dispatch (event: LeaseEvent): Promise<void> {
+    const actions = this.manager.handle(event, this.now())
+    for (const action of actions) await this.execute(action)
   }
 
-  private async carryOut (action: LeaseAction): Promise<void> {
+  private async execute (action: LeaseAction): Promise<void> {
     const { log, role } = this.options
     switch (action.kind) {
-      case 'read': return await this.feed(await this.read())
-      case 'write': return await this.feed({ kind: 'writeAnswered', outcome: await this.write(action) })
+      case 'read': return await this.dispatch(await this.read())
+      case 'write': return await this.dispatch({ kind: 'writeAnswered', outcome: await this.write(action) })
       case 'taken':
         log.write('leaseTaken', { role, fencing: action.fencing })
         return this.options.onChange?.(true)
@@ -127,12 +127,12 @@
         this.fault('read', err)
         return { kind: 'readFailed' }
       },
-      Right: value => this.understand(value)
+      Right: value => this.parseRead(value)
     })
   }
 
   /** Malformed rows are treated as a failure of the table, so that they are not overwritten. */
-  private understand (answer: ReadAnswer): LeaseEvent {
+  private parseRead (answer: ReadAnswer): LeaseEvent {
     try {
       return { kind: 'readAnswered', read: parseLease(answer) }
     } catch (err) {
@@ -144,12 +144,12 @@
   private async write ({ checks, writes }: Extract<LeaseAction, { kind: 'write' }>): Promise<LeaseWriteOutcome> {
     const answer = await this.options.table.transact({ checks: [...checks], writes: [...writes] })
     return answer.caseOf<LeaseWriteOutcome>({
-      Left: err => this.failedWrite(err),
+      Left: err => this.toWriteOutcome(err),
       Right: ({ version }) => ({ kind: 'written', version })
     })
   }
 
-  private failedWrite (err: Failure): LeaseWriteOutcome {
+  private toWriteOutcome (err: Failure): LeaseWriteOutcome {
     if (err.code === 'platformConflict') return { kind: 'conflict' }
     this.fault('transact', err)
     return { kind: err.code === 'platformUnavailable' ? 'unavailable' : 'unknown' }
--- a/packages/rosemaryspread/src/membership/memberDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.spec.ts
@@ -8,8 +8,8 @@
 import { FixtureTable } from './membershipTable.fixture.js'
 
 const KEY = 'a fleet key for this spec'
-const KEEP_MS = 9_000
-const WAIT_TRIES = 400
+const ADDRESS_TTL_MS = 9_000
+const MAX_WAIT_TRIES = 400
 
 interface Line {
   readonly event: string
@@ -17,31 +17,31 @@
 }
 
 /** One VM with real links over loopback and manual ticks. */
-class SpecVm {
+class TestVm {
   replacedBy: string | undefined
   readonly seenVersions: number[] = []
   configVersion = 1
 
-  private constructor (readonly row: MemberRow, readonly driver: (vm: SpecVm) => MemberDriver, private readonly closers: readonly (() => unknown)[], readonly lines: readonly Line[]) {
+  private constructor (readonly row: MemberRow, readonly driver: (vm: TestVm) => MemberDriver, private readonly closers: readonly (() => unknown)[], readonly lines: readonly Line[]) {
     this.member = driver(this)
   }
 
   readonly member: MemberDriver
 
-  static async start (world: SpecWorld, vm: string, domain: string, incarnation = 1): Promise<SpecVm> {
+  static async start (harness: Harness, vm: string, domain: string, incarnation = 1): Promise<TestVm> {
     const holder = `${vm}~${incarnation}`
     const lines: Line[] = []
     const log = { write: (event: string, fields: Line['fields']) => { lines.push({ event, fields }) } }
     const identity = { holder, keys: [KEY] }
-    const clock = { now: () => ({ mono: world.ms, wall: world.ms }) }
+    const clock = { now: () => ({ mono: harness.ms, wall: harness.ms }) }
     const server = new JsonRpcPeerServer(identity, log)
     await server.listen('127.0.0.1:0')
     const client = new JsonRpcPeerClient({ identity, clock, random: () => 0.5 })
     const row: MemberRow = { vm, holder, domain, region: 'r', callers: `${vm}:1`, operators: `${vm}:2`, peers: server.address, state: 'live', configVersion: 1, capacity: 1 }
-    const made = new SpecVm(row, spec => new MemberDriver({
+    const started = new TestVm(row, spec => new MemberDriver({
       self: row,
-      table: world.table,
-      vmList: { list: async () => Right({ asOf: world.table.now, now: world.table.now, vms: world.listed }) },
+      table: harness.table,
+      vmList: { list: async () => Right({ asOf: harness.table.now, now: harness.table.now, vms: harness.listed }) },
       client,
       server,
       clock,
@@ -51,13 +51,13 @@
       onReplaced: by => { spec.replacedBy = by },
       onConfigVersion: version => { spec.seenVersions.push(version) }
     }), [() => client.close(), () => server.close()], lines)
-    world.vms.push(made)
-    await made.member.start()
-    made.member.stop()
-    return made
+    harness.vms.push(started)
+    await started.member.start()
+    started.member.stop()
+    return started
   }
 
-  stateOf (vm: SpecVm): MemberState | undefined {
+  stateOf (vm: TestVm): MemberState | undefined {
     return this.member.members().find(member => member.vm === vm.row.vm)?.state
   }
 
@@ -66,78 +66,78 @@
   }
 }
 
-class SpecWorld {
+class Harness {
   ms = 1_000
   readonly table = new FixtureTable()
-  readonly vms: SpecVm[] = []
+  readonly vms: TestVm[] = []
   listed: VmEntry[] = []
 
-  async tick (...vms: readonly SpecVm[]): Promise<void> {
+  async tick (...vms: readonly TestVm[]): Promise<void> {
     this.ms += 1_000
     this.table.now += 1_000
     for (const vm of vms) await vm.member.tick()
   }
 }
 
-async function until (condition: () => boolean): Promise<void> {
-  for (let i = 0; i < WAIT_TRIES && !condition(); i += 1) await new Promise(resolve => setTimeout(resolve, 5))
+async function waitUntil (condition: () => boolean): Promise<void> {
+  for (let i = 0; i < MAX_WAIT_TRIES && !condition(); i += 1) await new Promise(resolve => setTimeout(resolve, 5))
   expect(condition()).equal(true)
 }
 
 describe('membership driver', () => {
-  let world: SpecWorld
-  beforeEach(() => { world = new SpecWorld() })
-  afterEach(async () => { await Promise.all(world.vms.map(vm => vm.close())) })
+  let harness: Harness
+  beforeEach(() => { harness = new Harness() })
+  afterEach(async () => { await Promise.all(harness.vms.map(vm => vm.close())) })
 
   it('discovers peers, propagates configuration versions, and stops advertising a leaving VM at once', async () => {
-    const a = await SpecVm.start(world, 'a', 'quito')
-    const b = await SpecVm.start(world, 'b', 'quito')
-    const c = await SpecVm.start(world, 'c', 'cumbaya')
-    await world.tick(a, b, c)
+    const a = await TestVm.start(harness, 'a', 'quito')
+    const b = await TestVm.start(harness, 'b', 'quito')
+    const c = await TestVm.start(harness, 'c', 'cumbaya')
+    await harness.tick(a, b, c)
     b.configVersion = 7
-    await world.tick(b)
-    await until(() => a.seenVersions.includes(7) && c.seenVersions.includes(7))
-    expect(a.member.addresses(KEEP_MS)).deep.equal({ addresses: ['a:1', 'b:1', 'c:1'], keepMs: KEEP_MS })
+    await harness.tick(b)
+    await waitUntil(() => a.seenVersions.includes(7) && c.seenVersions.includes(7))
+    expect(a.member.addresses(ADDRESS_TTL_MS)).deep.equal({ addresses: ['a:1', 'b:1', 'c:1'], keepMs: ADDRESS_TTL_MS })
     await b.member.announceLeaving()
-    await until(() => a.stateOf(b) === 'leaving' && c.stateOf(b) === 'leaving')
-    expect(a.member.addresses(KEEP_MS).addresses).deep.equal(['a:1', 'c:1'])
-    expect(world.table.find({ table: 'vms', key: 'b' })?.value).include({ state: 'leaving', configVersion: 7 })
+    await waitUntil(() => a.stateOf(b) === 'leaving' && c.stateOf(b) === 'leaving')
+    expect(a.member.addresses(ADDRESS_TTL_MS).addresses).deep.equal(['a:1', 'c:1'])
+    expect(harness.table.find({ table: 'vms', key: 'b' })?.value).include({ state: 'leaving', configVersion: 7 })
   })
 
   it('suspects an unresponsive VM, marks it gone by the VM list, and accepts its next incarnation', async () => {
-    const a = await SpecVm.start(world, 'a', 'quito')
-    const b = await SpecVm.start(world, 'b', 'quito')
-    await world.tick(a, b)
-    for (let i = 0; i < 4; i += 1) await world.tick(a)
+    const a = await TestVm.start(harness, 'a', 'quito')
+    const b = await TestVm.start(harness, 'b', 'quito')
+    await harness.tick(a, b)
+    for (let i = 0; i < 4; i += 1) await harness.tick(a)
     expect(a.stateOf(b)).equal('suspected')
     expect(a.lines.at(-1)).deep.equal({ event: 'peerSeen', fields: { peer: 'b', state: 'suspected', evidence: 'silence' } })
-    world.listed = [{ vm: 'b', domain: 'quito', address: 'b:1', state: 'gone' }]
-    for (let i = 0; i < 6; i += 1) await world.tick(a)
+    harness.listed = [{ vm: 'b', domain: 'quito', address: 'b:1', state: 'gone' }]
+    for (let i = 0; i < 6; i += 1) await harness.tick(a)
     expect(a.stateOf(b)).equal('gone')
-    const next = await SpecVm.start(world, 'b', 'quito', 2)
-    await world.tick(next)
-    for (let i = 0; i < 20; i += 1) await world.tick(a, next)
-    await until(() => a.stateOf(next) === 'live')
-    await world.tick(b)
+    const next = await TestVm.start(harness, 'b', 'quito', 2)
+    await harness.tick(next)
+    for (let i = 0; i < 20; i += 1) await harness.tick(a, next)
+    await waitUntil(() => a.stateOf(next) === 'live')
+    await harness.tick(b)
     expect(b.replacedBy).equal('b~2')
   })
 
   it('starts without the table and registers once it is available', async () => {
-    world.table.down = true
-    const a = await SpecVm.start(world, 'a', 'quito')
+    harness.table.down = true
+    const a = await TestVm.start(harness, 'a', 'quito')
     expect(a.member.members().map(member => member.vm)).deep.equal(['a'])
-    world.table.down = false
-    await world.tick(a)
-    await world.tick(a)
-    expect(world.table.find({ table: 'vms', key: 'a' })?.value).include({ holder: 'a~1' })
+    harness.table.down = false
+    await harness.tick(a)
+    await harness.tick(a)
+    expect(harness.table.find({ table: 'vms', key: 'a' })?.value).include({ holder: 'a~1' })
   })
 
   it('makes only a few VMs of the domain candidates for a role', async () => {
-    const vms: SpecVm[] = []
-    for (const name of ['a', 'b', 'c', 'd', 'e']) vms.push(await SpecVm.start(world, name, 'quito'))
-    await world.tick(...vms)
-    await world.tick(...vms)
-    await until(() => vms.filter(vm => vm.member.isCandidate('writer/quito', 'quito')).length === 3)
+    const vms: TestVm[] = []
+    for (const name of ['a', 'b', 'c', 'd', 'e']) vms.push(await TestVm.start(harness, name, 'quito'))
+    await harness.tick(...vms)
+    await harness.tick(...vms)
+    await waitUntil(() => vms.filter(vm => vm.member.isCandidate('writer/quito', 'quito')).length === 3)
     expect(vms.filter(vm => vm.member.isCandidate('writer/cumbaya', 'cumbaya'))).deep.equal([])
   })
 })
--- a/packages/rosemaryspread/src/membership/memberDriver.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.ts
@@ -21,7 +21,7 @@
 export const HEARTBEAT_METHOD = 'beat'
 
 /** Share of the period by which tick times vary, so that VMs started together do not stay in step. */
-const JITTER = 0.2
+const JITTER_RATIO = 0.2
 
 /** Current status of this VM. */
 export interface MemberStatus {
@@ -66,7 +66,7 @@
    * first attempt; while the table is unavailable, attempts continue in the background.
    */
   async start (): Promise<void> {
-    this.options.server.register(HEARTBEAT_METHOD, async (params, from) => { await this.takeHeartbeat(params, from) })
+    this.options.server.register(HEARTBEAT_METHOD, async (params, from) => { await this.handleHeartbeat(params, from) })
     this.running = true
     const first = this.tick()
     this.schedule()
@@ -76,8 +76,8 @@
   /** Runs one period; resolves when every call that it started has ended. */
   async tick (): Promise<void> {
     const { configVersion, openRequests } = this.options.status()
-    await this.feed({ kind: 'self', configVersion, openRequests })
-    await this.feed({ kind: 'tick' })
+    await this.dispatch({ kind: 'self', configVersion, openRequests })
+    await this.dispatch({ kind: 'tick' })
   }
 
   /** Stops the heartbeats. */
@@ -116,11 +116,11 @@
 
   /** Notifies the other VMs immediately that this one accepts no new work, and writes it to the table. */
   async announceLeaving (): Promise<void> {
-    await this.feed({ kind: 'leave' })
+    await this.dispatch({ kind: 'leave' })
   }
 
   private schedule (): void {
-    const waitMs = this.limits.periodMs * (1 + (this.options.random() - 0.5) * JITTER)
+    const waitMs = this.limits.periodMs * (1 + (this.options.random() - 0.5) * JITTER_RATIO)
     this.timer = setTimeout(() => {
       if (!this.running) return
       this.schedule()
@@ -128,34 +128,34 @@
     }, waitMs)
   }
 
-  private async takeHeartbeat (params: unknown, from: HolderId): Promise<void> {
+  private async handleHeartbeat (params: unknown, from: HolderId): Promise<void> {
     const heartbeat = heartbeatSchema.parse(params)
-    await this.feed({ kind: 'heartbeatReceived', from, heartbeat })
-    this.offerConfigVersion(heartbeat.self.config, from)
+    await this.dispatch({ kind: 'heartbeatReceived', from, heartbeat })
+    this.reportConfigVersion(heartbeat.self.config, from)
   }
 
-  private offerConfigVersion (version: number | null, from: HolderId): void {
+  private reportConfigVersion (version: number | null, from: HolderId): void {
     if (version === null || this.options.onConfigVersion === undefined) return
     const sender = this.members().find(member => member.holder === from)
     if (sender !== undefined) this.options.onConfigVersion(version, sender.peers)
   }
 
-  private async feed (event: MemberEvent): Promise<void> {
+  private async dispatch (event: MemberEvent): Promise<void> {
     const actions = this.decider.handle(event, this.now())
-    await Promise.all(actions.map(async action => { await this.carryOut(action) }))
+    await Promise.all(actions.map(async action => { await this.execute(action) }))
   }
 
-  private async carryOut (action: MemberAction): Promise<void> {
-    const askedAt = this.now()
+  private async execute (action: MemberAction): Promise<void> {
+    const requestedAt = this.now()
     const { self, log } = this.options
     switch (action.kind) {
       case 'beat': return this.send(action.to, action.heartbeat)
-      case 'scan': return await this.feedRead(await this.rows.scan(), true, askedAt)
-      case 'readRows': return await this.feedRead(await this.rows.read(action.vms), false, askedAt)
-      case 'readList': return await this.readList(askedAt)
-      case 'readLocalRow': return await this.feed(await this.rows.readOwn(self.vm))
-      case 'writeLocalRow': return await this.feed({ kind: 'localRowWritten', outcome: await this.rows.writeOwn(action.row, action.version) })
-      case 'deleteRow': return await this.rows.drop(action.vm, action.version)
+      case 'scan': return await this.dispatchRead(await this.rows.scan(), true, requestedAt)
+      case 'readRows': return await this.dispatchRead(await this.rows.read(action.vms), false, requestedAt)
+      case 'readList': return await this.readList(requestedAt)
+      case 'readLocalRow': return await this.dispatch(await this.rows.readLocalRow(self.vm))
+      case 'writeLocalRow': return await this.dispatch({ kind: 'localRowWritten', outcome: await this.rows.writeLocalRow(action.row, action.version) })
+      case 'deleteRow': return await this.rows.deleteRow(action.vm, action.version)
       case 'changed': return log.write('peerSeen', { peer: action.vm, state: action.state, evidence: action.evidence })
       case 'jumped': return log.write('clockJumped', { jumpMs: Math.round(action.jumpMs) })
       case 'replaced': return this.options.onReplaced(action.by)
@@ -166,15 +166,15 @@
     for (const address of to) this.options.client.notify(address, HEARTBEAT_METHOD, heartbeat)
   }
 
-  private async feedRead (read: Awaited<ReturnType<MemberRows['scan']>>, whole: boolean, askedAt: Instant): Promise<void> {
-    if (read !== undefined) await this.feed({ kind: 'rowsRead', rows: read, whole, requestedAt: askedAt })
+  private async dispatchRead (read: Awaited<ReturnType<MemberRows['scan']>>, isFullScan: boolean, requestedAt: Instant): Promise<void> {
+    if (read !== undefined) await this.dispatch({ kind: 'rowsRead', rows: read, whole: isFullScan, requestedAt })
   }
 
-  private async readList (askedAt: Instant): Promise<void> {
+  private async readList (requestedAt: Instant): Promise<void> {
     const answer = await this.options.vmList.list()
     const list = answer.caseOf({ Left: err => this.fault(err), Right: value => value })
     if (list === undefined) return
-    await this.feed({ kind: 'listRead', vms: list.vms, lagMs: Math.max(0, list.now - list.asOf), requestedAt: askedAt })
+    await this.dispatch({ kind: 'listRead', vms: list.vms, lagMs: Math.max(0, list.now - list.asOf), requestedAt })
   }
 
   private fault (err: Failure): undefined {
--- a/packages/rosemaryspread/src/membership/memberRows.ts
+++ b/packages/rosemaryspread/src/membership/memberRows.ts
@@ -6,7 +6,7 @@
 import { MEMBER_TABLE, memberRowSchema, type MemberEvent, type MemberRow, type LocalWriteOutcome, type StoredMember } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-const SCAN_PAGE = 500
+const SCAN_PAGE_ROWS = 500
 
 export class MemberRows {
   constructor (private readonly table: TableStore, private readonly log: EventLog) {}
@@ -16,7 +16,7 @@
     const found: StoredMember[] = []
     let after: string | undefined
     do {
-      const page = await this.table.scan({ table: MEMBER_TABLE, prefix: '', limit: SCAN_PAGE, ...(after === undefined ? {} : { after }) })
+      const page = await this.table.scan({ table: MEMBER_TABLE, prefix: '', limit: SCAN_PAGE_ROWS, ...(after === undefined ? {} : { after }) })
       const answer = page.caseOf({ Left: err => this.fault('scan', err), Right: value => value })
       if (answer === undefined) return undefined
       found.push(...parseRows(answer.rows, answer.now))
@@ -35,7 +35,7 @@
   }
 
   /** Reads the row of this VM; returns the event for the membership table. */
-  async readOwn (vm: string): Promise<MemberEvent> {
+  async readLocalRow (vm: string): Promise<MemberEvent> {
     const answer = await this.table.read([{ table: MEMBER_TABLE, key: vm }])
     return answer.caseOf<MemberEvent>({
       Left: err => {
@@ -50,11 +50,11 @@
    * Writes the row of this VM if its version is unchanged.
    * @param version - last known version; null when there is no row
    */
-  async writeOwn (row: MemberRow, version: number | null): Promise<LocalWriteOutcome> {
+  async writeLocalRow (row: MemberRow, version: number | null): Promise<LocalWriteOutcome> {
     const key = { table: MEMBER_TABLE, key: row.vm }
     const answer = await this.table.transact({ checks: [{ ...key, version }], writes: [{ ...key, value: row }] })
     return answer.caseOf<LocalWriteOutcome>({
-      Left: err => this.failedWrite(err),
+      Left: err => this.toWriteOutcome(err),
       Right: written => ({ kind: 'written', version: written.version })
     })
   }
@@ -63,13 +63,13 @@
    * Deletes the row of a VM if its version is unchanged; a failure is logged and left to a later attempt.
    * @param version - last known version
    */
-  async drop (vm: string, version: number): Promise<void> {
+  async deleteRow (vm: string, version: number): Promise<void> {
     const key = { table: MEMBER_TABLE, key: vm }
     const answer = await this.table.transact({ checks: [{ ...key, version }], writes: [{ ...key, value: null }] })
-    answer.ifLeft(err => this.failedWrite(err))
+    answer.ifLeft(err => this.toWriteOutcome(err))
   }
 
-  private failedWrite (err: Failure): LocalWriteOutcome {
+  private toWriteOutcome (err: Failure): LocalWriteOutcome {
     if (err.code === 'platformConflict') return { kind: 'conflict' }
     this.fault('transact', err)
     return { kind: err.code === 'platformUnavailable' ? 'unavailable' : 'unknown' }
--- a/packages/rosemaryspread/src/membership/membershipTable.fixture.ts
+++ b/packages/rosemaryspread/src/membership/membershipTable.fixture.ts
@@ -24,7 +24,7 @@
 
   async transact ({ checks, writes }: Transaction): Promise<Either<Failure, TransactAnswer>> {
     if (this.down) return Left(new Failure('platformUnavailable', 'down'))
-    if (!checks.every(check => this.fits(check))) return Left(new Failure('platformConflict', 'conflict'))
+    if (!checks.every(check => this.holds(check))) return Left(new Failure('platformConflict', 'conflict'))
     this.version += 1
     for (const write of writes) this.put(write)
     if (this.loseAnswers === 0) return Right({ version: this.version, now: this.now })
@@ -40,7 +40,7 @@
     return this.down ? Left(new Failure('platformUnavailable', 'down')) : Right(answer())
   }
 
-  private fits (check: RowCheck): boolean {
+  private holds (check: RowCheck): boolean {
     return (this.find(check)?.version ?? null) === check.version
   }
 
--- a/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
+++ b/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
@@ -6,11 +6,11 @@
 import { Right } from 'purify-ts'
 import type { FeedHandler, FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import { directly } from '../digest/directTables.fixture.js'
+import { directTables } from '../digest/directTables.fixture.js'
 import type { PresenceRow } from './presenceTypes.js'
 import { VmPresence } from './vmPresence.js'
 
-const MOST = 64
+const MAX_ADDRESSES = 64
 const DOMAINS = ['calderon', 'cumbaya', 'quito', 'sangolqui', 'tababela']
 
 const store: TableStore = {
@@ -25,27 +25,27 @@
 }
 
 /** Rows of a fleet of equal domains. */
-function fleet (vms: number): readonly PresenceRow[] {
+function fleetRows (vms: number): readonly PresenceRow[] {
   return Array.from({ length: vms }, (_, index) => vmRow(DOMAINS[index % DOMAINS.length] ?? '', index))
 }
 
 /** Presence of the first VM of the rows, which has received the rows of the others. */
-async function presenceOf (rows: readonly PresenceRow[]): Promise<VmPresence> {
+async function createPresence (rows: readonly PresenceRow[]): Promise<VmPresence> {
   const [self, ...others] = rows
   if (self === undefined) throw new Error('the fleet needs at least one VM')
   let handler: FeedHandler | undefined
   const feed: TableFeed = {
-    follow: (_table, taken) => {
-      handler = taken
+    follow: (_table, followed) => {
+      handler = followed
       return () => {}
     }
   }
   const { vm, holder, domain, region, callers } = self
-  const presence = new VmPresence({ self: { vm, holder, domain, region, callers }, table: store, feed, digest: directly, clock: { now: () => ({ mono: 0, wall: 0 }) }, log: { write: () => {} }, onJoined: () => {} })
+  const presence = new VmPresence({ self: { vm, holder, domain, region, callers }, table: store, feed, digest: directTables, clock: { now: () => ({ mono: 0, wall: 0 }) }, log: { write: () => {} }, onJoined: () => {} })
   presence.start()
   handler?.replaced(others.map((value): FeedRow => ({ key: value.vm, value, version: 1 })))
-  presence.pressed(self.isPressed === true)
-  await presence.tell(self.state)
+  presence.setOverloaded(self.isPressed === true)
+  await presence.publishState(self.state)
   return presence
 }
 
@@ -54,24 +54,24 @@
 
 interface SizeCase {
   readonly vms: number
-  readonly named: number
+  readonly advertised: number
   /** Failure domains of the advertised VMs. */
   readonly domains: number
 }
 
 const sizes: readonly SizeCase[] = [
-  { vms: 1, named: 1, domains: 1 },
-  { vms: 6, named: 6, domains: 5 },
-  { vms: 64, named: 13, domains: 1 },
-  { vms: 65, named: 13, domains: 1 },
-  { vms: 195, named: 39, domains: 1 },
-  { vms: 360, named: MOST, domains: 1 }
+  { vms: 1, advertised: 1, domains: 1 },
+  { vms: 6, advertised: 6, domains: 5 },
+  { vms: 64, advertised: 13, domains: 1 },
+  { vms: 65, advertised: 13, domains: 1 },
+  { vms: 195, advertised: 39, domains: 1 },
+  { vms: 360, advertised: MAX_ADDRESSES, domains: 1 }
 ]
 
 describe('addresses for callers of a large fleet', () => {
-  for (const { vms, named, domains } of sizes) {
+  for (const { vms, advertised: named, domains } of sizes) {
     it(`include ${named} of ${vms} VMs in ${domains} failure domains`, async () => {
-      const presence = await presenceOf(fleet(vms))
+      const presence = await createPresence(fleetRows(vms))
       const addresses = presence.addresses(callerIn('calderon'))
       expect(addresses).to.have.length(named)
       expect(new Set(addresses)).to.have.length(named)
@@ -81,73 +81,73 @@
 
   it('include every VM about equally often over all callers', async () => {
     const vms = 360
-    const presence = await presenceOf(fleet(vms))
+    const presence = await createPresence(fleetRows(vms))
     const counts = new Map<string, number>()
     const callers = Array.from({ length: 1_000 }, (_, index) => callerIn(DOMAINS[index % DOMAINS.length] ?? '', `c${index}`))
     for (const caller of callers) for (const address of presence.addresses(caller)) counts.set(address, (counts.get(address) ?? 0) + 1)
-    const mean = callers.length * MOST / vms
+    const mean = callers.length * MAX_ADDRESSES / vms
     expect(counts.size).to.equal(vms)
     expect(Math.min(...counts.values())).to.be.above(mean * 0.8)
     expect(Math.max(...counts.values())).to.be.below(mean * 1.2)
   })
 
   it('are the same from every VM', async () => {
-    const rows = fleet(195)
-    const one = await presenceOf(rows)
-    const other = await presenceOf([...rows].reverse())
+    const rows = fleetRows(195)
+    const one = await createPresence(rows)
+    const other = await createPresence([...rows].reverse())
     for (const domain of [...DOMAINS, 'elsewhere']) expect([...one.addresses(callerIn(domain))].sort()).to.deep.equal([...other.addresses(callerIn(domain))].sort())
   })
 
-  const placed: ReadonlyArray<{ readonly name: string, readonly rows: readonly PresenceRow[], readonly domain: string, readonly named: (addresses: readonly string[]) => void }> = [
+  const locationCases: ReadonlyArray<{ readonly name: string, readonly rows: readonly PresenceRow[], readonly domain: string, readonly check: (addresses: readonly string[]) => void }> = [
     {
       name: 'VMs of other domains when the domain of the caller has a single VM',
-      rows: [...fleet(100), vmRow('alone', 0)],
+      rows: [...fleetRows(100), vmRow('alone', 0)],
       domain: 'alone',
-      named: addresses => {
+      check: addresses => {
         expect(addresses).to.include('alone-0:1')
-        expect(addresses).to.have.length(MOST)
+        expect(addresses).to.have.length(MAX_ADDRESSES)
       }
     },
     {
       name: 'VMs of the region of the caller before others',
-      rows: [...fleet(100), ...Array.from({ length: 20 }, (_, index) => vmRow('far', index, { region: 'there' }))],
+      rows: [...fleetRows(100), ...Array.from({ length: 20 }, (_, index) => vmRow('far', index, { region: 'there' }))],
       domain: 'nowhere',
-      named: addresses => { expect(addresses.map(domainOf)).to.not.include('far') }
+      check: addresses => { expect(addresses.map(domainOf)).to.not.include('far') }
     },
     {
       name: 'no overloaded VM',
-      rows: [...fleet(60), ...Array.from({ length: 10 }, (_, index) => vmRow('calderon', 100 + index, { isPressed: true }))],
+      rows: [...fleetRows(60), ...Array.from({ length: 10 }, (_, index) => vmRow('calderon', 100 + index, { isPressed: true }))],
       domain: 'calderon',
-      named: addresses => { expect(addresses.filter(address => /-10\d:/.test(address))).to.have.length(0) }
+      check: addresses => { expect(addresses.filter(address => /-10\d:/.test(address))).to.have.length(0) }
     },
     {
       name: 'other domains when most VMs of the domain of the caller are overloaded',
-      rows: fleet(100).map((row, index) => row.domain === 'calderon' && index > 20 ? { ...row, isPressed: true } : row),
+      rows: fleetRows(100).map((row, index) => row.domain === 'calderon' && index > 20 ? { ...row, isPressed: true } : row),
       domain: 'calderon',
-      named: addresses => { expect(new Set(addresses.map(domainOf))).to.have.length(DOMAINS.length) }
+      check: addresses => { expect(new Set(addresses.map(domainOf))).to.have.length(DOMAINS.length) }
     },
     {
       name: 'overloaded VMs when all are overloaded',
-      rows: fleet(20).map(row => ({ ...row, isPressed: true })),
+      rows: fleetRows(20).map(row => ({ ...row, isPressed: true })),
       domain: 'calderon',
-      named: addresses => { expect(addresses).to.have.length(20) }
+      check: addresses => { expect(addresses).to.have.length(20) }
     },
     {
       name: 'no leaving or starting VM',
-      rows: fleet(60).map((row, index) => ({ ...row, state: index % 3 === 0 ? 'serving' : index % 3 === 1 ? 'leaving' : 'starting' })),
+      rows: fleetRows(60).map((row, index) => ({ ...row, state: index % 3 === 0 ? 'serving' : index % 3 === 1 ? 'leaving' : 'starting' })),
       domain: 'nowhere',
-      named: addresses => { expect(addresses).to.have.length(20) }
+      check: addresses => { expect(addresses).to.have.length(20) }
     }
   ]
-  for (const { name, rows, domain, named } of placed) {
+  for (const { name, rows, domain, check: named } of locationCases) {
     it(`include ${name}`, async () => {
-      named((await presenceOf(rows)).addresses(callerIn(domain)))
+      named((await createPresence(rows)).addresses(callerIn(domain)))
     })
   }
 
   it('include VMs of all domains for a caller without a location', async () => {
-    const addresses = (await presenceOf(fleet(195))).addresses({ caller: 'c' })
-    expect(addresses).to.have.length(MOST)
+    const addresses = (await createPresence(fleetRows(195))).addresses({ caller: 'c' })
+    expect(addresses).to.have.length(MAX_ADDRESSES)
     expect(new Set(addresses.map(domainOf))).to.have.length(DOMAINS.length)
   })
 })
--- a/packages/rosemaryspread/src/presence/fleetKey.ts
+++ b/packages/rosemaryspread/src/presence/fleetKey.ts
@@ -18,12 +18,12 @@
   const read = await table.read([KEY_ROW])
   if (read.isLeft()) return read
   const found = read.unsafeCoerce().rows[0]
-  if (found === null || found === undefined) return await makeKey(table)
+  if (found === null || found === undefined) return await createKey(table)
   const row = keyRowSchema.safeParse(found.value)
   return row.success ? Right(row.data.secret) : Left(new Failure('internal', 'the stored row of the fleet key is malformed'))
 }
 
-async function makeKey (table: TableStore): Promise<Either<Failure, string>> {
+async function createKey (table: TableStore): Promise<Either<Failure, string>> {
   const secret = randomBytes(KEY_BYTES).toString('base64')
   const written = await table.transact({ checks: [{ ...KEY_ROW, version: null }], writes: [{ ...KEY_ROW, value: { secret } }] })
   return written.map(() => secret)
--- a/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
@@ -10,7 +10,7 @@
 const clock = { now: () => ({ mono: performance.now(), wall: 0 }) }
 const log = { write: () => {} }
 
-function linksOf (holder: string, table: FixtureTable, address: string | undefined): FleetLinks {
+function createLinks (holder: string, table: FixtureTable, address: string | undefined): FleetLinks {
   const links = new FleetLinks({ holder, address, table, clock, log, random: () => 0.5, onSilence: () => {} })
   links.serve('echo', async (params, from) => ({ params, from }))
   return links
@@ -47,8 +47,8 @@
       const table = new FixtureTable()
       const other = new FixtureTable()
       if (key !== undefined) await other.transact({ checks: [], writes: [{ table: 'keys', key: 'peers', value: { secret: key } }] })
-      const callee = linksOf('vm1~a', table, '127.0.0.1:0')
-      const caller = linksOf('vm2~a', key === undefined ? table : other, '127.0.0.1:0')
+      const callee = createLinks('vm1~a', table, '127.0.0.1:0')
+      const caller = createLinks('vm2~a', key === undefined ? table : other, '127.0.0.1:0')
       await callee.open()
       const address = callee.listening ?? ''
       if (opens) await caller.open()
@@ -61,7 +61,7 @@
   it('wait for the key while the table is unavailable, and stop waiting when closed', async () => {
     const table = new FixtureTable()
     table.down = true
-    const links = linksOf('vm1~a', table, '127.0.0.1:0')
+    const links = createLinks('vm1~a', table, '127.0.0.1:0')
     const opened = links.open()
     await links.close()
     await opened
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -19,7 +19,7 @@
  * Detects a connection that became unresponsive without a reset within a second of its use; the next call
  * opens another. Round trips take a few milliseconds.
  */
-const limits: LinkLimits = { ...defaultLinkLimits, handshakeMs: 500, probeAfterMs: 400, probeTimeoutMs: 400 }
+const linkLimits: LinkLimits = { ...defaultLinkLimits, handshakeMs: 500, probeAfterMs: 400, probeTimeoutMs: 400 }
 
 export interface FleetLinksParts {
   readonly holder: string
@@ -38,7 +38,7 @@
  * Peers up to which notifications are broadcast over links. In a larger fleet few of them concern any one recipient, while the links
  * between all VMs cost processor time; updates about terminated targets arrive as quickly through a feed.
  */
-export const MOST_TOLD = 20
+export const MAX_NOTIFIED_PEERS = 20
 
 export class FleetLinks {
   private readonly methods = new Map<string, PeerMethod>()
@@ -65,10 +65,10 @@
     const key = await this.key()
     if (key === undefined) return
     const identity = { holder, keys: [key] }
-    const server = new JsonRpcPeerServer(identity, log, limits)
+    const server = new JsonRpcPeerServer(identity, log, linkLimits)
     for (const [method, handler] of this.methods) server.register(method, handler)
     this.server = server
-    this.client = new JsonRpcPeerClient({ identity, clock, random, limits, onSilence })
+    this.client = new JsonRpcPeerClient({ identity, clock, random, limits: linkLimits, onSilence })
     await server.listen(address)
   }
 
--- a/packages/rosemaryspread/src/presence/presenceView.spec.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.spec.ts
@@ -12,15 +12,15 @@
   readonly name: string
   readonly act: (view: PresenceView) => void
   readonly at: number
-  readonly others: readonly string[]
+  readonly expected: readonly string[]
 }
 
 const cases: readonly PresenceCase[] = [
-  { name: 'lists the other VMs', act: () => {}, at: 0, others: ['b', 'c'] },
-  { name: 'drops unresponsive VMs', act: view => { view.changed('b', row('b', 2), 900) }, at: 1_500, others: ['b'] },
-  { name: 'drops a VM whose row was deleted', act: view => { view.changed('b', null, 100) }, at: 100, others: ['c'] },
-  { name: 'does not count an unchanged row of a full read as a heartbeat', act: view => { view.replaced([row('b', 1), row('c', 2)], 900) }, at: 1_500, others: ['c'] },
-  { name: 'retains all VMs while the feed is down', act: view => { view.feedFailed() }, at: 50_000, others: ['b', 'c'] },
+  { name: 'lists the other VMs', act: () => {}, at: 0, expected: ['b', 'c'] },
+  { name: 'drops unresponsive VMs', act: view => { view.changed('b', row('b', 2), 900) }, at: 1_500, expected: ['b'] },
+  { name: 'drops a VM whose row was deleted', act: view => { view.changed('b', null, 100) }, at: 100, expected: ['c'] },
+  { name: 'does not count an unchanged row of a full read as a heartbeat', act: view => { view.replaced([row('b', 1), row('c', 2)], 900) }, at: 1_500, expected: ['c'] },
+  { name: 'retains all VMs while the feed is down', act: view => { view.feedFailed() }, at: 50_000, expected: ['b', 'c'] },
   {
     name: 'restarts the expiry of all VMs once the feed recovers',
     act: view => {
@@ -28,7 +28,7 @@
       view.changed('b', row('b', 2), 50_000)
     },
     at: 50_900,
-    others: ['b', 'c']
+    expected: ['b', 'c']
   },
   {
     name: 'drops VMs that stay unresponsive after the feed recovers',
@@ -38,17 +38,17 @@
       view.changed('b', row('b', 3), 51_400)
     },
     at: 51_600,
-    others: ['b']
+    expected: ['b']
   }
 ]
 
 describe('PresenceView', () => {
-  for (const { name, act, at, others } of cases) {
+  for (const { name, act, at, expected: others } of cases) {
     it(name, () => {
       const view = new PresenceView('a', () => EXPIRY_MS, () => EXPIRY_MS)
       view.replaced([row('a', 1), row('b', 1), row('c', 1)], 0)
       act(view)
-      expect(view.others(at).map(({ vm }) => vm)).to.deep.equal(others)
+      expect(view.presentPeers(at).map(({ vm }) => vm)).to.deep.equal(others)
     })
   }
 })
--- a/packages/rosemaryspread/src/presence/presenceView.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.ts
@@ -9,27 +9,27 @@
  * Milliseconds for which the list of VMs is cached while no row changes. Each pass over the budgets reads it many times, and
  * an unresponsive VM is only detected after seconds anyway.
  */
-const KEPT_MS = 100
+const CACHE_MS = 100
 
-interface Seen {
+interface SeenRow {
   readonly row: PresenceRow
   readonly at: number
 }
 
 /** The other VMs present at one moment. */
-interface Present {
+interface PresentVms {
   readonly all: readonly PresenceRow[]
   /** The VMs that have not missed heartbeats. */
-  readonly punctual: readonly PresenceRow[]
+  readonly onTime: readonly PresenceRow[]
 }
 
 /** Last row and last change of each VM. Times are monotonic milliseconds. */
 export class PresenceView {
-  private seen = new Map<string, Seen>()
+  private seen = new Map<string, SeenRow>()
   private healthySince: number | undefined
-  private isVouched = false
-  private kept: Present | undefined
-  private keptAt = -Infinity
+  private isFromDigest = false
+  private cached: PresentVms | undefined
+  private cachedAt = -Infinity
 
   /**
    * @param self - name of this VM
@@ -43,10 +43,10 @@
     const before = this.seen
     this.seen = new Map()
     for (const row of rows) {
-      const known = before.get(row.vm)
-      this.seen.set(row.vm, { row, at: known?.row.beat === row.beat ? known.at : mono })
+      const previous = before.get(row.vm)
+      this.seen.set(row.vm, { row, at: previous?.row.beat === row.beat ? previous.at : mono })
     }
-    this.feedWorks(mono)
+    this.markFeedHealthy(mono)
   }
 
   /**
@@ -56,58 +56,58 @@
   changed (vm: string, row: PresenceRow | null, mono: number): void {
     if (row === null) this.seen.delete(vm)
     else this.seen.set(vm, { row, at: mono })
-    this.feedWorks(mono)
+    this.markFeedHealthy(mono)
   }
 
   /** Suspends expiry until the feed delivers rows again. */
   feedFailed (): void {
     this.healthySince = undefined
-    this.kept = undefined
+    this.cached = undefined
   }
 
   /** Sets whether rows come from a digest, which reports late and terminated VMs itself; expiry is then off. */
-  vouched (isVouched: boolean): void {
-    this.isVouched = isVouched
+  sourceChanged (isFromDigest: boolean): void {
+    this.isFromDigest = isFromDigest
     this.healthySince = undefined
-    this.kept = undefined
+    this.cached = undefined
   }
 
   /** Stage of a VM by its heartbeats; this VM always counts as present. */
   stageOf (vm: string, mono: number): DigestStage {
     const seen = this.seen.get(vm)
     if (vm === this.self || seen === undefined) return 'present'
-    const silentMs = this.silentMs(seen.at, mono)
+    const silentMs = this.silenceMs(seen.at, mono)
     if (silentMs > this.expiryMs(this.seen.size)) return 'gone'
     return silentMs > this.lateMs(this.seen.size) ? 'late' : 'present'
   }
 
   /** Other VMs that have not expired. */
-  others (mono: number): readonly PresenceRow[] {
+  presentPeers (mono: number): readonly PresenceRow[] {
     return this.present(mono).all
   }
 
   /** Other VMs that are not late. */
-  punctual (mono: number): readonly PresenceRow[] {
-    return this.present(mono).punctual
+  onTimePeers (mono: number): readonly PresenceRow[] {
+    return this.present(mono).onTime
   }
 
-  private present (mono: number): Present {
-    if (this.kept !== undefined && mono - this.keptAt < KEPT_MS) return this.kept
-    const others = [...this.seen.values()].filter(({ row }) => row.vm !== this.self)
-    const heardWithin = (ms: number): readonly PresenceRow[] => others.filter(({ at }) => this.silentMs(at, mono) <= ms).map(({ row }) => row)
-    const punctual = heardWithin(this.lateMs(this.seen.size)).filter(({ isLate }) => isLate !== true)
-    this.kept = { all: heardWithin(this.expiryMs(this.seen.size)), punctual }
-    this.keptAt = mono
-    return this.kept
+  private present (mono: number): PresentVms {
+    if (this.cached !== undefined && mono - this.cachedAt < CACHE_MS) return this.cached
+    const peers = [...this.seen.values()].filter(({ row }) => row.vm !== this.self)
+    const heardWithin = (ms: number): readonly PresenceRow[] => peers.filter(({ at }) => this.silenceMs(at, mono) <= ms).map(({ row }) => row)
+    const onTime = heardWithin(this.lateMs(this.seen.size)).filter(({ isLate }) => isLate !== true)
+    this.cached = { all: heardWithin(this.expiryMs(this.seen.size)), onTime }
+    this.cachedAt = mono
+    return this.cached
   }
 
-  private feedWorks (mono: number): void {
+  private markFeedHealthy (mono: number): void {
     this.healthySince ??= mono
-    this.kept = undefined
+    this.cached = undefined
   }
 
   /** Milliseconds without a change of the row while the feed worked. */
-  private silentMs (at: number, mono: number): number {
-    return this.isVouched || this.healthySince === undefined ? 0 : mono - Math.max(at, this.healthySince)
+  private silenceMs (at: number, mono: number): number {
+    return this.isFromDigest || this.healthySince === undefined ? 0 : mono - Math.max(at, this.healthySince)
   }
 }
--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -7,7 +7,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { FeedHandler, FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import { directly } from '../digest/directTables.fixture.js'
+import { directTables } from '../digest/directTables.fixture.js'
 import type { PresenceRow } from './presenceTypes.js'
 import { PresenceView } from './presenceView.js'
 import { VmPresence } from './vmPresence.js'
@@ -19,7 +19,7 @@
 }
 
 /** A feed whose updates the test sends through `handler`. */
-class Feed implements TableFeed {
+class ManualFeed implements TableFeed {
   handler: FeedHandler | undefined
 
   follow (_table: string, handler: FeedHandler): () => void {
@@ -33,36 +33,36 @@
   return { key: vm, value, version: beat }
 }
 
-function presenceOf (feed: TableFeed, clock: { readonly mono: number }): VmPresence {
+function createPresence (feed: TableFeed, clock: { readonly mono: number }): VmPresence {
   return new VmPresence({
     self: { vm: 'a', holder: 'a~1', domain: 'd', callers: 'a:1' },
     table: store,
     feed,
-    digest: directly,
+    digest: directTables,
     clock: { now: () => ({ mono: clock.mono, wall: 0 }) },
     log: { write: () => {} },
     onJoined: () => {}
   })
 }
 
-type Told = (feed: FeedHandler) => void
-const changed = (...rows: readonly FeedRow[]): Told => feed => { feed.changed(rows) }
-const replaced = (...rows: readonly FeedRow[]): Told => feed => { feed.replaced(rows) }
+type FeedUpdate = (feed: FeedHandler) => void
+const changed = (...rows: readonly FeedRow[]): FeedUpdate => feed => { feed.changed(rows) }
+const replaced = (...rows: readonly FeedRow[]): FeedUpdate => feed => { feed.replaced(rows) }
 
-const cases: ReadonlyArray<{ readonly name: string, readonly told: readonly Told[], readonly joined: readonly string[] }> = [
-  { name: 'reports each VM with its process', told: [changed(row('b', '1', 1)), changed(row('c', '1', 1))], joined: ['b~1', 'c~1'] },
-  { name: 'does not report itself', told: [changed(row('a', '1', 1))], joined: [] },
-  { name: 'reports a process once', told: [changed(row('b', '1', 1)), changed(row('b', '1', 2)), replaced(row('b', '1', 3))], joined: ['b~1'] },
-  { name: 'reports a VM that was restarted', told: [changed(row('b', '1', 1)), changed(row('b', '2', 1))], joined: ['b~1', 'b~2'] },
-  { name: 'reports all VMs of a full read', told: [replaced(row('a', '1', 1), row('b', '1', 1), row('c', '1', 1))], joined: ['b~1', 'c~1'] },
-  { name: 'does not report a process again after its row was missing', told: [changed(row('b', '1', 1)), changed({ key: 'b', value: null, version: 2 }), changed(row('b', '1', 3))], joined: ['b~1'] }
+const cases: ReadonlyArray<{ readonly name: string, readonly updates: readonly FeedUpdate[], readonly joined: readonly string[] }> = [
+  { name: 'reports each VM with its process', updates: [changed(row('b', '1', 1)), changed(row('c', '1', 1))], joined: ['b~1', 'c~1'] },
+  { name: 'does not report itself', updates: [changed(row('a', '1', 1))], joined: [] },
+  { name: 'reports a process once', updates: [changed(row('b', '1', 1)), changed(row('b', '1', 2)), replaced(row('b', '1', 3))], joined: ['b~1'] },
+  { name: 'reports a VM that was restarted', updates: [changed(row('b', '1', 1)), changed(row('b', '2', 1))], joined: ['b~1', 'b~2'] },
+  { name: 'reports all VMs of a full read', updates: [replaced(row('a', '1', 1), row('b', '1', 1), row('c', '1', 1))], joined: ['b~1', 'c~1'] },
+  { name: 'does not report a process again after its row was missing', updates: [changed(row('b', '1', 1)), changed({ key: 'b', value: null, version: 2 }), changed(row('b', '1', 3))], joined: ['b~1'] }
 ]
 
 /**
  * Guards against an expiry that ignores the size of the fleet: a VM of 360 writes a heartbeat every 9 s, so an expiry of 6 s
  * would make peers, and with them the owners of budgets, disappear and return continually.
  */
-const ages: ReadonlyArray<{ readonly vms: number, readonly silentMs: number, readonly isPresent: boolean }> = [
+const silenceCases: ReadonlyArray<{ readonly vms: number, readonly silentMs: number, readonly isPresent: boolean }> = [
   { vms: 6, silentMs: 5_900, isPresent: true },
   { vms: 6, silentMs: 6_100, isPresent: false },
   { vms: 360, silentMs: 9_000, isPresent: true },
@@ -70,11 +70,11 @@
 ]
 
 describe('presence of a VM without heartbeats', () => {
-  for (const { vms, silentMs, isPresent } of ages) {
+  for (const { vms, silentMs, isPresent } of silenceCases) {
     it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
-      const feed = new Feed()
+      const feed = new ManualFeed()
       const clock = { mono: 0 }
-      const presence = presenceOf(feed, clock)
+      const presence = createPresence(feed, clock)
       presence.start()
       feed.handler?.replaced(Array.from({ length: vms }, (_, index) => row(index === 0 ? 'a' : `b${index}`, '1', 1)))
       clock.mono = silentMs
@@ -94,9 +94,9 @@
   ]
   for (const { name, stepMs, size } of cases) {
     it(`${name}: ${size} VMs`, () => {
-      const feed = new Feed()
+      const feed = new ManualFeed()
       const clock = { mono: 0 }
-      const presence = presenceOf(feed, clock)
+      const presence = createPresence(feed, clock)
       presence.start()
       feed.handler?.replaced([row('a', '1', 1), row('b', '1', 1), row('c', '1', 1)])
       for (; clock.mono < 10_000; clock.mono += stepMs) presence.tick()
@@ -112,21 +112,21 @@
  * that they try, so a VM is no longer advertised after three.
  */
 describe('addresses for callers', () => {
-  const cases: ReadonlyArray<{ readonly name: string, readonly vms: number, readonly ended: number, readonly afterMs: number, readonly named: number, readonly isFeedDown?: true }> = [
-    { name: 'all VMs while they send heartbeats', vms: 16, ended: 0, afterMs: 9_000, named: 16 },
-    { name: 'a terminated VM until it has missed three heartbeats', vms: 16, ended: 13, afterMs: 4_000, named: 16 },
-    { name: 'no VM that missed three heartbeats', vms: 16, ended: 13, afterMs: 5_000, named: 3 },
-    { name: 'no VM of a large fleet that missed three heartbeats', vms: 79, ended: 60, afterMs: 6_500, named: 19 },
-    { name: 'only the VM itself when all others missed three heartbeats', vms: 7, ended: 6, afterMs: 5_000, named: 1 },
-    { name: 'all VMs while the feed is down', vms: 16, ended: 15, afterMs: 9_000, named: 16, isFeedDown: true }
+  const cases: ReadonlyArray<{ readonly name: string, readonly vms: number, readonly ended: number, readonly afterMs: number, readonly advertised: number, readonly isFeedDown?: true }> = [
+    { name: 'all VMs while they send heartbeats', vms: 16, ended: 0, afterMs: 9_000, advertised: 16 },
+    { name: 'a terminated VM until it has missed three heartbeats', vms: 16, ended: 13, afterMs: 4_000, advertised: 16 },
+    { name: 'no VM that missed three heartbeats', vms: 16, ended: 13, afterMs: 5_000, advertised: 3 },
+    { name: 'no VM of a large fleet that missed three heartbeats', vms: 79, ended: 60, afterMs: 6_500, advertised: 19 },
+    { name: 'only the VM itself when all others missed three heartbeats', vms: 7, ended: 6, afterMs: 5_000, advertised: 1 },
+    { name: 'all VMs while the feed is down', vms: 16, ended: 15, afterMs: 9_000, advertised: 16, isFeedDown: true }
   ]
-  for (const { name, vms, ended, afterMs, named, isFeedDown } of cases) {
+  for (const { name, vms, ended, afterMs, advertised: named, isFeedDown } of cases) {
     it(`include ${name}`, async () => {
-      const feed = new Feed()
+      const feed = new ManualFeed()
       const clock = { mono: 0 }
-      const presence = presenceOf(feed, clock)
+      const presence = createPresence(feed, clock)
       presence.start()
-      await presence.tell('serving')
+      await presence.publishState('serving')
       const others = Array.from({ length: vms - 1 }, (_, index) => `b${index}`)
       feed.handler?.replaced(others.map(vm => row(vm, '1', 1)))
       for (let beat = 2; clock.mono < afterMs; beat += 1) {
@@ -152,16 +152,16 @@
           return Right({ version: 1, now: 0 })
         }
       },
-      feed: new Feed(),
-      digest: directly,
+      feed: new ManualFeed(),
+      digest: directTables,
       clock: { now: () => ({ mono: 0, wall: 0 }) },
       log: { write: () => {} },
       onJoined: () => {}
     })
     presence.start()
-    await presence.tell('serving')
+    await presence.publishState('serving')
     await presence.leave()
-    presence.pressed(true)
+    presence.setOverloaded(true)
     presence.tick()
     expect(writes.at(-1)).to.equal(null)
   })
@@ -170,31 +170,31 @@
 describe('presence from a digest', () => {
   it('updates the state of a VM when the whole digest is read again', () => {
     const view = new PresenceView('a', () => 6_000, () => 4_500)
-    const told = (state: PresenceRow['state']): PresenceRow => ({ vm: 'b', holder: 'b~1', domain: 'd', callers: 'b:1', state, beat: 0 })
-    view.vouched(true)
-    view.replaced([told('serving')], 0)
-    view.replaced([told('leaving')], 200)
-    expect(view.others(400).map(({ state }) => state)).to.deep.equal(['leaving'])
+    const digestRow = (state: PresenceRow['state']): PresenceRow => ({ vm: 'b', holder: 'b~1', domain: 'd', callers: 'b:1', state, beat: 0 })
+    view.sourceChanged(true)
+    view.replaced([digestRow('serving')], 0)
+    view.replaced([digestRow('leaving')], 200)
+    expect(view.presentPeers(400).map(({ state }) => state)).to.deep.equal(['leaving'])
   })
 })
 
 describe('VmPresence', () => {
-  for (const { name, told, joined } of cases) {
+  for (const { name, updates: told, joined } of cases) {
     it(name, () => {
-      const feed = new Feed()
-      const heard: string[] = []
+      const feed = new ManualFeed()
+      const joinedHolders: string[] = []
       const presence = new VmPresence({
         self: { vm: 'a', holder: 'a~1', domain: 'd', callers: 'a:1' },
         table: store,
         feed,
-        digest: directly,
+        digest: directTables,
         clock: { now: () => ({ mono: 0, wall: 0 }) },
         log: { write: () => {} },
-        onJoined: holder => { heard.push(holder) }
+        onJoined: holder => { joinedHolders.push(holder) }
       })
       presence.start()
-      for (const tell of told) if (feed.handler !== undefined) tell(feed.handler)
-      expect(heard).to.deep.equal(joined)
+      for (const update of told) if (feed.handler !== undefined) update(feed.handler)
+      expect(joinedHolders).to.deep.equal(joined)
     })
   }
 })
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -14,11 +14,11 @@
 import { PresenceView } from './presenceView.js'
 
 /** Heartbeat interval of a small fleet. */
-const HEARTBEAT_MS = 1_500
+const MIN_HEARTBEAT_MS = 1_500
 /** Limit of heartbeats per second of all VMs together; a larger fleet uses a longer interval. */
-const FLEET_BEATS_PER_S = 40
+const FLEET_HEARTBEATS_PER_S = 40
 /** Missed heartbeats after which a VM is late; it expires after one more. */
-const MISSED_BEATS = 3
+const MAX_MISSED_HEARTBEATS = 3
 const MS_PER_SECOND = 1_000
 /**
  * Milliseconds from the first full read until the list of VMs counts as complete: VMs that start together have written their
@@ -27,7 +27,7 @@
 const SETTLE_MS = 1_200
 
 /** Gap between two ticks that counts as a pause of this VM. Ticks come every 50 to 150 ms, and a few hundred late on a busy VM. */
-const STANDSTILL_MS = 1_000
+const MIN_PAUSE_MS = 1_000
 
 /** Another VM and the IPv4:port of its links. */
 export interface PeerVm {
@@ -47,64 +47,64 @@
 }
 
 /** Interval between two heartbeats of one VM, by the size of the fleet. */
-function beatMs (vms: number): number {
-  return Math.max(HEARTBEAT_MS, vms * MS_PER_SECOND / FLEET_BEATS_PER_S)
+function heartbeatIntervalMs (vms: number): number {
+  return Math.max(MIN_HEARTBEAT_MS, vms * MS_PER_SECOND / FLEET_HEARTBEATS_PER_S)
 }
 
 export class VmPresence {
   private readonly view: PresenceView
   private state: PresenceRow['state'] = 'starting'
   /** Last reported holder of each other VM. */
-  private readonly seenHolders = new Map<string, string>()
+  private readonly reportedHolders = new Map<string, string>()
   private isPressed = false
   private hasLeft = false
   private beat = 0
-  private nextBeatAt = 0
-  private tickedAt = Infinity
-  private writing = false
+  private nextHeartbeatAt = 0
+  private lastTickAt = Infinity
+  private isWriting = false
   private firstReadAt: number | undefined
 
   constructor (private readonly parts: PresenceParts) {
-    this.view = new PresenceView(parts.self.vm, vms => beatMs(vms) * (MISSED_BEATS + 1), vms => beatMs(vms) * MISSED_BEATS)
+    this.view = new PresenceView(parts.self.vm, vms => heartbeatIntervalMs(vms) * (MAX_MISSED_HEARTBEATS + 1), vms => heartbeatIntervalMs(vms) * MAX_MISSED_HEARTBEATS)
   }
 
   start (): void {
     this.parts.digest.follow<unknown>({
       name: PRESENCE_TABLE,
       follow: handler => this.parts.feed.follow(PRESENCE_TABLE, handler),
-      encode: value => withoutBeat(value),
+      encode: value => withoutHeartbeat(value),
       decode: (value, isLate) => ({ ...digestedPresenceSchema.parse(value), beat: 0, isLate }),
       stageOf: vm => this.view.stageOf(vm, this.mono),
       handler: {
         replaced: rows => {
           this.firstReadAt ??= this.mono
-          this.view.replaced(rows.flatMap(row => this.rowOf(row) ?? []), this.mono)
-          this.noteJoined()
+          this.view.replaced(rows.flatMap(row => this.parseRow(row) ?? []), this.mono)
+          this.reportJoined()
         },
         changed: rows => {
-          for (const row of rows) this.view.changed(row.key, this.rowOf(row), this.mono)
-          this.noteJoined()
+          for (const row of rows) this.view.changed(row.key, this.parseRow(row), this.mono)
+          this.reportJoined()
         },
         failed: () => { this.view.feedFailed() },
-        vouched: isVouched => { this.view.vouched(isVouched) }
+        sourceChanged: isFromDigest => { this.view.sourceChanged(isFromDigest) }
       }
     })
   }
 
   /** Writes a heartbeat when one is due. Must be called several times a second. */
   tick (): void {
-    this.noteStandstill()
-    if (this.hasLeft || this.writing || this.mono < this.nextBeatAt) return
+    this.detectPause()
+    if (this.hasLeft || this.isWriting || this.mono < this.nextHeartbeatAt) return
     this.write().catch((err: unknown) => { this.parts.log.write('fault', { err: String(err) }) })
   }
 
   /** Publishes a new state immediately. */
-  async tell (state: PresenceRow['state']): Promise<void> {
+  async publishState (state: PresenceRow['state']): Promise<void> {
     if (this.state === state) return
     this.state = state
     await this.write()
     // VMs that start together would otherwise send their heartbeats together, more than the store can handle at once.
-    this.nextBeatAt = this.mono + beatMs(this.size) * hashName(this.parts.self.vm) / HASH_RANGE
+    this.nextHeartbeatAt = this.mono + heartbeatIntervalMs(this.size) * hashName(this.parts.self.vm) / HASH_RANGE
   }
 
   /** Deletes the row of this VM and stops writing it. */
@@ -116,12 +116,12 @@
 
   /** The other VMs that may hold budget allotments. */
   members (): readonly BudgetMember[] {
-    return this.view.others(this.mono).map(({ holder, domain }) => ({ holder, domain }))
+    return this.view.presentPeers(this.mono).map(({ holder, domain }) => ({ holder, domain }))
   }
 
   /** The other VMs that can be called over links. */
   peers (): readonly PeerVm[] {
-    return this.view.others(this.mono).flatMap(({ holder, peers, state }) => peers === undefined || state === 'leaving' ? [] : [{ holder, address: peers }])
+    return this.view.presentPeers(this.mono).flatMap(({ holder, peers, state }) => peers === undefined || state === 'leaving' ? [] : [{ holder, address: peers }])
   }
 
   /** Whether VMs that started together with this one had time to publish their rows. */
@@ -131,30 +131,30 @@
 
   /** Number of VMs present, this one included. */
   get size (): number {
-    return this.view.others(this.mono).length + 1
+    return this.view.presentPeers(this.mono).length + 1
   }
 
   /** Names of the VMs present, this one included; empty until {@link isSettled}. */
   get names (): readonly string[] {
-    return this.isSettled ? [this.parts.self.vm, ...this.view.others(this.mono).map(({ vm }) => vm)] : []
+    return this.isSettled ? [this.parts.self.vm, ...this.view.presentPeers(this.mono).map(({ vm }) => vm)] : []
   }
 
   /**
    * Addresses of serving VMs for a caller, this one included. Late VMs are left out before they expire: the address of a terminated VM
    * costs a caller a second, while its allotments must not be reclaimed early.
    */
-  addresses (place: CallerLocation): readonly string[] {
-    const all = [this.ownRow, ...this.view.punctual(this.mono)]
-    return selectAdvertisedVms(place, all.filter(({ state }) => state === 'serving')).map(({ callers }) => callers)
+  addresses (location: CallerLocation): readonly string[] {
+    const all = [this.localRow, ...this.view.onTimePeers(this.mono)]
+    return selectAdvertisedVms(location, all.filter(({ state }) => state === 'serving')).map(({ callers }) => callers)
   }
 
   /** Sets whether this VM is overloaded; a change is published with the next tick, as heartbeats of a large fleet are rare. */
-  pressed (isPressed: boolean): void {
-    if (isPressed !== this.isPressed) this.nextBeatAt = Math.min(this.nextBeatAt, this.mono)
-    this.isPressed = isPressed
+  setOverloaded (isOverloaded: boolean): void {
+    if (isOverloaded !== this.isPressed) this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.mono)
+    this.isPressed = isOverloaded
   }
 
-  private get ownRow (): PresenceRow {
+  private get localRow (): PresenceRow {
     return { ...this.parts.self, state: this.state, beat: this.beat, ...(this.isPressed ? { isPressed: true } : {}) }
   }
 
@@ -163,38 +163,38 @@
   }
 
   /** A VM that was paused received no updates: it retains the others until the feed delivers rows again. */
-  private noteStandstill (): void {
+  private detectPause (): void {
     const { mono } = this
-    if (mono - this.tickedAt > STANDSTILL_MS) this.view.feedFailed()
-    this.tickedAt = mono
+    if (mono - this.lastTickAt > MIN_PAUSE_MS) this.view.feedFailed()
+    this.lastTickAt = mono
   }
 
-  private noteJoined (): void {
-    for (const { vm, holder } of this.view.others(this.mono)) {
-      if (this.seenHolders.get(vm) === holder) continue
-      this.seenHolders.set(vm, holder)
+  private reportJoined (): void {
+    for (const { vm, holder } of this.view.presentPeers(this.mono)) {
+      if (this.reportedHolders.get(vm) === holder) continue
+      this.reportedHolders.set(vm, holder)
       this.parts.onJoined(holder)
     }
   }
 
   private async write (): Promise<void> {
-    this.writing = true
+    this.isWriting = true
     this.beat += 1
-    this.nextBeatAt = this.mono + beatMs(this.size)
-    const value = this.ownRow
+    this.nextHeartbeatAt = this.mono + heartbeatIntervalMs(this.size)
+    const value = this.localRow
     const written = await this.parts.table.transact({ checks: [], writes: [{ table: PRESENCE_TABLE, key: value.vm, value }] })
-    this.writing = false
+    this.isWriting = false
     written.ifLeft(({ code }) => { this.parts.log.write('platformFault', { service: 'table', operation: 'presence', code }) })
   }
 
-  private rowOf ({ value }: FeedRow): PresenceRow | null {
+  private parseRow ({ value }: FeedRow): PresenceRow | null {
     const parsed = presenceRowSchema.safeParse(value)
     return parsed.success ? parsed.data : null
   }
 }
 
 /** A row without the heartbeat counter; a value that is not a row is returned unchanged. */
-function withoutBeat (value: unknown): unknown {
+function withoutHeartbeat (value: unknown): unknown {
   const parsed = digestedPresenceSchema.safeParse(value)
   return parsed.success ? parsed.data : value
 }
--- a/packages/rosemaryspread/src/quarantine/quarantineSync.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.ts
@@ -7,7 +7,7 @@
   MAX_DIGESTS, processKey, quarantineUpdateSchema, type Clearance, type QuarantineUpdate, type TargetEnd, type Verdict
 } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
-import { MOST_TOLD } from '../presence/fleetLinks.js'
+import { MAX_NOTIFIED_PEERS } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 import { QuarantineRows, type QuarantineRowsParts } from './quarantineRows.js'
 
@@ -110,7 +110,7 @@
 
   private publish (key: string, update: QuarantineUpdate): void {
     const peers = this.parts.peers()
-    if (peers.length <= MOST_TOLD) for (const { address } of peers) this.parts.notify(address, QUARANTINE_METHOD, update)
+    if (peers.length <= MAX_NOTIFIED_PEERS) for (const { address } of peers) this.parts.notify(address, QUARANTINE_METHOD, update)
     this.rows.put(key, update)
   }
 
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -125,7 +125,7 @@
     while (!this.hasEnded) {
       await this.fleet.time.sleep(TICK_MS)
       if (this.hasEnded || this.trouble === 'frozen') continue
-      await this.presence.tell('serving')
+      await this.presence.publishState('serving')
       this.presence.tick()
       this.digest.tick()
     }
--- a/packages/stand-ins/src/request/serviceCalls.spec.ts
+++ b/packages/stand-ins/src/request/serviceCalls.spec.ts
@@ -100,7 +100,7 @@
       arrange(fleet)
       expect(told(await fleet.a.dispatch())).to.deep.equal(first)
       heal?.(fleet)
-      await fleet.a.work.idle(5_000)
+      await fleet.a.work.waitUntilIdle(5_000)
       expect(told(await fleet.b.dispatch())).to.deep.equal(repeat)
       expect(fleet.applications.executions).to.have.length(executions)
     })
