--- a/packages/rosemaryspread/src/completion/completionService.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionService.spec.ts
@@ -58,7 +58,7 @@
 ]
 
 describe('one completion', () => {
-  for (const { name, scripts, refused, bills, startedRuns: began } of singleRequestCases) {
+  for (const { name, scripts, refused, bills, startedRuns } of singleRequestCases) {
     it(`ends with correct answer, bills and reservations for ${name}`, async () => {
       const { engines, budgets, a } = createFleet()
       Object.entries(scripts).forEach(([address, script]) => engines.scripts.set(address, script))
@@ -67,7 +67,7 @@
       else expectRefused(seen, ...refused)
       await a.unsettled.retryAll()
       expect(budgets.bills.map(({ tokens }) => tokens)).to.deep.equal(bills)
-      expect(engines.startedRuns()).to.deep.equal(began)
+      expect(engines.startedRuns()).to.deep.equal(startedRuns)
       expect(budgets.open, 'reservations left open').to.equal(0)
       expect(a.routing.open, 'runs left counted').to.equal(0)
     })
@@ -110,12 +110,12 @@
     { name: 'is reported to routing', script: { isLeaving: true }, reported: ['r1'] },
     { name: 'is not confused with an unreachable runner', script: { unreachableFrom: 'all' }, reported: [] }
   ]
-  for (const { name, script, reported: told } of cases) {
+  for (const { name, script, reported } of cases) {
     it(name, async () => {
       const { engines, a } = createFleet()
       engines.scripts.set('r1', script)
       expectComplete(await a.ask())
-      expect([a.routing.reportedLeaving, engines.startedRuns()]).to.deep.equal([told, ['r2:finished']])
+      expect([a.routing.reportedLeaving, engines.startedRuns()]).to.deep.equal([reported, ['r2:finished']])
     })
   }
 })
--- a/packages/rosemaryspread/src/digest/digestTeller.ts
+++ b/packages/rosemaryspread/src/digest/digestTeller.ts
@@ -55,15 +55,15 @@
     if (this.isWriting || !state.areFeedsHealthy) return
     const changes = this.findChanges(state)
     const due = changes.filter(([key]) => this.isDue(key, state)).slice(0, MAX_ENTRIES_PER_WRITE)
-    const forgotten = this.expiredKeys(state)
+    const expired = this.expiredKeys(state)
     const writesHeartbeat = this.isHeartbeatDue(state)
-    if (due.length === 0 && forgotten.length === 0 && !writesHeartbeat) return
+    if (due.length === 0 && expired.length === 0 && !writesHeartbeat) return
     const writes = [
       ...due.map(([key, entry]): RowWrite => ({ table: DIGEST_TABLE, key, value: entry })),
-      ...forgotten.map((key): RowWrite => ({ table: DIGEST_TABLE, key, value: null })),
+      ...expired.map((key): RowWrite => ({ table: DIGEST_TABLE, key, value: null })),
       ...(writesHeartbeat ? [this.nextHeartbeat(state.mono, due.length === changes.length)] : [])
     ]
-    await this.write(writes, due, forgotten)
+    await this.write(writes, due, expired)
   }
 
   private async write (writes: readonly RowWrite[], due: ReadonlyArray<readonly [string, DigestEntry]>, expired: readonly string[]): Promise<void> {
@@ -80,15 +80,15 @@
   }
 
   private findChanges (state: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
-    const { observed: seen, published: told, mono } = state
-    const changes = [...[...seen].filter(([key, entry]) => needsPublishing(entry, told.get(key))), ...this.missingRows(state)]
+    const { observed, published, mono } = state
+    const changes = [...[...observed].filter(([key, entry]) => needsPublishing(entry, published.get(key))), ...this.missingRows(state)]
     updateSince(this.omittedSince, changes.map(([key]) => key), mono)
     return changes
   }
 
   /** Entries whose rows were removed while no VM published; nothing else would correct them. */
-  private missingRows ({ observed: seen, published: told, mono }: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
-    const entries = [...told].filter(([key, { stage }]) => stage !== 'gone' && !seen.has(key))
+  private missingRows ({ observed, published, mono }: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
+    const entries = [...published].filter(([key, { stage }]) => stage !== 'gone' && !observed.has(key))
     updateSince(this.missingSince, entries.map(([key]) => key), mono)
     return entries
       .filter(([key]) => mono - (this.missingSince.get(key) ?? mono) >= MISSING_ROW_TIMEOUT_MS)
@@ -100,16 +100,16 @@
   }
 
   /** Entries of removed rows whose retention has expired. */
-  private expiredKeys ({ published: told, rank, mono }: DigestState): readonly string[] {
-    const removed = [...told].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
+  private expiredKeys ({ published, rank, mono }: DigestState): readonly string[] {
+    const removed = [...published].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
     updateSince(this.removedSince, removed, mono)
     if (rank !== 0) return []
     return removed.filter(key => mono - (this.removedSince.get(key) ?? mono) >= REMOVED_RETENTION_MS).slice(0, MAX_ENTRIES_PER_WRITE)
   }
 
-  private isHeartbeatDue ({ rank, mono, silenceMs: silentMs }: DigestState): boolean {
+  private isHeartbeatDue ({ rank, mono, silenceMs }: DigestState): boolean {
     if (mono - this.lastHeartbeatAt < DIGEST_HEARTBEAT_MS) return false
-    return rank === 0 || silentMs >= DIGEST_HEARTBEAT_MS + rank * STANDBY_DELAY_MS
+    return rank === 0 || silenceMs >= DIGEST_HEARTBEAT_MS + rank * STANDBY_DELAY_MS
   }
 
   private nextHeartbeat (mono: number, isComplete: boolean): RowWrite {
--- a/packages/rosemaryspread/src/digest/digestedTable.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.ts
@@ -35,7 +35,7 @@
 
   /** Entries for the digest by row key, with the stage of each owner. */
   entries (): ReadonlyMap<string, DigestEntry> {
-    return new Map([...this.rows].map(([key, known]) => [key, this.encodeEntry(key, known)]))
+    return new Map([...this.rows].map(([key, state]) => [key, this.encodeEntry(key, state)]))
   }
 
   isDecodable (entry: DigestEntry): boolean {
@@ -76,7 +76,7 @@
     const { handler } = this.source
     handler.sourceChanged?.(true)
     for (const [key, entry] of published) if (isLater(entry, this.rows.get(key))) this.rows.set(key, this.decodeEntry(entry))
-    handler.replaced([...this.rows].map(([key, known]) => toFeedRow(key, known)).filter(({ value }) => value !== null))
+    handler.replaced([...this.rows].map(([key, state]) => toFeedRow(key, state)).filter(({ value }) => value !== null))
   }
 
   /** Applies an entry of the digest; one that is older than the current state is ignored. */
@@ -108,8 +108,8 @@
 
   /** A row that can no longer be decoded must not be published with its old value. */
   private discard (key: string): void {
-    const known = this.rows.get(key)
-    if (known !== undefined) this.rows.set(key, { version: known.version, stage: 'gone' })
+    const state = this.rows.get(key)
+    if (state !== undefined) this.rows.set(key, { version: state.version, stage: 'gone' })
   }
 
   private encodeEntry (key: string, { version, stage, value }: RowState<T>): DigestEntry {
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -84,7 +84,7 @@
   private publish (rank: number): void {
     const { mono } = this
     const observed = new Map(this.tables.flatMap(table => [...table.entries()].map(([key, entry]): [string, DigestEntry] => [`${table.name}/${key}`, entry])))
-    const areFeedsHealthy = this.tables.every(({ lastResponseAt: heardAt }) => mono - heardAt <= MAX_RESPONSE_AGE_MS)
+    const areFeedsHealthy = this.tables.every(({ lastResponseAt }) => mono - lastResponseAt <= MAX_RESPONSE_AGE_MS)
     this.publisher.tick({ mono, rank, observed, published: this.published, areFeedsHealthy, silenceMs: this.trust.silenceMs(mono) })
       .catch((err: unknown) => { this.parts.log.write('fault', { err: toFailure(err).message }) })
   }
--- a/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
+++ b/packages/rosemaryspread/src/presence/callerAddresses.spec.ts
@@ -69,12 +69,12 @@
 ]
 
 describe('addresses for callers of a large fleet', () => {
-  for (const { vms, advertised: named, domains } of sizes) {
-    it(`include ${named} of ${vms} VMs in ${domains} failure domains`, async () => {
+  for (const { vms, advertised, domains } of sizes) {
+    it(`include ${advertised} of ${vms} VMs in ${domains} failure domains`, async () => {
       const presence = await createPresence(fleetRows(vms))
       const addresses = presence.addresses(callerIn('calderon'))
-      expect(addresses).to.have.length(named)
-      expect(new Set(addresses)).to.have.length(named)
+      expect(addresses).to.have.length(advertised)
+      expect(new Set(addresses)).to.have.length(advertised)
       expect(new Set(addresses.map(domainOf))).to.have.length(domains)
     })
   }
@@ -139,9 +139,9 @@
       check: addresses => { expect(addresses).to.have.length(20) }
     }
   ]
-  for (const { name, rows, domain, check: named } of locationCases) {
+  for (const { name, rows, domain, check } of locationCases) {
     it(`include ${name}`, async () => {
-      named((await createPresence(rows)).addresses(callerIn(domain)))
+      check((await createPresence(rows)).addresses(callerIn(domain)))
     })
   }
 
--- a/packages/rosemaryspread/src/presence/presenceView.spec.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.spec.ts
@@ -43,12 +43,12 @@
 ]
 
 describe('PresenceView', () => {
-  for (const { name, act, at, expected: others } of cases) {
+  for (const { name, act, at, expected } of cases) {
     it(name, () => {
       const view = new PresenceView('a', () => EXPIRY_MS, () => EXPIRY_MS)
       view.replaced([row('a', 1), row('b', 1), row('c', 1)], 0)
       act(view)
-      expect(view.presentPeers(at).map(({ vm }) => vm)).to.deep.equal(others)
+      expect(view.presentPeers(at).map(({ vm }) => vm)).to.deep.equal(expected)
     })
   }
 })
--- a/packages/rosemaryspread/src/presence/presenceView.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.ts
@@ -76,9 +76,9 @@
   stageOf (vm: string, mono: number): DigestStage {
     const seen = this.seen.get(vm)
     if (vm === this.self || seen === undefined) return 'present'
-    const silentMs = this.silenceMs(seen.at, mono)
-    if (silentMs > this.expiryMs(this.seen.size)) return 'gone'
-    return silentMs > this.lateMs(this.seen.size) ? 'late' : 'present'
+    const silenceMs = this.silenceMs(seen.at, mono)
+    if (silenceMs > this.expiryMs(this.seen.size)) return 'gone'
+    return silenceMs > this.lateMs(this.seen.size) ? 'late' : 'present'
   }
 
   /** Other VMs that have not expired. */
--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -120,7 +120,7 @@
     { name: 'only the VM itself when all others missed three heartbeats', vms: 7, ended: 6, afterMs: 5_000, advertised: 1 },
     { name: 'all VMs while the feed is down', vms: 16, ended: 15, afterMs: 9_000, advertised: 16, isFeedDown: true }
   ]
-  for (const { name, vms, ended, afterMs, advertised: named, isFeedDown } of cases) {
+  for (const { name, vms, ended, afterMs, advertised, isFeedDown } of cases) {
     it(`include ${name}`, async () => {
       const feed = new ManualFeed()
       const clock = { mono: 0 }
@@ -135,7 +135,7 @@
         if (isFeedDown) feed.handler?.failed(new Failure('platformUnavailable', 'no connection'))
         else feed.handler?.changed(others.slice(ended).map(vm => row(vm, '1', beat)))
       }
-      expect(presence.addresses({ caller: 'c' })).to.have.length(named)
+      expect(presence.addresses({ caller: 'c' })).to.have.length(advertised)
     })
   }
 })
@@ -179,7 +179,7 @@
 })
 
 describe('VmPresence', () => {
-  for (const { name, updates: told, joined } of cases) {
+  for (const { name, updates, joined } of cases) {
     it(name, () => {
       const feed = new ManualFeed()
       const joinedHolders: string[] = []
@@ -193,7 +193,7 @@
         onJoined: holder => { joinedHolders.push(holder) }
       })
       presence.start()
-      for (const update of told) if (feed.handler !== undefined) update(feed.handler)
+      for (const update of updates) if (feed.handler !== undefined) update(feed.handler)
       expect(joinedHolders).to.deep.equal(joined)
     })
   }
