--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -12,7 +12,7 @@
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { DigestedTable } from './digestedTable.js'
-import { DigestPublisher } from './digestTeller.js'
+import { DigestPublisher } from './digestPublisher.js'
 import { DIGEST_TABLE, type DigestSource } from './digestTypes.js'
 
 /** Interval between two publishing passes. */
