--- a/packages/rosemaryspread/src/gateway/bindGateway.ts
+++ b/packages/rosemaryspread/src/gateway/bindGateway.ts
@@ -1,6 +1,6 @@
 /**
- * Bindings of the gateway. The edge brings what reaches the platform and the targets; all else is
- * the product's.
+ * Dependency injection bindings of the gateway. The caller supplies the ports to the platform and to the
+ * targets.
  */
 import { randomBytes } from 'node:crypto'
 import type { Container } from 'inversify'
@@ -35,7 +35,7 @@
 
 const INCARNATION_BYTES = 6
 
-/** What reaches the platform and the targets. */
+/** Ports to the platform and to the targets. */
 export interface GatewayEdge {
   readonly table: TableStore
   readonly feed: TableFeed
@@ -44,12 +44,6 @@
   readonly silence: ConnectionSilence
 }
 
-/**
- * Binds the gateway.
- * @param container - the container
- * @param settings - settings of the VM
- * @param edge - what reaches the platform and the targets
- */
 export function bindGateway (container: Container, settings: GatewaySettings, edge: GatewayEdge): void {
   const holder = holderOf(settings.vm, randomBytes(INCARNATION_BYTES).toString('hex'))
   bindBase(container, settings, edge, holder)
--- a/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
+++ b/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Which budgets a VM prepares, and when.
+ * Guards against first requests of prepaid teams that find no tokens on a VM cut off from the store, and
+ * against unbounded preparation.
  */
 import { expect } from 'chai'
 import { gatewayConfigSchema, type GatewayConfig } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
@@ -22,17 +23,17 @@
 
 describe('BudgetPreparation', () => {
   const cases = [
-    { name: 'prepares prepaid teams only', ticks: [[configOf(1, 2, 3), 0]] as const, told: 2 },
-    { name: 'does not prepare again at once', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 1_000]] as const, told: 2 },
-    { name: 'prepares again from time to time', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 5_000]] as const, told: 4 },
-    { name: 'prepares at once what a new configuration declares', ticks: [[configOf(1, 2), 0], [configOf(2, 3), 1]] as const, told: 5 },
-    { name: 'bounds the number of budgets', ticks: [[configOf(1, 1_000), 0]] as const, told: 64 }
+    { name: 'does not prepare teams without a budget', ticks: [[configOf(1, 2, 3), 0]] as const, told: 2 },
+    { name: 'does not prepare again within the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 1_000]] as const, told: 2 },
+    { name: 'prepares again after the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 5_000]] as const, told: 4 },
+    { name: 'prepares at once after a configuration change', ticks: [[configOf(1, 2), 0], [configOf(2, 3), 1]] as const, told: 5 },
+    { name: 'limits the number of budgets', ticks: [[configOf(1, 1_000), 0]] as const, told: 64 }
   ]
   for (const { name, ticks, told } of cases) {
     it(name, () => { expect(prepared('vm1', ticks)).to.have.length(told) })
   }
 
-  it('has VMs prepare different budgets where there are many', () => {
+  it('prepares different budgets on different VMs where there are too many', () => {
     const [one, other] = ['vm1', 'vm2'].map(vm => new Set(prepared(vm, [[configOf(1, 1_000), 0]])))
     expect([...one ?? []].filter(team => other?.has(team)).length).to.be.below(20)
   })
--- a/packages/rosemaryspread/src/gateway/budgetPreparation.ts
+++ b/packages/rosemaryspread/src/gateway/budgetPreparation.ts
@@ -1,38 +1,34 @@
 /**
- * Has this VM hold tokens of prepaid teams before they ask it: callers move between VMs at any time,
- * and a VM that is cut off from the store by then can draw nothing.
+ * Draws tokens of prepaid teams before their first request: callers move between VMs at any time, and a VM
+ * that has lost the store by then cannot draw.
  */
 import type { GatewayConfig } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
 import { hashName, pairWeight } from '@rosemaryspread/decisions/routing/rendezvous.js'
 
-/** Budgets that one VM prepares at most: bounds its rows and draws where there are many teams. */
+/** Limits the rows and draws of this VM in a fleet with many teams. */
 const MOST_PREPARED = 64
-/** Milliseconds between two passes; a budget counts as idle three times as late. */
+/** A prepared budget counts as idle only after three of these intervals. */
 const PASS_MS = 5_000
 
-/** What is told of budgets to prepare. */
+/** The operation on budgets that preparation uses. */
 export interface PreparedBudgets {
   prepare (budget: string): void
 }
 
-/** Prepares budgets of one VM. Times are monotonic milliseconds. */
+/** Times are monotonic milliseconds. */
 export class BudgetPreparation {
   private readonly vmHash: number
   private nextPassAt = 0
   private version: number | undefined
 
-  /**
-   * @param vm - name of this VM
-   * @param budgets - is told what to prepare
-   */
+  /** @param vm - name of this VM */
   constructor (vm: string, private readonly budgets: PreparedBudgets) {
     this.vmHash = hashName(vm)
   }
 
   /**
-   * Prepares what is due: at once for a new configuration, else from time to time.
-   * @param config - the configuration in force
-   * @param mono - present time
+   * Prepares budgets at once after a configuration change, and otherwise once per interval.
+   * @param mono - current monotonic milliseconds
    */
   tick (config: GatewayConfig, mono: number): void {
     if (config.version === this.version && mono < this.nextPassAt) return
@@ -41,7 +37,7 @@
     for (const team of this.chosen(config)) this.budgets.prepare(team)
   }
 
-  /** Each VM chooses others where there are too many for all. */
+  /** Where there are too many teams for one VM, rendezvous hashing selects a different subset on each VM. */
   private chosen ({ teams }: GatewayConfig): readonly string[] {
     const prepaid = Object.keys(teams).filter(team => teams[team]?.prepaidTokens !== undefined)
     if (prepaid.length <= MOST_PREPARED) return prepaid
--- a/packages/rosemaryspread/src/gateway/callAttempt.ts
+++ b/packages/rosemaryspread/src/gateway/callAttempt.ts
@@ -1,48 +1,44 @@
 /**
- * One request at one target: sends it, relays the answer, and says how it ended. An answer that is
- * not streamed is read whole first, so that one that breaks on the way can be asked for again.
+ * One attempt at one target: sends the request, relays the answer and classifies the outcome. Answers that
+ * are not streamed are buffered, so that an answer that breaks off can be requested again.
  */
 import { failureOf, Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import type { EventRelay } from './eventRelay.js'
 import type { AnswerHead, CallSink, TargetAnswer, TargetClient, TargetRequest } from './callTypes.js'
 
-/** Largest answer that is read whole, in bytes. */
+/** Largest answer that is buffered. */
 const MAX_WHOLE_BYTES = 16 * 1024 * 1024
 const FIRST_SUCCESS = 200
 const FIRST_REDIRECT = 300
 const FIRST_ERROR_STATUS = 500
 
-/** How an attempt ended. */
 export type AttemptEnd =
-  /** The whole answer was relayed. */
+  /** The complete answer was relayed. */
   | { readonly kind: 'answered', readonly status: number }
-  /** The target answered with a failure of its own, which nobody was sent yet. */
+  /** The target answered with a server error, which has not been relayed. */
   | { readonly kind: 'failedAnswer', readonly head: AnswerHead, readonly body: Buffer }
   /** The target proved that it did not run the request. */
   | { readonly kind: 'notRun', readonly failure: Failure }
   /** The request may have run. */
   | { readonly kind: 'broken', readonly failure: Failure }
 
-/** What an attempt works with. */
 export interface AttemptParts {
   readonly client: TargetClient
   readonly sink: CallSink
   readonly relay: EventRelay
   readonly streamed: boolean
-  /** Whether a failure that the target answered may be asked for again elsewhere. */
+  /** Whether a server error of the target may be retried at another target. */
   readonly repeatsFailures: boolean
-  /** Told when the first event, or the whole answer, was passed on. */
+  /** Called when the first event, or the complete answer, was relayed. */
   readonly onFirst: () => void
-  /** Told what the target says of itself, whatever becomes of the attempt. */
+  /** Called with the state that the target reports about itself, whatever the outcome of the attempt. */
   readonly onReport: (report: TargetReport) => void
 }
 
 /**
- * Runs an attempt to its end; it never throws.
- * @param parts - what it works with
- * @param req - the request
- * @param stop - aborted when the caller left or the time is over
+ * Runs an attempt to its end; never throws.
+ * @param stop - aborted when the caller has disconnected or the deadline has passed
  */
 export async function runAttempt (parts: AttemptParts, req: TargetRequest, stop: AbortSignal): Promise<AttemptEnd> {
   try {
@@ -61,10 +57,7 @@
   return isStream ? await relayStream(parts, answer) : await relayWhole(parts, answer)
 }
 
-/**
- * Whether a status says that the request ran and was served.
- * @param status - status of an answer
- */
+/** Whether a status means that the request ran successfully. */
 export function isSuccess (status: number): boolean {
   return status >= FIRST_SUCCESS && status < FIRST_REDIRECT
 }
@@ -74,7 +67,7 @@
   let size = 0
   const read = await answer.read(bytes => {
     size += bytes.length
-    if (size > MAX_WHOLE_BYTES) throw new Failure('answerCut', `the answer exceeds ${MAX_WHOLE_BYTES} bytes`, { ran: 'yes' })
+    if (size > MAX_WHOLE_BYTES) throw new Failure('answerCut', `the answer exceeds the limit of ${MAX_WHOLE_BYTES} bytes`, { ran: 'yes' })
     pieces.push(bytes)
     return undefined
   })
@@ -87,7 +80,7 @@
   return { kind: 'answered', status: answer.head.status }
 }
 
-/** The head goes out with the first event: until then another target may be tried. */
+/** Sends the head together with the first event; until then another target can be tried. */
 async function relayStream ({ sink, relay, onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptEnd> {
   const read = await answer.read(bytes => {
     const whole = relay.take(bytes)
@@ -111,5 +104,5 @@
 
 function brokenInside (relay: EventRelay): AttemptEnd {
   relay.drop()
-  return { kind: 'broken', failure: new Failure('answerCut', 'the stream ended inside an event', { ran: 'yes' }) }
+  return { kind: 'broken', failure: new Failure('answerCut', 'the stream ended within an event', { ran: 'yes' }) }
 }
--- a/packages/rosemaryspread/src/gateway/callDispatch.ts
+++ b/packages/rosemaryspread/src/gateway/callDispatch.ts
@@ -1,7 +1,7 @@
 /**
- * The way of an admitted call: reserve, choose a target, dispatch, relay, settle. The payload is
- * opaque, and what decides is given: who chooses targets, what repeats are allowed, who pays. The
- * gateway and the service API are edges of it.
+ * Dispatches an admitted call: reserves tokens, chooses a target, relays the answer, retries and settles.
+ * The payload is opaque. Target choice, retry limits and budgets are injected; the gateway and the service
+ * API both use it.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -15,12 +15,11 @@
 import { OpenCall } from './callOpen.js'
 import type { AdmittedCall, CallGuard, CallRetries, CallSink, TargetChooser, TargetClient, TargetRequest, TargetVerdict } from './callTypes.js'
 
-/** Part of the objective that a call may wait for tokens. */
+/** Share of the latency objective that a call may wait for tokens. */
 const RESERVE_PART = 0.5
-/** Targets that were not there any more that one call passes over, where it may not try more of them anyway. */
+/** Absent targets that one call may skip, even if its route allows fewer attempts. */
 const MAX_ABSENT = 3
 
-/** What dispatch is composed of. */
 export interface DispatchDeps {
   readonly clock: Clock
   /** Absent where calls cost no tokens. */
@@ -30,19 +29,15 @@
   readonly client: TargetClient
   readonly metrics: Metrics
   readonly report: CallReport
-  /** Absent where nothing is known of requests beyond one call. */
+  /** Absent where requests are not quarantined. */
   readonly guard?: CallGuard
 }
 
-/** Dispatches admitted calls of one VM. */
+/** Dispatches the admitted calls of one VM. */
 export class CallDispatch {
   constructor (private readonly deps: DispatchDeps) {}
 
-  /**
-   * Serves a call. The sink got its end when this is a success; a failure is left to be told.
-   * @param admitted - the call
-   * @param sink - where the answer goes
-   */
+  /** Serves a call. On success the sink has been ended; on failure the caller of this method reports the failure to the sink. */
   async serve (admitted: AdmittedCall, sink: CallSink): Promise<Either<Failure, void>> {
     const open = new OpenCall(admitted, sink, this.deps.clock)
     this.deps.guard?.opened(open)
@@ -72,7 +67,7 @@
     return reserved.map(reservation => open.pay(reservation))
   }
 
-  /** Tries targets in turn until the answer is whole or nothing may be tried any more. */
+  /** Tries targets in turn until an answer is complete or no further attempt is allowed. */
   private async tryTargets (open: OpenCall): Promise<Either<Failure, void>> {
     for (;;) {
       open.checkTime()
@@ -91,7 +86,7 @@
     }
   }
 
-  /** A refusal of the target proves nothing of what the request would do to it. */
+  /** A refusal does not show that the request is safe for the target, so only a success is reported to the guard. */
   private answered (open: OpenCall, { target }: TargetChoice, status: number): Either<Failure, void> {
     if (isSuccess(status)) this.deps.guard?.answered(open)
     return this.deps.report.answered(open, target.id)
@@ -126,7 +121,7 @@
     return end
   }
 
-  /** Asked before the call is sent on, so that what is known of its request by then decides. */
+  /** Checked before the next attempt, so that the suspicion that it may add counts in the next choice. */
   private async isTargetEnded (open: OpenCall, choice: TargetChoice, end: AttemptEnd): Promise<boolean> {
     const { guard } = this.deps
     if (open.wasAbsent(end)) guard?.unreached(choice)
@@ -167,7 +162,7 @@
     return this.deps.retries.take(service, this.deps.clock.now())
   }
 
-  /** What arrived at another process counts as a repeat; what arrived nowhere does not. */
+  /** A request that reached a replaced process counts as a retry; one that reached no process does not. */
   private mayPassOver (end: AttemptEnd, service: string): boolean {
     const isArrived = end.kind === 'notRun' && end.failure.code === 'targetReplaced'
     return !isArrived || this.deps.retries.take(service, this.deps.clock.now())
@@ -178,17 +173,17 @@
     return repeat === 'always' && !sink.begun
   }
 
-  /** A failure that the target answered is passed on as it is; anything else becomes an own answer. */
+  /** Relays a server error of the target unchanged; any other failure becomes an answer of the gateway. */
   private lastEnd (open: OpenCall, failure: Failure | undefined): Either<Failure, void> {
     const { failedAnswer, sink } = open
     if (failedAnswer !== undefined && !sink.begun && open.stopped === undefined) {
       sink.whole(failedAnswer.head, failedAnswer.body)
       return this.deps.report.answered(open, 'failed')
     }
-    return Left(open.stopped ?? this.serviceRefusal(open) ?? open.lastFailure ?? failure ?? new Failure('internal', 'no attempt was made'))
+    return Left(open.stopped ?? this.serviceRefusal(open) ?? open.lastFailure ?? failure ?? new Failure('internal', 'the call ended without an attempt or a failure'))
   }
 
-  /** A call that did not run is told why no other target takes it, and so when to come back. */
+  /** For a call that did not run: why no other target accepts it, which determines its Retry-After. */
   private serviceRefusal (open: OpenCall): Failure | undefined {
     return open.lastFailure?.ran === 'no' ? this.deps.chooser.refusal(open.admitted) : undefined
   }
@@ -213,7 +208,7 @@
   }
 }
 
-/** What the end of an attempt says of the target. */
+/** What the outcome of an attempt says about the target. */
 function verdictOf (end: AttemptEnd, open: OpenCall): TargetVerdict {
   if (end.kind === 'answered' || end.kind === 'failedAnswer') return 'good'
   if (open.stopped !== undefined) return 'none'
--- a/packages/rosemaryspread/src/gateway/callOpen.ts
+++ b/packages/rosemaryspread/src/gateway/callOpen.ts
@@ -1,6 +1,6 @@
 /**
- * One call on its way: what is reserved for it, which targets it was sent to, and whether its time
- * is over or its caller gone.
+ * State of one call in progress: its reservation, the targets tried, its deadline and whether its caller
+ * has disconnected.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -12,29 +12,28 @@
 
 type FailedAnswer = Extract<AttemptEnd, { kind: 'failedAnswer' }>
 
-/** Milliseconds to come back after when the time was over before anything ran. */
+/** Retry-After of a call that passed its deadline before anything ran. */
 const LATE_RETRY_MS = 100
 
-/** A call that was admitted. */
 export class OpenCall {
   readonly relay = new EventRelay()
   readonly excluded = new Set<string>()
   reservation: Reservation | undefined
-  /** Why the call ends early, once it does. */
+  /** Why the call ends early; undefined until then. */
   stopped: Failure | undefined
   lastFailure: Failure | undefined
   failedAnswer: FailedAnswer | undefined
-  /** Target that it was sent to last. */
+  /** Target of the latest attempt. */
   lastTarget: string | undefined
-  /** Milliseconds that it waited for tokens. */
+  /** Milliseconds that the call waited for tokens. */
   reserveMs = 0
-  /** Milliseconds from its receipt to the first event, or the whole answer, passed on. */
+  /** Milliseconds from receipt until the first event, or the complete answer, was relayed. */
   firstMs: number | undefined
-  /** Whether some target may have begun to work on it. */
+  /** Whether a target may have started the request. */
   mayHaveRun = false
-  /** Targets that the request arrived at. */
+  /** Targets that received the request. */
   attempts = 0
-  /** Targets to which no connection could be made, or at whose address another process was. */
+  /** Targets that accepted no connection, or whose address belongs to another process. */
   absent = 0
   private ran = false
   private knownDigest: string | undefined
@@ -47,13 +46,13 @@
     if (admitted.call.gone.aborted) this.onGone()
   }
 
-  /** Names the request when it comes again, see requestDigest; worked out when it is asked for. */
+  /** Identifies repeats of the same request, see requestDigest; computed on first use. */
   get digest (): string {
     this.knownDigest ??= requestDigest(this.admitted.call, this.admitted.team)
     return this.knownDigest
   }
 
-  /** Milliseconds until the deadline. */
+  /** Milliseconds until the deadline; negative after it. */
   get leftMs (): number {
     return this.admitted.deadline - this.clock.now().mono
   }
@@ -64,40 +63,32 @@
   }
 
   /**
-   * Whether any of an answer was passed on. Only then does a request cost its prompt: callers pay for
-   * what they get, and an answer that was lost on its way costs nothing.
+   * Whether any of an answer was relayed. Only then is the prompt billed: callers pay for what they receive, and
+   * an answer that is lost on the way costs nothing.
    */
   get isDelivered (): boolean {
     return this.firstMs !== undefined || this.failedAnswer !== undefined
   }
 
-  /** Aborted when the call ends early; asked for when an attempt begins, from which time it may run. */
+  /** Signal that is aborted when the call ends early. Requested at the start of an attempt, so it also marks that the request may run. */
   stopSignal (): AbortSignal {
     this.mayHaveRun = true
     return this.stop.signal
   }
 
-  /**
-   * Ends the call early, also where it runs once.
-   * @param failure - why
-   */
+  /** Ends the call early, also where it must run at most once. */
   breakOff (failure: Failure): void {
     this.stopped ??= failure
     this.stop.abort()
   }
 
-  /**
-   * Notes what was reserved for the call.
-   * @param reservation - the reservation
-   */
   pay (reservation: Reservation): void {
     this.reservation = reservation
   }
 
   /**
-   * Takes the end of an attempt that did not answer the call.
+   * Records an attempt that did not complete the call.
    * @param target - id of the target
-   * @param end - how it ended
    */
   tried (target: string, end: AttemptEnd): void {
     this.excluded.add(target)
@@ -109,26 +100,23 @@
     if (end.kind === 'notRun' || end.kind === 'broken') this.lastFailure = this.worse(end.failure)
   }
 
-  /**
-   * Whether the target was not there any more, so that it proves nothing about others.
-   * @param end - how the attempt ended
-   */
+  /** Whether the target was absent, so that the outcome says nothing about other targets. */
   wasAbsent (end: AttemptEnd): boolean {
     return end.kind === 'notRun' && (end.failure.code === 'runnerUnreachable' || end.failure.code === 'targetReplaced')
   }
 
-  /** Ends the call when its time is over: its timer is late where the VM was suspended meanwhile. */
+  /** Ends the call if its deadline has passed. The timer fires late after a suspension of the VM. */
   checkTime (): void {
     if (this.leftMs <= 0) this.timeOut()
   }
 
-  /** Ends the timers of the call. */
+  /** Releases the timer and the listener of the call. */
   close (): void {
     clearTimeout(this.timer)
     this.admitted.call.gone.removeEventListener('abort', this.onGone)
   }
 
-  /** Once something may have run, no later failure may say that nothing ran. */
+  /** Once a request may have run, a later failure must not say that nothing ran. */
   private worse (failure: Failure): Failure {
     const known = this.lastFailure
     return known === undefined || known.ran === 'no' ? failure : known
@@ -137,13 +125,13 @@
   private readonly onGone = (): void => {
     const { route } = this.admitted
     this.stopped ??= new Failure('callerGone', 'the caller closed the connection', { ran: 'unknown' })
-    // A call that runs once is left to its target: breaking it off could leave it half done.
+    // A call that must run at most once continues at its target: aborting it could leave it half done.
     if (route.streamed || route.repeat !== 'never') this.stop.abort()
   }
 
   private timeOut (): void {
     const ran = this.mayHaveRun ? 'unknown' : 'no'
-    this.stopped ??= new Failure('deadlineExceeded', 'the time for the answer is over', { ran, retryAfterMs: LATE_RETRY_MS })
+    this.stopped ??= new Failure('deadlineExceeded', 'the deadline of the call has passed', { ran, retryAfterMs: LATE_RETRY_MS })
     this.stop.abort()
   }
 }
--- a/packages/rosemaryspread/src/gateway/callReport.ts
+++ b/packages/rosemaryspread/src/gateway/callReport.ts
@@ -1,4 +1,4 @@
-/** What the log and the metrics learn of calls on their way. */
+/** Writes the log lines and metrics of calls in progress. */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -9,26 +9,16 @@
 import type { OpenCall } from './callOpen.js'
 import type { OpaqueCall } from './callTypes.js'
 
-/** Reports of one VM. */
 export class CallReport {
   constructor (private readonly log: EventLog, private readonly metrics: Metrics) {}
 
-  /**
-   * A target was chosen.
-   * @param open - the call
-   * @param choice - the choice
-   */
+  /** Reports that a target was chosen. */
   routed ({ admitted }: OpenCall, { target, candidates, paused, reason, work }: TargetChoice): void {
     const { call, service, team, sharedTokens } = admitted
     this.log.write('routed', { request: call.requestId, team, service, promptTokens: call.promptTokens, sharedTokens, candidates, paused, choice: target.id, reason, work })
   }
 
-  /**
-   * A target said something of itself with an answer.
-   * @param open - the call
-   * @param choice - the target that answered
-   * @param said - what it said
-   */
+  /** Reports the state that a target sent with its answer. */
   targetReported ({ admitted }: OpenCall, { target }: TargetChoice, { isLeaving, pauseMs, flaw }: TargetReport): void {
     if (isLeaving) this.metrics.count('target_answers_leaving')
     if (pauseMs !== undefined) this.metrics.count('target_answers_pause')
@@ -37,8 +27,7 @@
   }
 
   /**
-   * The whole answer went out.
-   * @param open - the call
+   * Reports that the complete answer was sent.
    * @param target - id of the target
    */
   answered (open: OpenCall, target: string): Either<Failure, void> {
@@ -50,10 +39,8 @@
   }
 
   /**
-   * One target did not give the whole answer.
-   * @param open - the call
+   * Reports an attempt that did not complete the answer.
    * @param target - id of the target
-   * @param end - how the attempt ended
    * @param retried - whether another target is tried
    */
   attemptFailed (open: OpenCall, target: string, end: AttemptEnd, retried: boolean): void {
@@ -66,11 +53,7 @@
     this.log.write('attemptFailed', { request, runner: target, ...cause, retried })
   }
 
-  /**
-   * The caller gets a failure.
-   * @param call - the call
-   * @param failure - the failure
-   */
+  /** Reports a failure that is returned to the caller. */
   failed (call: OpaqueCall, { code, ran, retryAfterMs, message }: Failure): void {
     this.metrics.count(`refusals_${code}`)
     this.log.write(ran === 'no' ? 'requestRefused' : 'requestFailed', { request: call.requestId, code, ran, retryAfterMs, detail: message })
--- a/packages/rosemaryspread/src/gateway/callTypes.ts
+++ b/packages/rosemaryspread/src/gateway/callTypes.ts
@@ -1,6 +1,6 @@
 /**
- * What goes through dispatch: a call with an opaque payload, the answer as it comes back, and the
- * ports to targets, their choice, and callers. The edges translate their own protocols to these types.
+ * Types of call dispatch: a call with an opaque payload, its answer, and the ports to targets, target
+ * choice and callers. Each protocol adapter translates to these types.
  */
 import type { Either } from 'purify-ts'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -11,77 +11,75 @@
 import type { OpenCall } from './callOpen.js'
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 
-/** A header as it came; names may repeat. */
+/** A header as received; names may repeat. */
 export type HeaderPair = readonly [name: string, value: string]
 
-/** A request of a caller. */
 export interface OpaqueCall {
   readonly requestId: string
   readonly method: string
   /** Path with its query, as sent. */
   readonly path: string
-  /** Headers that are passed on unchanged. */
+  /** Headers that are forwarded unchanged. */
   readonly headers: readonly HeaderPair[]
   readonly body: Buffer
   readonly promptTokens: number
-  /** Most tokens of the answer. */
+  /** Upper bound of the answer, in tokens. */
   readonly maxTokens: number
   readonly receivedAt: Instant
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal
 }
 
-/** What is allowed with a call; see the route of the gateway's configuration. */
+/** How a call may be dispatched; see the route of the gateway configuration. */
 export interface DispatchRule extends Pick<GatewayRoute, 'name' | 'repeat' | 'streamed' | 'objectiveMs' | 'attempts'> {
-  /** Whether a failure that a target answered may be asked for again elsewhere; else it is the answer. */
+  /** Whether a server error of a target may be retried at another target; otherwise it is the answer. */
   readonly repeatsFailures: boolean
 }
 
-/** A call that may be served. */
+/** A call that passed admission. */
 export interface AdmittedCall {
   readonly call: OpaqueCall
   readonly route: DispatchRule
   readonly service: string
-  /** Absent where no key is needed. */
+  /** Undefined on a route that needs no key. */
   readonly team: string | undefined
-  /** Whether the team's tokens are counted. */
+  /** Whether the call is charged to the team's token budget. */
   readonly isPrepaid: boolean
   readonly priority: number
   readonly tokensPerEvent: number
-  /** Requests a second that a target of the service bears from all VMs while it warms up; absent where nothing bounds them. */
+  /** Requests per second that all VMs together may send to a target of the service while it warms up; absent for no limit. */
   readonly warmUpPerS?: number
-  /** Prompt parts that other requests have as well. */
+  /** Ids of the prompt parts that other requests share. */
   readonly sharedParts: readonly string[]
-  /** Tokens of these parts. */
+  /** Tokens of the shared parts. */
   readonly sharedTokens: number
-  /** Monotonic milliseconds at which the caller or the route gives up. */
+  /** Monotonic milliseconds; the earlier of the limits of caller and route. */
   readonly deadline: number
 }
 
-/** Status and headers of an answer of a target. */
+/** Status and headers of a target's answer. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: readonly HeaderPair[]
 }
 
-/** Where the answer of one call goes. Exactly one of `end`, `cut` and `refuse` ends it. */
+/** Receives the answer of one call. Exactly one of `whole`, `end`, `cut` and `refuse` ends it. */
 export interface CallSink {
-  /** Whether something was sent already. */
+  /** Whether anything was sent. */
   readonly begun: boolean
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   whole (head: AnswerHead, body: Buffer): void
-  /** Begins a streamed answer. */
+  /** Starts a streamed answer. */
   head (head: AnswerHead): void
-  /** Sends a piece; a promise asks to wait until the caller has read. */
+  /** Sends a chunk; a returned promise resolves when the caller has read enough for the next (backpressure). */
   piece (bytes: Buffer): Promise<void> | undefined
   /** Ends a complete stream. */
   end (): void
-  /** Ends a stream so that it cannot be taken for complete. */
+  /** Ends a stream such that the caller can tell that it is incomplete. */
   cut (): void
   refuse (failure: Failure): void
 }
 
-/** One request to one target. */
 export interface TargetRequest {
   readonly target: Pick<TargetView, 'id' | 'address'>
   readonly requestId: string
@@ -89,119 +87,95 @@
   readonly path: string
   readonly headers: readonly HeaderPair[]
   readonly body: Buffer
-  /** Milliseconds that are left for the whole answer. */
+  /** Milliseconds left for the complete answer. */
   readonly timeoutMs: number
   readonly team: string | undefined
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Id of the last event that the caller has, where a stream goes on. */
+  /** Id of the last event that the caller received, when a stream is resumed. */
   readonly resumeAfter: string | undefined
 }
 
-/** The answer of a target as it arrives. */
 export interface TargetAnswer {
   readonly head: AnswerHead
   /**
    * Reads the body to its end.
-   * @param onBytes - takes each piece; reading waits for its promise
+   * @param onBytes - receives each chunk; reading waits for the returned promise
    */
   read (onBytes: (bytes: Buffer) => Promise<void> | undefined): Promise<Either<Failure, void>>
 }
 
 /**
- * Sends requests to targets. A failure with `ran: no` is proof that the target did not run the
- * request; `runnerUnreachable` with `ran: no` means that nothing arrived there.
+ * Sends requests to targets. A failure with `ran: no` proves that the target did not run the request;
+ * `runnerUnreachable` with `ran: no` means that the request did not arrive.
  */
 export interface TargetClient {
   /**
    * Sends a request; resolves with the head of the answer.
-   * @param req - the request
    * @param stop - aborted to end the exchange with the target
-   * @param onReport - told what the target says of itself as soon as the head of its answer is there
+   * @param onReport - called with the state that the target reports, once the head of its answer has arrived
    */
   send (req: TargetRequest, stop: AbortSignal, onReport: (report: TargetReport) => void): Promise<Either<Failure, TargetAnswer>>
 }
 
-/** Finds out whether anything listens at the address of a target. */
+/** Checks whether a process listens at the address of a target. */
 export interface TargetProbe {
   /**
-   * Whether a connection is refused; false when it is made, or when neither is known in time.
+   * Whether a connection is refused; false when it is accepted, or when neither is known within the timeout.
    * @param address - IPv4:port
-   * @param timeoutMs - milliseconds until it counts as not known
    */
   isRefused (address: string, timeoutMs: number): Promise<boolean>
 }
 
-/** What the end of a request says of its target. */
+/** What the outcome of a request says about its target. */
 export type TargetVerdict = 'good' | 'failed' | 'unreachable' | 'none'
 
-/** Chooses targets, and is told what became of the choices. */
+/** Chooses targets and tracks the outcome of each choice. */
 export interface TargetChooser {
   /**
    * Chooses a target.
-   * @param admitted - the call
-   * @param exclude - targets tried already
-   * @param suspicion - set for a request under which targets ended
+   * @param exclude - ids of targets tried already
+   * @param suspicion - set for a request that may have terminated targets
    */
   choose (admitted: AdmittedCall, exclude: ReadonlySet<string>, suspicion?: Suspicion): Either<Failure, TargetChoice>
-  /**
-   * Why no target of a call's service takes any request now; undefined when one does.
-   * @param admitted - the call
-   */
+  /** Why no target of the service accepts requests; undefined if one does. */
   refusal (admitted: AdmittedCall): Failure | undefined
-  /** The request goes out; answers what names it on {@link begun}. */
+  /** Records that the request is sent; returns a ticket for {@link endPrefill}. */
   sent (choice: TargetChoice, admitted: AdmittedCall): number
   /**
-   * The target began to answer, or the request ended without it.
-   * @param choice - the choice that was followed
-   * @param ticket - what {@link sent} answered
-   * @param isAnswered - whether it began to answer
+   * Records that the target started its answer, or that the request ended without one.
+   * @param ticket - returned by {@link sent}
    */
   begun (choice: TargetChoice, ticket: number, isAnswered: boolean): void
-  /**
-   * The target said something of itself with an answer.
-   * @param choice - the choice that was followed
-   * @param report - what it said
-   */
+  /** Records the state that the target sent with its answer. */
   reported (choice: TargetChoice, report: TargetReport): void
   ended (choice: TargetChoice, verdict: TargetVerdict): void
 }
 
-/** Keeps requests from targets that would end under them. */
+/** Protects targets from requests that terminate them. */
 export interface CallGuard {
-  /** A call begins. */
+  /** Called when a call starts. */
   opened (call: OpenCall): void
-  /** A call got its end. */
+  /** Called when a call has ended. */
   closed (call: OpenCall): void
-  /** Why a call may not be sent to any target; undefined when it may. */
+  /** Why a call must not be sent to any target; undefined if it may be sent. */
   refusal (call: OpenCall): Failure | undefined
-  /** What is held against a call that may be sent; undefined when nothing is. */
+  /** Suspicion against a call that may still be sent, if any. */
   suspicion (call: OpenCall): Suspicion | undefined
-  /**
-   * A call broke without an answer; resolves to whether its target ended.
-   * @param call - the call
-   * @param choice - the target that it was sent to
-   */
+  /** Handles an attempt that broke off without an answer; resolves to whether the target terminated. */
   broke (call: OpenCall, choice: TargetChoice): Promise<boolean>
-  /**
-   * A call was broken off from here without an answer, since its caller left or its time was over.
-   * @param call - the call
-   * @param choice - the target that it was sent to
-   */
+  /** Handles an attempt that this VM aborted without an answer, as the caller disconnected or the deadline passed. */
   left (call: OpenCall, choice: TargetChoice): void
-  /**
-   * No connection could be made to a target.
-   * @param choice - the target
-   */
+  /** Called when a target was absent. */
   unreached (choice: TargetChoice): void
-  /** A target served a call. */
+  /** Called when a target served the call. */
   answered (call: OpenCall): void
 }
 
-/** Bounds repeats. */
+/** Limits retries. */
 export interface CallRetries {
-  /** Counts a request to a service. */
+  /** Counts a first attempt towards the retry budget of a service. */
   requested (service: string, now: Instant): void
-  /** Takes one repeat from the budget of a service; false when it is spent. */
+  /** Consumes one retry from the budget of a service; false if it is exhausted. */
   take (service: string, now: Instant): boolean
 }
--- a/packages/rosemaryspread/src/gateway/connectionRoom.ts
+++ b/packages/rosemaryspread/src/gateway/connectionRoom.ts
@@ -1,26 +1,25 @@
 /**
- * How many connections of callers one VM may have open. Without a descriptor left Node closes each new connection at once and tells
- * nobody, while those that are open go on working: the VM would say that it is ready and take no one.
+ * Limit on open connections of callers. A process without free file descriptors closes new connections at
+ * once without an error, while open ones keep working: the VM would report itself ready and accept nobody.
  */
 
-/** Part of the descriptors of the process that connections of callers may take; the others lead to targets, the store and other VMs. */
+/** Share of the process's descriptors for callers; the rest is for targets, the store and other VMs. */
 const CALLERS_PART = 0.5
-/** Part of these from which on connections without a request give way to new ones. */
+/** Share of the limit above which idle connections are closed in favor of new ones. */
 const CROWDED_PART = 0.9
 
-/** Room for connections of callers. */
 export class ConnectionRoom {
-  /** Connections that may be open; those beyond are to be closed at once. */
+  /** Open connections allowed; further ones are closed at once. */
   readonly most: number
 
-  /** @param descriptors - descriptors that the process may have open; absent where nothing bounds them */
+  /** @param descriptors - descriptors that the process may open; absent for no limit */
   constructor (descriptors?: number) {
     this.most = Math.floor((descriptors ?? Infinity) * CALLERS_PART)
   }
 
   /**
-   * Whether connections without a request should be closed, so that new ones find room.
-   * @param open - connections that are open
+   * Whether idle connections should be closed to make room for new ones.
+   * @param open - number of open connections
    */
   isCrowded (open: number): boolean {
     return open >= this.most * CROWDED_PART
--- a/packages/rosemaryspread/src/gateway/connectionSilence.ts
+++ b/packages/rosemaryspread/src/gateway/connectionSilence.ts
@@ -1,41 +1,35 @@
 /**
- * Connections can go silent for good without a reset, mostly all that a process has at once. Whoever sees that
- * another end answers on a new connection but not on an old one tells it here; whoever keeps connections
- * drops those on which nothing was heard since, as each would cost its next request its whole time.
+ * Connections can stop responding without a reset, mostly all connections of a process at once. A client
+ * whose peer answers on a new connection but not on an old one reports it here; each connection pool then
+ * drops the idle connections without traffic since, as each would cost its next request the full timeout.
  */
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 
-/** What kept connections lead to. */
+/** Peer type of the pooled connections. */
 export type ConnectionKind = 'store' | 'peers' | 'targets'
 
-/** Drops connections without a request on which nothing was heard after a time, in monotonic milliseconds. */
+/** Drops idle connections that have received nothing after `since`, in monotonic milliseconds. */
 export type DropIdle = (since: number) => void
 
-/** Brings together those who notice silence and those who keep connections. */
+/** Forwards each report of an unresponsive connection to all connection pools of the process. */
 export class ConnectionSilence {
   private readonly keepers: DropIdle[] = []
   private log: EventLog | undefined
 
-  /**
-   * Has lines of what was noticed written.
-   * @param log - the log of the process
-   */
+  /** Sets the log; it is created after the first connections. */
   logTo (log: EventLog): void {
     this.log = log
   }
 
-  /**
-   * Adds one who keeps connections.
-   * @param drop - drops them
-   */
+  /** Registers a connection pool. */
   onNoticed (drop: DropIdle): void {
     this.keepers.push(drop)
   }
 
   /**
-   * Tells that a connection went silent while a new one to the same end was answered.
-   * @param by - where it was noticed
-   * @param since - monotonic milliseconds after which nothing was heard on the old connection
+   * Reports that a connection stopped responding while the same peer answered on a new one.
+   * @param by - client that detected it
+   * @param since - monotonic milliseconds after which the old connection received nothing
    */
   noticed (by: ConnectionKind, since: number): void {
     this.log?.write('connectionsSilent', { by, since: Math.round(since) })
--- a/packages/rosemaryspread/src/gateway/eventRelay.spec.ts
+++ b/packages/rosemaryspread/src/gateway/eventRelay.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Event streams are relayed in whole events, byte by byte as they came.
+ * Event streams must be relayed in complete events and without a changed byte, else a broken stream cannot
+ * be resumed.
  */
 import { expect } from 'chai'
 import { EventRelay } from './eventRelay.js'
@@ -15,12 +16,12 @@
 
 const cases: readonly RelayCase[] = [
   { name: 'one event', pieces: ['id: 1\ndata: a\n\n'], relayed: ['id: 1\ndata: a\n\n'], events: 1, lastId: '1', hasRest: false },
-  { name: 'several in one piece', pieces: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'], relayed: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'], events: 2, lastId: '2', hasRest: false },
-  { name: 'one in several pieces', pieces: ['id: 1\nda', 'ta: a\n', '\n'], relayed: ['', '', 'id: 1\ndata: a\n\n'], events: 1, lastId: '1', hasRest: false },
-  { name: 'a whole one and a begun one', pieces: ['id: 1\ndata: a\n\nid: 2\nda'], relayed: ['id: 1\ndata: a\n\n'], events: 1, lastId: '1', hasRest: true },
-  { name: 'lines that end in CR LF', pieces: ['id: 7\r\ndata: a\r\n\r\n'], relayed: ['id: 7\r\ndata: a\r\n\r\n'], events: 1, lastId: '7', hasRest: false },
+  { name: 'several events in one chunk', pieces: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'], relayed: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'], events: 2, lastId: '2', hasRest: false },
+  { name: 'one event in several chunks', pieces: ['id: 1\nda', 'ta: a\n', '\n'], relayed: ['', '', 'id: 1\ndata: a\n\n'], events: 1, lastId: '1', hasRest: false },
+  { name: 'a complete event and an incomplete one', pieces: ['id: 1\ndata: a\n\nid: 2\nda'], relayed: ['id: 1\ndata: a\n\n'], events: 1, lastId: '1', hasRest: true },
+  { name: 'lines that end with CR LF', pieces: ['id: 7\r\ndata: a\r\n\r\n'], relayed: ['id: 7\r\ndata: a\r\n\r\n'], events: 1, lastId: '7', hasRest: false },
   { name: 'a line before the id', pieces: ['x-versions: 3\nid:4\ndata: a\n\n'], relayed: ['x-versions: 3\nid:4\ndata: a\n\n'], events: 1, lastId: '4', hasRest: false },
-  { name: 'text that only looks like an id', pieces: ['id: 1\ndata: id: 9\n\n'], relayed: ['id: 1\ndata: id: 9\n\n'], events: 1, lastId: '1', hasRest: false }
+  { name: 'data that contains an id pattern', pieces: ['id: 1\ndata: id: 9\n\n'], relayed: ['id: 1\ndata: id: 9\n\n'], events: 1, lastId: '1', hasRest: false }
 ]
 
 describe('EventRelay', () => {
@@ -33,14 +34,14 @@
     })
   }
 
-  it('forgets an unfinished event when the stream breaks', () => {
+  it('discards an incomplete event when the stream breaks', () => {
     const relay = new EventRelay()
     relay.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))
     relay.drop()
     expect(relay.take(Buffer.from('id: 2\ndata: b\n\n')).toString()).to.equal('id: 2\ndata: b\n\n')
   })
 
-  it('gives up an event without an end', () => {
+  it('rejects an event that exceeds the size limit', () => {
     expect(() => new EventRelay().take(Buffer.alloc(2_000_000, 'a'))).to.throw(RangeError)
   })
 })
--- a/packages/rosemaryspread/src/gateway/eventRelay.ts
+++ b/packages/rosemaryspread/src/gateway/eventRelay.ts
@@ -1,10 +1,10 @@
 /**
- * Cuts a byte stream into whole server-sent events, without changing a byte, so that a stream that
- * breaks inside an event can go on with a whole one. Counts events and remembers the last id.
+ * Splits a byte stream into complete server-sent events without changing any byte, so that a stream that
+ * breaks within an event can be resumed after a complete one. Counts events and stores the last id.
  */
 
 const LINE_FEED = 0x0a
-/** Longest piece without the end of an event that is kept, in bytes. */
+/** Largest incomplete event that is buffered. */
 const MAX_EVENT_BYTES = 1_048_576
 const idLine = /(?:^|\n)id: ?([^\r\n]*)/g
 
@@ -14,36 +14,33 @@
   private count = 0
   private id: string | undefined
 
-  /** Events relayed so far. */
+  /** Number of complete events so far. */
   get events (): number {
     return this.count
   }
 
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   get lastId (): string | undefined {
     return this.id
   }
 
-  /** Whether bytes of an unfinished event are kept back. */
+  /** Whether bytes of an incomplete event are buffered. */
   get hasRest (): boolean {
     return this.rest.length > 0
   }
 
-  /**
-   * Takes bytes; answers those that end whole events.
-   * @param bytes - what arrived
-   */
+  /** Buffers bytes and returns those that complete events. */
   take (bytes: Buffer): Buffer {
     const all = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes])
     const end = endOfEvents(all)
     this.rest = all.subarray(end)
-    if (this.rest.length > MAX_EVENT_BYTES) throw new RangeError(`an event exceeds ${MAX_EVENT_BYTES} bytes`)
+    if (this.rest.length > MAX_EVENT_BYTES) throw new RangeError(`an event exceeds the limit of ${MAX_EVENT_BYTES} bytes`)
     const whole = all.subarray(0, end)
     this.note(whole.toString('latin1'))
     return whole
   }
 
-  /** Gives up what is kept back: the stream broke inside an event. */
+  /** Discards the incomplete event after the stream broke. */
   drop (): void {
     this.rest = Buffer.alloc(0)
   }
@@ -56,7 +53,7 @@
   }
 }
 
-/** Index after the last blank line; blank lines end events. */
+/** Index after the last blank line, which ends the last complete event. */
 function endOfEvents (bytes: Buffer): number {
   for (let i = bytes.length - 1; i > 0; i--) {
     if (bytes[i] !== LINE_FEED) continue
--- a/packages/rosemaryspread/src/gateway/flawLog.ts
+++ b/packages/rosemaryspread/src/gateway/flawLog.ts
@@ -1,23 +1,19 @@
 /**
- * Logs what targets tell that cannot be read. They repeat it with each heartbeat or answer, so it is logged
- * once for each target.
+ * Logs malformed values that targets send. A target repeats them with each heartbeat or answer, so only the
+ * first one of each target is logged.
  */
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 
-/** Flaws of one source. */
+/** Malformed values of one source. */
 export class FlawLog {
   private readonly noted = new Set<string>()
 
-  /**
-   * @param log - the log
-   * @param source - where it was told
-   */
+  /** @param source - where the values come from, for the log */
   constructor (private readonly log: EventLog, private readonly source: string) {}
 
   /**
-   * Notes a flaw.
+   * Logs a malformed value unless one of this target was logged.
    * @param id - id of the target
-   * @param detail - what cannot be read
    */
   note (id: string, detail: string): void {
     if (this.noted.has(id)) return
@@ -25,10 +21,7 @@
     this.log.write('platformFault', { service: this.source, operation: 'decode', code: id, detail })
   }
 
-  /**
-   * Forgets targets that are not listed any more.
-   * @param isListed - whether a target is listed
-   */
+  /** Drops targets that are no longer listed. */
   forget (isListed: (id: string) => boolean): void {
     for (const id of this.noted) if (!isListed(id)) this.noted.delete(id)
   }
--- a/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
+++ b/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
@@ -1,6 +1,4 @@
-/**
- * When the watch of the front writes a line, and what stands in it.
- */
+/** When the ingress monitor logs overload and advertises it, and which counters it reports. */
 import { expect } from 'chai'
 import { MetricsRecorder } from '../metrics/metricsRecorder.js'
 import { FrontWatch } from './frontWatch.js'
@@ -12,19 +10,19 @@
   readonly taken?: number
   readonly dropped?: number
   readonly turns: number
-  /** Milliseconds by which one tick comes late. */
+  /** Delay of one tick. */
   readonly lateMs?: number
   readonly busyMs?: number
   readonly lines: number
 }
 
 const cases: readonly Second[] = [
-  { name: 'nothing where connections are few beside turns', taken: 100, turns: 900, lines: 0 },
-  { name: 'a line where there was a connection in every other turn', taken: 100, turns: 200, lines: 1 },
-  { name: 'nothing of a few connections in a few turns', taken: 19, turns: 19, lines: 0 },
-  { name: 'a line where connections were closed at once', dropped: 1, turns: 900, lines: 1 },
-  { name: 'a line where the event loop was held up', turns: 900, lateMs: 600, lines: 1 },
-  { name: 'nothing of a tick that came a little late', turns: 900, lateMs: 300, lines: 0 }
+  { name: 'nothing for few connections per turn', taken: 100, turns: 900, lines: 0 },
+  { name: 'a line for a connection in every other turn', taken: 100, turns: 200, lines: 1 },
+  { name: 'nothing below the minimum number of connections', taken: 19, turns: 19, lines: 0 },
+  { name: 'a line for connections closed at the limit', dropped: 1, turns: 900, lines: 1 },
+  { name: 'a line for a blocked event loop', turns: 900, lateMs: 600, lines: 1 },
+  { name: 'nothing for a slightly late tick', turns: 900, lateMs: 300, lines: 0 }
 ]
 
 class Watched {
@@ -64,7 +62,7 @@
     })
   }
 
-  it('counts each span anew', () => {
+  it('resets the counters for each window', () => {
     const watched = new Watched()
     watched.second({ taken: 40, turns: 40 })
     watched.second({ turns: 800 })
@@ -74,24 +72,24 @@
 
   const calm = { turns: 900 }
   const pressures: ReadonlyArray<{ readonly name: string, readonly seconds: ReadonlyArray<Omit<Second, 'name' | 'lines'>>, readonly isPressed: boolean }> = [
-    { name: 'room at the start', seconds: [], isPressed: false },
-    { name: 'pressure of many connections', seconds: [{ taken: 100, turns: 200 }], isPressed: true },
-    { name: 'pressure of connections closed at once', seconds: [{ dropped: 1, turns: 900 }], isPressed: true },
-    { name: 'pressure of a loop that was held up', seconds: [{ turns: 900, lateMs: 600 }], isPressed: true },
-    { name: 'pressure of a loop without a pause', seconds: [{ turns: 900, busyMs: 990 }], isPressed: true },
-    { name: 'room beside a busy loop with pauses', seconds: [{ turns: 900, busyMs: 800 }], isPressed: false },
-    { name: 'pressure two calm seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm], isPressed: true },
-    { name: 'room three calm seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm, calm], isPressed: false }
+    { name: 'capacity at the start', seconds: [], isPressed: false },
+    { name: 'overload for many connections', seconds: [{ taken: 100, turns: 200 }], isPressed: true },
+    { name: 'overload for connections closed at the limit', seconds: [{ dropped: 1, turns: 900 }], isPressed: true },
+    { name: 'overload for a blocked event loop', seconds: [{ turns: 900, lateMs: 600 }], isPressed: true },
+    { name: 'overload for a saturated event loop', seconds: [{ turns: 900, busyMs: 990 }], isPressed: true },
+    { name: 'capacity for a busy event loop below saturation', seconds: [{ turns: 900, busyMs: 800 }], isPressed: false },
+    { name: 'overload two stable seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm], isPressed: true },
+    { name: 'capacity three stable seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm, calm], isPressed: false }
   ]
   for (const { name, seconds, isPressed } of pressures) {
-    it(`tells ${name}`, () => {
+    it(`advertises ${name}`, () => {
       const watched = new Watched()
       for (const second of seconds) watched.second(second)
       expect(watched.watch.isPressed).to.equal(isPressed)
     })
   }
 
-  it('shows open connections while they are open', () => {
+  it('decrements the gauge of open connections when one closes', () => {
     const watched = new Watched()
     const closed = watched.watch.taken()
     watched.watch.taken()
--- a/packages/rosemaryspread/src/gateway/frontWatch.ts
+++ b/packages/rosemaryspread/src/gateway/frontWatch.ts
@@ -1,40 +1,40 @@
 /**
- * Counts what the front of a VM takes beside the turns of its event loop. Node takes one new connection in each turn,
- * so as many connections taken as turns made say that others wait, which nothing else of a process tells.
+ * Detects overload at the ingress of a VM. Node accepts one new connection in each turn of the event loop,
+ * so about as many accepted connections as turns mean that further ones wait in the backlog, which a
+ * process cannot see otherwise.
  */
 import { performance } from 'node:perf_hooks'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 
-/** Milliseconds that are looked at together, and so between two lines of the log at least. */
+/** Length of a measurement window, and so the minimum interval between two log lines. */
 const SPAN_MS = 1_000
-/** Milliseconds between two ticks beyond which the event loop was held up. */
+/** Interval between two ticks from which the event loop counts as blocked. */
 const HELD_UP_MS = 600
-/** Part of the turns with a new connection from which on others are taken to wait. */
+/** Accepted connections per turn from which further ones are assumed to wait. */
 const PRESSED_PART = 0.5
-/** Connections below which a span says nothing of others that wait. */
+/** With fewer accepted connections a window says nothing about a backlog. */
 const LEAST_TAKEN = 20
 
-/** Part of a span in which the event loop was busy from which on this VM has more to do than it can. */
+/** Share of busy time of the event loop from which the VM counts as overloaded. */
 const BUSY_PART = 0.9
-/** Spans in a row without pressure after which it has room again. */
+/** Consecutive windows without overload before the VM advertises capacity again. */
 const CALM_SPANS = 3
 
-/** What the watch is composed of. */
 export interface FrontWatchDeps {
   readonly clock: Clock
   readonly log: EventLog
   readonly metrics: Metrics
-  /** Whether this VM says that it is ready. */
+  /** Whether this VM reports itself ready. */
   isReady (): boolean
-  /** Turns that the event loop has made. */
+  /** Turns of the event loop so far. */
   turns (): number
-  /** Milliseconds for which the event loop was busy. */
+  /** Milliseconds for which the event loop was busy so far. */
   busyMs (): number
 }
 
-/** One span. */
+/** Counters of one measurement window. */
 interface FrontSpan {
   readonly startedAt: number
   readonly turnsBefore: number
@@ -46,17 +46,16 @@
   longestMs: number
 }
 
-/** Turns that the event loop of this process has made. */
+/** Turns of the event loop of this process so far. */
 export function loopTurns (): number {
   return performance.nodeTiming.uvMetricsInfo.loopCount
 }
 
-/** Milliseconds for which the event loop of this process was busy. */
+/** Milliseconds for which the event loop of this process was busy so far. */
 export function loopBusyMs (): number {
   return performance.eventLoopUtilization().active
 }
 
-/** Watches the front of one VM. */
 export class FrontWatch {
   private open = 0
   private tickedAt: number
@@ -73,17 +72,17 @@
     deps.metrics.gauge('loop_longest_ms', () => Math.max(this.span.longestMs, this.last.longestMs))
   }
 
-  /** Connections of callers that are open. */
+  /** Open connections of callers. */
   get openConnections (): number {
     return this.open
   }
 
-  /** Whether callers had better go to other VMs. Some spans without pressure are awaited, so that they do not come and go with each. */
+  /** Whether callers should prefer other VMs. Clears only after several windows without overload, so that callers do not oscillate between VMs. */
   get isPressed (): boolean {
     return this.calmSpans < CALM_SPANS
   }
 
-  /** A connection was taken; answers what to call when it closes, with whether any request came on it. */
+  /** Counts an accepted connection; returns the function to call when it closes, with whether it carried a request. */
   taken (): (isUsed: boolean) => void {
     this.open += 1
     this.span.taken += 1
@@ -96,18 +95,18 @@
     }
   }
 
-  /** A connection was closed at once, as this VM has as many as it may. */
+  /** Counts a connection that was closed at once, as the limit of open connections is reached. */
   dropped (): void {
     this.span.dropped += 1
     this.deps.metrics.count('front_connections_dropped')
   }
 
-  /** The headers of a request were read. */
+  /** Counts a request whose headers were read. */
   requested (): void {
     this.span.requests += 1
   }
 
-  /** To be called at a steady pace: what is longer between two calls held the event loop up. */
+  /** To be called at a steady interval: a longer gap between two calls means that the event loop was blocked. */
   tick (): void {
     const { mono } = this.deps.clock.now()
     this.span.longestMs = Math.max(this.span.longestMs, mono - this.tickedAt)
--- a/packages/rosemaryspread/src/gateway/gatewayAdmission.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayAdmission.ts
@@ -1,6 +1,4 @@
-/**
- * Checks of a call before anything is reserved or sent: route, key, team and time left.
- */
+/** Admission of a call before tokens are reserved or anything is sent: route, key, team and deadline. */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { GatewayConfig } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
@@ -9,10 +7,10 @@
 import type { AdmittedCall } from './callTypes.js'
 import type { GatewayCall } from './gatewayTypes.js'
 
-/** Milliseconds to come back after when the route has no service. */
+/** Retry-After when the route has no service. */
 const NO_SERVICE_RETRY_MS = 1_000
 
-/** A configuration prepared for calls. */
+/** A configuration with its lookup tables. */
 export interface PreparedConfig {
   readonly config: GatewayConfig
   readonly routes: RouteTable
@@ -20,10 +18,8 @@
 }
 
 /**
- * Checks a call.
- * @param call - the call
- * @param prepared - the configuration in force
- * @param random - a number in [0, 1), for routes with several services
+ * Admits or refuses a call.
+ * @param random - in [0, 1); chooses among the services of a route
  */
 export function admitCall (call: GatewayCall, prepared: PreparedConfig, random: number): Either<Failure, AdmittedCall> {
   const { config, routes, keys } = prepared
@@ -35,7 +31,7 @@
   if (service === undefined) return Left(new Failure('noRunner', 'the route has no service', { retryAfterMs: NO_SERVICE_RETRY_MS }))
   const { tokensPerEvent = 1, warmUpPerS } = config.services[service] ?? {}
   const teamConfig = team === undefined ? undefined : config.teams[team]
-  // The last part belongs to the request itself.
+  // The last part is specific to the request.
   const shared = route.hasAffinity ? call.promptParts.slice(0, -1) : []
   const waitMs = Math.min(call.timeoutMs ?? route.timeoutMs, route.timeoutMs)
   return Right({
--- a/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.spec.ts
@@ -1,6 +1,4 @@
-/**
- * How often VMs flush, by the size of the fleet.
- */
+/** The flush interval must grow with the fleet, else the VMs together overload the store. */
 import { expect } from 'chai'
 import { fleetBudgetPolicy } from './gatewayBudgetPolicy.js'
 
@@ -12,10 +10,10 @@
     { vms: 360, flushMs: 1_800 }
   ]
   for (const { vms, flushMs } of cases) {
-    it(`${vms} VMs flush each ${flushMs} ms`, () => { expect(fleetBudgetPolicy(() => vms).flushMs).to.equal(flushMs) })
+    it(`${vms} VMs flush every ${flushMs} ms`, () => { expect(fleetBudgetPolicy(() => vms).flushMs).to.equal(flushMs) })
   }
 
-  it('follows a fleet that grows', () => {
+  it('follows the size of a growing fleet', () => {
     let vms = 6
     const policy = fleetBudgetPolicy(() => vms)
     vms = 60
--- a/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
@@ -1,32 +1,33 @@
 /**
- * Sizes and times of budgets where targets keep no record of runs and nothing outlives a process.
- * An allotment covers demand for longer than the store is mostly out of reach; what the end of a VM
- * costs is bounded by its last report, see reportBound.
+ * Sizes and times of budgets where targets keep no record of runs and nothing outlives a process. An
+ * allotment covers demand for longer than typical outages of the store; the loss when a VM terminates is
+ * bounded by its last report, see reportBound.
  */
 import { ALL_OWN_UP_TO } from '@rosemaryspread/decisions/budget/budgetOwners.js'
 import { defaultBudgetPolicy, type BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 
-/** Milliseconds between two flushes of a VM in a small fleet; reports go with them, each is one call of the store. */
+/** Interval between two flushes of a VM in a small fleet; each flush with its reports is one call of the store. */
 const FLUSH_MS = 100
-/** Flushes that all VMs together send in a second at most: two thirds of what one part of the store takes. */
+/** Upper bound on flushes per second of all VMs together: two thirds of what one partition of the store handles. */
 const FLEET_FLUSHES_PER_S = 200
 /**
- * Part of the unspent tokens that is dealt out to the owners of a budget where they are fewer than the VMs: requests of all
- * others come to them alike, so it does not lie idle, and the first seconds of traffic meet no empty owner.
+ * Share of the unspent tokens that is dealt out to the owners of a budget where they are fewer than the VMs.
+ * Requests of all other VMs reach the owners equally, so these tokens do not lie idle and the first seconds of
+ * traffic find no empty owner.
  */
 const OWNERS_EVEN_PART = 0.5
 const MS_PER_SECOND = 1_000
 
-/** Policy of the gateway; docs/design/platform.md gives the ways weighed. */
+/** Budget policy of the gateway; docs/design/platform.md compares the alternatives. */
 export const gatewayBudgetPolicy: BudgetPolicy = {
   ...defaultBudgetPolicy,
   horizonMs: 45_000,
   rateWindowMs: 3_000,
   boundsUse: true,
   demandFrom: 'reservations',
-  // More than a tenth lies idle at VMs without demand while the one with the callers runs dry in a cut.
+  // A larger share lies idle at VMs without demand, while the VM with the callers runs out during a partition.
   evenPart: 0.1,
-  // Many teams are served by one VM at a time, since callers keep their connections: it may take most of what is left.
+  // Callers reuse their connections, so one VM often serves all requests of a team: it may draw most of the rest.
   shareDivisor: 0.25,
   idleReturnMs: 15_000,
   flushMs: FLUSH_MS,
@@ -35,25 +36,25 @@
   roundMs: 150,
   roundMaxMs: 600,
   patienceMs: 30,
-  // About a round trip: callers come back to another address.
+  // About one round trip, as callers retry at another address.
   otherVmRetryMs: 20,
-  // A draw or a report mostly comes back sooner, and costs no other VM a call.
+  // A draw or a report mostly completes sooner and costs no call to another VM.
   giftAfterMs: 20,
   lapseMs: 60_000,
   marginMs: 5_000,
   requestTimeoutMs: 15_000,
-  // Gifts serve what waits meanwhile; at 2 s a day of trouble took 14,900 calls of the store, now 12,800.
+  // Grants of other VMs serve waiting requests meanwhile; a shorter pause only adds calls of the store during an outage.
   emptyPauseMs: 6_000,
-  // A transaction of the store takes 100 entries; a draw has up to six of them, a flush four for each budget.
+  // A transaction of the store is limited to 100 entries; a draw has up to six, a flush four for each budget.
   drawsAtOnce: 12,
   budgetsAtOnce: 20,
-  // With returns to ten budgets at once eight tries in a row conflicted while a VM joined and others drew.
+  // Returns to ten budgets in one transaction conflicted eight times in a row while a VM joined and others drew.
   returnsAtOnce: 3
 }
 
 /**
- * The policy of a VM in a fleet of any size: VMs of a larger one flush less often.
- * @param vms - number of VMs
+ * Policy for a fleet of any size: VMs of a larger fleet flush less often.
+ * @param vms - current number of VMs
  */
 export function fleetBudgetPolicy (vms: () => number): BudgetPolicy {
   return {
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgets.spec.ts
@@ -1,6 +1,7 @@
 /**
- * Tokens that a VM held when it was suspended: others take them back after a minute without a word of it, so it may not
- * use them once it wakes after that, before it reached the table again.
+ * Guards against double spending after a suspension. Other VMs recover the tokens of a VM after a minute
+ * without a sign of life, so a VM that resumes later must not use them before it has reached the table
+ * again.
  */
 import { expect } from 'chai'
 import { Left } from 'purify-ts'
@@ -18,7 +19,7 @@
 const cases: readonly SuspensionCase[] = [
   { name: 'not suspended', suspendedMs: 0, isUsable: true },
   { name: 'suspended for five seconds', suspendedMs: 5_000, isUsable: true },
-  { name: 'suspended for longer than others wait for it', suspendedMs: 61_000, isUsable: false }
+  { name: 'suspended beyond the expiry of its allotments', suspendedMs: 61_000, isUsable: false }
 ]
 
 describe('budgets of a VM that was suspended', () => {
@@ -26,7 +27,7 @@
   afterEach(() => { Date.now = realWall })
 
   for (const { name, suspendedMs, isUsable } of cases) {
-    it(`${name}: tokens that it reserved are ${isUsable ? 'usable' : 'not usable'}`, async () => {
+    it(`${name}: its reserved tokens are ${isUsable ? 'usable' : 'not usable'}`, async () => {
       const budgets = gatewayBudgets({
         holder: 'vm1~a',
         domain: 'd',
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
@@ -1,6 +1,6 @@
 /**
- * The budgets of one gateway: the driver with the policy of a fleet of equal VMs, and the gifts that
- * VMs make each other over their links.
+ * Creates the budget driver of a gateway, with the policy of a fleet of equal VMs and with grants between
+ * VMs over their links.
  */
 import type { Either } from 'purify-ts'
 import { RendezvousOwners } from '@rosemaryspread/decisions/budget/budgetOwners.js'
@@ -19,24 +19,23 @@
 import type { PeerVm } from '../presence/vmPresence.js'
 import { fleetBudgetPolicy } from './gatewayBudgetPolicy.js'
 
-/** Monotonic milliseconds at which a process begins: Node's performance clock counts from there. */
+/** Start of the process in monotonic milliseconds: the performance clock of Node counts from there. */
 const PROCESS_BEGUN_AT = 0
 
-/** The other VMs as the budgets need them. */
+/** The fleet as the budgets see it. */
 export interface BudgetFleet {
-  /** The other VMs that hold budgets. */
+  /** Other VMs that hold budgets. */
   members (): readonly BudgetMember[]
-  /** The other VMs that can be asked directly. */
+  /** Other VMs that can be called over a link. */
   peers (): readonly PeerVm[]
-  /** VMs present, this one included. */
+  /** Number of VMs, this one included. */
   readonly size: number
 }
 
-/** What the budgets of a gateway work with. */
 export interface GatewayBudgetsParts {
   readonly holder: string
   readonly domain: string
-  /** Name of the addresses on which this process listens. */
+  /** Address on which this process listens for callers. */
   readonly place: string
   readonly store: TableStore
   readonly clock: Clock
@@ -44,14 +43,10 @@
   readonly fleet: BudgetFleet
   /** Calls another VM over a link. */
   call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
-  /** What the configuration in force says was paid for a budget. */
+  /** Amount paid for a budget according to the current configuration. */
   declared (budget: string): DeclaredPaid | undefined
 }
 
-/**
- * Composes the budgets of one gateway.
- * @param parts - what they work with
- */
 export function gatewayBudgets (parts: GatewayBudgetsParts): BudgetDriver {
   const { holder, domain, place, store, clock, log, fleet, call, declared } = parts
   const owners = new RendezvousOwners(holder)
--- a/packages/rosemaryspread/src/gateway/gatewayChooser.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayChooser.ts
@@ -1,6 +1,4 @@
-/**
- * Chooses targets for the gateway: those that the register lists, by the balancer.
- */
+/** Chooses targets for the gateway: those that the register lists, by the balancer. */
 import { Left, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -11,10 +9,9 @@
 import type { AdmittedCall, TargetChooser, TargetVerdict } from './callTypes.js'
 import type { TargetDirectory } from './gatewayTypes.js'
 
-/** Milliseconds to come back after when operators evacuated all targets: they decide by hand, so sooner is of no use. */
+/** Operators evacuate and restore domains by hand, so an earlier retry is of no use. */
 const EVACUATED_RETRY_MS = 1_000
 
-/** What the chooser works with. */
 export interface ChooserParts {
   readonly targets: TargetDirectory
   readonly balancer: TargetBalancer
@@ -22,13 +19,13 @@
   readonly random: RandomSource
   /** Name of this VM. */
   readonly vm: string
-  /** Names of the VMs that share what targets bear while they warm up; empty while they are not known. */
+  /** Names of the VMs that share the load of targets that warm up; empty until they are known. */
   vms (): readonly string[]
-  /** Has other VMs told of a request. */
+  /** Notifies other VMs of a large request. */
   tell (notice: WorkNotice): void
 }
 
-/** Chooses by the balancer, and has other VMs told of large requests. */
+/** Chooses by the balancer and notifies other VMs of large requests. */
 export class GatewayChooser implements TargetChooser {
   constructor (private readonly parts: ChooserParts) {}
 
@@ -76,9 +73,9 @@
       return new Failure('domainsEvacuated', 'all targets of the service are in evacuated failure domains', { retryAfterMs: EVACUATED_RETRY_MS })
     }
     if (targets.length > 0 || pausesMs.length === 0) return undefined
-    // Each caller is told the end of the pause of one target, so that not all of them come back to the first.
+    // Each caller gets the end of a random target's pause, so that not all of them retry at the earliest one.
     const retryAfterMs = pausesMs[Math.floor(this.parts.random.next() * pausesMs.length)]
-    return new Failure('targetsPaused', 'all targets of the service asked this VM to wait', { retryAfterMs })
+    return new Failure('targetsPaused', 'all targets of the service have paused this VM', { retryAfterMs })
   }
 
   private warmUpOf ({ warmUpPerS: perS }: AdmittedCall): Pick<TargetDemand, 'warmUp'> {
--- a/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway's configuration in force. Versions only grow in the life of a process; what changed
- * for prepaid teams is told on to the budgets.
+ * The current configuration of the gateway. Its version only increases during the life of a process;
+ * budgets are notified of changed amounts of prepaid teams.
  */
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { DeclaredPaid } from '@rosemaryspread/decisions/budget/budgetTypes.js'
@@ -9,33 +9,26 @@
 import { KeyDirectory } from '../directory/keyDirectory.js'
 import type { PreparedConfig } from './gatewayAdmission.js'
 
-/** Told when the amount that a team paid changed. */
+/** Called when the amount that a team paid has changed. */
 export type OnPaidChanged = (team: string, isLowered: boolean) => void
 
-/** Holds the configuration. */
 export class GatewayConfigHolder {
   private prepared: PreparedConfig | undefined
   private readonly listeners: OnPaidChanged[] = []
 
   constructor (private readonly log: EventLog) {}
 
-  /** The configuration in force; undefined until the first came. */
+  /** The current configuration; undefined until the first one is applied. */
   current (): PreparedConfig | undefined {
     return this.prepared
   }
 
-  /**
-   * Registers a listener for changed amounts.
-   * @param listener - told of each team
-   */
+  /** Registers a listener for changed amounts; called once for each changed team. */
   onPaidChanged (listener: OnPaidChanged): void {
     this.listeners.push(listener)
   }
 
-  /**
-   * Puts a configuration in force unless the one in force is as new.
-   * @param config - the configuration
-   */
+  /** Applies a configuration unless its version is not newer than the current one. */
   apply (config: GatewayConfig): void {
     const before = this.prepared?.config
     if (before !== undefined && config.version <= before.version) return
@@ -46,10 +39,7 @@
     this.tellPaid(before, config)
   }
 
-  /**
-   * What a team paid in all, by the configuration in force.
-   * @param team - name of the team
-   */
+  /** Total amount that a team paid according to the current configuration. */
   declaredPaid (team: string): DeclaredPaid | undefined {
     const { config } = this.prepared ?? {}
     const tokens = config?.teams[team]?.prepaidTokens
--- a/packages/rosemaryspread/src/gateway/gatewayIds.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayIds.ts
@@ -1,4 +1,7 @@
-/** Identifiers of what the container of a gateway binds; those shared with the VM of the own interface are its own. */
+/**
+ * Service identifiers of the gateway container; those shared with the VM of the public API come from
+ * serviceIds.
+ */
 import type { ServiceIdentifier } from 'inversify'
 import type { TargetBalancer } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import { ids } from '../compose/serviceIds.js'
@@ -16,7 +19,6 @@
   return Symbol.for(name) as ServiceIdentifier<T>
 }
 
-/** Identifiers of the gateway. */
 export const gatewayIds = {
   clock: ids.clock,
   random: ids.random,
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The pipeline over fakes: which targets a call is sent to, what its caller gets, what is billed.
+ * The pipeline over fakes: which targets a call is sent to, what its caller receives, and what is billed.
  */
 import { expect } from 'chai'
 import { Left, Right, type Either } from 'purify-ts'
@@ -23,7 +23,7 @@
 const FAILED: AnswerHead = { status: 500, headers: [] }
 const silent = { write: () => {} }
 
-/** What a target does with a request: pieces of an answer, and how it ends; or a failure to answer. */
+/** Behavior of a fake target: chunks of an answer and an optional failure at its end, or a failure to answer. */
 type Script = Failure | { readonly head: AnswerHead, readonly pieces: readonly string[], readonly end?: Failure }
 
 class Client implements TargetClient {
@@ -54,7 +54,7 @@
 
 class Budgets implements BudgetPort {
   readonly bills: Array<Bill | undefined> = []
-  /** Answers to the next confirmations; later ones succeed. */
+  /** Results of the next confirmations; later ones succeed. */
   confirmations: Array<Either<Failure, void>> = []
 
   constructor (private readonly refusal?: Failure) {}
@@ -96,11 +96,11 @@
   readonly scripts: Script[]
   readonly refusal?: Failure
   readonly gone?: true
-  /** How the call ended, once. */
+  /** How the sink was ended, exactly once. */
   readonly end: string
   readonly text?: string
   readonly sends: number
-  /** Tokens billed; absent when the reservation ended without a bill. */
+  /** Tokens billed; absent if the reservation is settled without a bill. */
   readonly billed?: number
 }
 
@@ -114,28 +114,28 @@
 const resumable = { streamed: true, repeat: 'resume' } as const
 
 const cases: readonly PipelineCase[] = [
-  { name: 'a whole answer', scripts: [{ head: OK, pieces: ['a', 'b'] }], end: 'whole 200', text: 'ab', sends: 1, billed: 100 },
-  { name: 'a stream, billed by its events', route: stream, scripts: [{ head: OK, pieces: [event(1), event(2)] }], end: 'end', text: event(1) + event(2), sends: 1, billed: 106 },
-  { name: 'a stream longer than it may be, billed at its most', route: stream, scripts: [{ head: OK, pieces: [1, 2, 3, 4, 5].map(event) }], end: 'end', sends: 1, billed: 110 },
-  { name: 'a proof of not having run', scripts: [notRun, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 2, billed: 100 },
-  { name: 'proofs from all that may be tried', scripts: [notRun, notRun], end: 'runnerRefused no', sends: 2 },
-  { name: 'a proof where only one target may be tried', route: { attempts: 1 }, scripts: [notRun], end: 'runnerRefused no', sends: 1 },
-  { name: 'targets that cannot be reached, which are no attempts', route: { attempts: 1 }, scripts: [unreached, unreached, { head: OK, pieces: [] }], end: 'whole 200', sends: 3, billed: 100 },
-  { name: 'targets whose addresses other processes have, which are no attempts', route: { attempts: 1 }, scripts: [replaced, replaced, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 3, billed: 100 },
-  { name: 'addresses that other processes have, in the end', route: { attempts: 1 }, scripts: [replaced, replaced, replaced, replaced], end: 'targetReplaced no', sends: 4 },
-  { name: 'a lost call that runs once', scripts: [lost], end: 'runnerUnreachable unknown', sends: 1 },
-  { name: 'a lost call that may run again', route: { repeat: 'always' }, scripts: [lost, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 2, billed: 100 },
-  { name: 'a lost call, and then a proof that does not count any more', route: { repeat: 'always' }, scripts: [lost, notRun], end: 'runnerUnreachable unknown', sends: 2 },
-  { name: 'a failure of the target', scripts: [{ head: FAILED, pieces: ['sorry'] }], end: 'whole 500', text: 'sorry', sends: 1, billed: 100 },
-  { name: 'a failure of the target that may run again', route: { repeat: 'always' }, scripts: [{ head: FAILED, pieces: [] }, { head: OK, pieces: ['a'] }], end: 'whole 200', text: 'a', sends: 2, billed: 100 },
-  { name: 'a cut answer that may run again', route: { repeat: 'always' }, scripts: [{ head: OK, pieces: ['ha'], end: cutShort }, { head: OK, pieces: ['half'] }], end: 'whole 200', text: 'half', sends: 2, billed: 100 },
-  { name: 'a stream cut before its first event', route: stream, scripts: [{ head: OK, pieces: ['id: 1'], end: cutShort }], end: 'answerCut yes', text: '', sends: 1 },
-  { name: 'a stream cut behind an event', route: stream, scripts: [{ head: OK, pieces: [event(1)], end: cutShort }], end: 'cut', text: event(1), sends: 1, billed: 103 },
-  { name: 'a stream that ends inside an event', route: stream, scripts: [{ head: OK, pieces: [`${event(1)}id: 2`] }], end: 'cut', text: event(1), sends: 1, billed: 103 },
-  { name: 'a cut stream that may be resumed', route: resumable, scripts: [{ head: OK, pieces: [`${event(1)}id: 2`], end: cutShort }, { head: OK, pieces: [event(2)] }], end: 'end', text: event(1) + event(2), sends: 2, billed: 106 },
-  { name: 'a target that is silent past the time of the route', route: { timeoutMs: 30 }, scripts: [], end: 'deadlineExceeded unknown', sends: 1 },
-  { name: 'a caller that left before anything was sent', route: stream, scripts: [], gone: true, end: 'callerGone unknown', sends: 0 },
-  { name: 'a budget that is spent', scripts: [], refusal: new Failure('budgetSpent', 'spent'), end: 'budgetSpent no', sends: 0 }
+  { name: 'a complete answer', scripts: [{ head: OK, pieces: ['a', 'b'] }], end: 'whole 200', text: 'ab', sends: 1, billed: 100 },
+  { name: 'a stream, which is billed by its events', route: stream, scripts: [{ head: OK, pieces: [event(1), event(2)] }], end: 'end', text: event(1) + event(2), sends: 1, billed: 106 },
+  { name: 'a stream beyond its token limit, which is billed at the limit', route: stream, scripts: [{ head: OK, pieces: [1, 2, 3, 4, 5].map(event) }], end: 'end', sends: 1, billed: 110 },
+  { name: 'a target that proves that it did not run the request', scripts: [notRun, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 2, billed: 100 },
+  { name: 'such proofs from all targets that may be tried', scripts: [notRun, notRun], end: 'runnerRefused no', sends: 2 },
+  { name: 'such a proof where only one target may be tried', route: { attempts: 1 }, scripts: [notRun], end: 'runnerRefused no', sends: 1 },
+  { name: 'unreachable targets, which do not count as attempts', route: { attempts: 1 }, scripts: [unreached, unreached, { head: OK, pieces: [] }], end: 'whole 200', sends: 3, billed: 100 },
+  { name: 'replaced targets, which do not count as attempts', route: { attempts: 1 }, scripts: [replaced, replaced, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 3, billed: 100 },
+  { name: 'replaced targets only', route: { attempts: 1 }, scripts: [replaced, replaced, replaced, replaced], end: 'targetReplaced no', sends: 4 },
+  { name: 'a lost call that must not be repeated', scripts: [lost], end: 'runnerUnreachable unknown', sends: 1 },
+  { name: 'a lost call that may be repeated', route: { repeat: 'always' }, scripts: [lost, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 2, billed: 100 },
+  { name: 'a lost call, then a proof that says nothing about the first attempt', route: { repeat: 'always' }, scripts: [lost, notRun], end: 'runnerUnreachable unknown', sends: 2 },
+  { name: 'a server error of the target', scripts: [{ head: FAILED, pieces: ['sorry'] }], end: 'whole 500', text: 'sorry', sends: 1, billed: 100 },
+  { name: 'a server error for a call that may be repeated', route: { repeat: 'always' }, scripts: [{ head: FAILED, pieces: [] }, { head: OK, pieces: ['a'] }], end: 'whole 200', text: 'a', sends: 2, billed: 100 },
+  { name: 'a truncated answer to a call that may be repeated', route: { repeat: 'always' }, scripts: [{ head: OK, pieces: ['ha'], end: cutShort }, { head: OK, pieces: ['half'] }], end: 'whole 200', text: 'half', sends: 2, billed: 100 },
+  { name: 'a stream truncated before its first event', route: stream, scripts: [{ head: OK, pieces: ['id: 1'], end: cutShort }], end: 'answerCut yes', text: '', sends: 1 },
+  { name: 'a stream truncated after an event', route: stream, scripts: [{ head: OK, pieces: [event(1)], end: cutShort }], end: 'cut', text: event(1), sends: 1, billed: 103 },
+  { name: 'a stream that ends within an event', route: stream, scripts: [{ head: OK, pieces: [`${event(1)}id: 2`] }], end: 'cut', text: event(1), sends: 1, billed: 103 },
+  { name: 'a truncated stream that may be resumed', route: resumable, scripts: [{ head: OK, pieces: [`${event(1)}id: 2`], end: cutShort }, { head: OK, pieces: [event(2)] }], end: 'end', text: event(1) + event(2), sends: 2, billed: 106 },
+  { name: 'a target that does not answer within the timeout of the route', route: { timeoutMs: 30 }, scripts: [], end: 'deadlineExceeded unknown', sends: 1 },
+  { name: 'a caller that disconnected before anything was sent', route: stream, scripts: [], gone: true, end: 'callerGone unknown', sends: 0 },
+  { name: 'an exhausted budget', scripts: [], refusal: new Failure('budgetSpent', 'spent'), end: 'budgetSpent no', sends: 0 }
 ]
 
 function callOf (gone: AbortSignal): GatewayCall {
@@ -193,13 +193,13 @@
     })
   }
 
-  it('tries no target twice', async () => {
+  it('does not try a target twice', async () => {
     const client = new Client([lost, lost, lost, lost, lost])
     await pipelineOf(client, new Budgets(), { repeat: 'always', attempts: 4 }).pipeline.serve(callOf(new AbortController().signal), new Sink())
     expect(new Set(client.sent.map(({ target }) => target.id)).size).to.equal(4)
   })
 
-  it('does not deny what may have run when the allotment is closed before a repeat', async () => {
+  it('does not report a call as not run if the allotment closes after a lost attempt', async () => {
     const client = new Client([lost])
     const budgets = new Budgets()
     const sink = new Sink()
@@ -208,7 +208,7 @@
     expect([sink.ends, client.sent.length]).to.deep.equal([['runnerUnreachable unknown'], 1])
   })
 
-  it('sends nothing when the allotment was closed while the call waited', async () => {
+  it('sends nothing if the allotment closed while the call waited', async () => {
     const client = new Client([])
     const budgets = new Budgets()
     budgets.confirmations = [Left(new Failure('allotmentClosed', 'closed'))]
@@ -217,7 +217,7 @@
     expect([sink.ends, client.sent.length]).to.deep.equal([['allotmentClosed no'], 0])
   })
 
-  it('ends the run of a caller that leaves', async () => {
+  it('aborts the run of a caller that disconnects', async () => {
     const client = new Client([])
     const sink = new Sink()
     const gone = new AbortController()
@@ -232,11 +232,11 @@
 describe('GatewayConfigHolder', () => {
   const paid = (version: number, prepaidTokens: number): unknown => ({ version, routes: [], services: {}, teams: { t: { keyHashes: [], prepaidTokens } } })
   const changes: ReadonlyArray<{ readonly name: string, readonly configs: readonly unknown[], readonly version: number, readonly told: readonly (readonly [string, boolean])[] }> = [
-    { name: 'tells nothing of the first', configs: [paid(1, 10)], version: 1, told: [] },
-    { name: 'tells a higher amount', configs: [paid(1, 10), paid(2, 20)], version: 2, told: [['t', false]] },
-    { name: 'tells a lower amount', configs: [paid(1, 10), paid(2, 5)], version: 2, told: [['t', true]] },
+    { name: 'does not notify of the first configuration', configs: [paid(1, 10)], version: 1, told: [] },
+    { name: 'notifies of a higher amount', configs: [paid(1, 10), paid(2, 20)], version: 2, told: [['t', false]] },
+    { name: 'notifies of a lower amount', configs: [paid(1, 10), paid(2, 5)], version: 2, told: [['t', true]] },
     { name: 'ignores an older version', configs: [paid(2, 10), paid(1, 5)], version: 2, told: [] },
-    { name: 'ignores the same version again', configs: [paid(2, 10), paid(2, 5)], version: 2, told: [] }
+    { name: 'ignores the same version', configs: [paid(2, 10), paid(2, 5)], version: 2, told: [] }
   ]
   for (const { name, configs, version, told } of changes) {
     it(name, () => {
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.ts
@@ -1,6 +1,6 @@
 /**
- * The edge of opaque requests: admits a call by the gateway's configuration, has it dispatched, and
- * sees to it that it gets exactly one end.
+ * Entry point for opaque requests: admits a call by the current configuration, dispatches it and ensures
+ * that its sink is ended exactly once.
  */
 import { Left, type Either } from 'purify-ts'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -12,10 +12,9 @@
 import { admitCall, type PreparedConfig } from './gatewayAdmission.js'
 import type { GatewayCall } from './gatewayTypes.js'
 
-/** Milliseconds to come back after when no configuration is in force. */
+/** Retry-After while no configuration is loaded. */
 const NO_CONFIG_RETRY_MS = 500
 
-/** What the pipeline is composed of. */
 export interface PipelineDeps {
   readonly random: RandomSource
   readonly config: { current (): PreparedConfig | undefined }
@@ -29,11 +28,7 @@
 export class GatewayPipeline {
   constructor (private readonly deps: PipelineDeps) {}
 
-  /**
-   * Serves a call; its sink gets exactly one end, whatever happens.
-   * @param call - the call
-   * @param sink - where the answer goes
-   */
+  /** Serves a call; its sink is ended exactly once, whatever happens. */
   async serve (call: GatewayCall, sink: CallSink): Promise<void> {
     const close = this.deps.work.open()
     try {
@@ -53,7 +48,7 @@
   private admit (call: GatewayCall): Either<Failure, AdmittedCall> {
     const prepared = this.deps.config.current()
     if (prepared === undefined) {
-      return Left(new Failure('configNotLoaded', 'no configuration is in force yet', { retryAfterMs: NO_CONFIG_RETRY_MS }))
+      return Left(new Failure('configNotLoaded', 'no configuration is loaded yet', { retryAfterMs: NO_CONFIG_RETRY_MS }))
     }
     return admitCall(call, prepared, this.deps.random.next())
   }
--- a/packages/rosemaryspread/src/gateway/gatewayRetries.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayRetries.ts
@@ -1,54 +1,45 @@
 /**
- * Retry budgets of the gateway, one for each service. All VMs together may add only so many sends
- * to the requests of a service; each VM takes an equal part of the fixed allowance.
+ * Retry budgets of the gateway, one for each service. They limit the retries that all VMs together add to
+ * the requests of a service; each VM gets an equal share of the fixed allowance.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { CallRetries } from './callTypes.js'
 import { RetryBudget, type RetryPolicy } from '@rosemaryspread/decisions/routing/retryBudget.js'
 
-/** The allowance of all VMs together. */
+/** Retries allowed to all VMs together. */
 export interface RetryAllowance {
-  /** Repeats allowed for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number
-  /** Repeats allowed besides, in each window. */
+  /** Further retries allowed in each window. */
   readonly slack: number
   readonly windowMs: number
 }
 
-/** Part of the allowance that is used: VMs join before all others know of it. */
+/** Share of the allowance that is used: a VM may join before all others know of it. */
 const USED_PART = 0.8
-/** Part of the fixed allowance that may be used at once; the rest comes evenly over the window. */
+/** Share of the fixed allowance that may be used at once; the rest accrues evenly over the window. */
 const BURST_PART = 0.5
-/** Milliseconds before a repeat; another target takes it, so there is nothing to wait for. */
+/** Another target serves the retry, so there is no need to back off. */
 const DELAY_MS = 1
-/** Attempts are bounded by the route. */
+/** The route limits the attempts. */
 const NO_BOUND = Number.MAX_SAFE_INTEGER
 const MS_PER_SECOND = 1_000
 
-/** Retry budgets by service. */
 export class GatewayRetries implements CallRetries {
   private readonly budgets = new Map<string, RetryBudget>()
 
   /**
-   * @param allowance - of all VMs
-   * @param vms - number of VMs that share it
+   * @param allowance - of all VMs together
+   * @param vms - current number of VMs that share it
    */
   constructor (private readonly allowance: RetryAllowance, private readonly vms: () => number) {}
 
-  /**
-   * Counts a request to a service.
-   * @param service - name of the service
-   * @param now - both clocks
-   */
+  /** Counts a first attempt towards the budget of a service. */
   requested (service: string, now: Instant): void {
     this.of(service).attempted(now)
   }
 
-  /**
-   * Takes one repeat from the budget; false when it is spent.
-   * @param service - name of the service
-   * @param now - both clocks
-   */
+  /** Consumes one retry from the budget of a service; false if it is exhausted. */
   take (service: string, now: Instant): boolean {
     const deadline = { mono: Infinity, wall: Infinity }
     return this.of(service).decide({ attempts: 1, repeatable: true, deadline, needMs: 0 }, now, () => 0).retry
--- a/packages/rosemaryspread/src/gateway/gatewayTargets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTargets.ts
@@ -1,4 +1,4 @@
-/** Targets of the gateway: what the platform's register lists, with a log line for each change. */
+/** Targets of the gateway as listed in the platform's register, with a log line for each change. */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { EvacuationChange } from '@rosemaryspread/decisions/gateway/domainEvacuations.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -9,19 +9,17 @@
 import { FlawLog } from './flawLog.js'
 import type { TargetDirectory } from './gatewayTypes.js'
 
-/** What following the register works with. */
 export interface TargetsParts {
   readonly clock: Clock
   readonly balancer: TargetBalancer
   readonly log: EventLog
 }
 
-/** A target as operators see it. */
+/** A target as shown to operators. */
 export interface TargetRow extends Pick<TargetView, 'id' | 'service' | 'domain'> {
   readonly state: 'serving' | 'leaving' | 'evacuated' | 'paused'
 }
 
-/** Follows the register of targets. */
 export class GatewayTargets implements TargetDirectory {
   private readonly set = new TargetSet()
   private readonly entryFlaws: FlawLog
@@ -36,7 +34,7 @@
     return this.set.available(service, this.mono)
   }
 
-  /** Number of targets that asked this VM to wait. */
+  /** Number of targets that have paused this VM. */
   get paused (): number {
     return this.set.all().filter(({ id }) => this.set.isPaused(id, this.mono)).length
   }
@@ -45,37 +43,30 @@
     return this.set.isEvacuated(service)
   }
 
-  /** Targets as operators see them, with why one gets no new work. */
+  /** Targets as shown to operators; the state says why one gets no new work. */
   list (): readonly TargetRow[] {
     return this.set.all().map(view => ({ id: view.id, service: view.service, domain: view.domain, state: this.stateOf(view) }))
   }
 
-  /** Failure domains that operators evacuated. */
+  /** Failure domains that operators have evacuated. */
   evacuated (): readonly string[] {
     return [...this.set.evacuated]
   }
 
   /**
-   * Takes all orders of evacuation.
-   * @param domains - the domains to be evacuated
+   * Replaces all evacuation orders.
+   * @param domains - the evacuated failure domains
    */
   evacuationsRead (domains: ReadonlySet<string>): void {
     this.noteEvacuations(this.set.replaceEvacuations(domains))
   }
 
-  /**
-   * Takes one order of evacuation, or that it was taken back.
-   * @param domain - the failure domain
-   * @param isEvacuated - whether the order is in force
-   */
+  /** Sets or lifts one evacuation order. */
   evacuationChanged (domain: string, isEvacuated: boolean): void {
     this.noteEvacuations(this.set.setEvacuation(domain, isEvacuated))
   }
 
-  /**
-   * Takes the whole register.
-   * @param views - all entries
-   */
+  /** Replaces all targets after a full read of the register. */
   replaced (views: readonly TargetView[]): void {
     for (const view of views) this.noteState(view)
     this.set.replace(views, this.mono)
@@ -84,45 +75,41 @@
     this.parts.log.write('targetsRead', { targets: views.length })
   }
 
-  /**
-   * Takes one entry that was written.
-   * @param view - the entry
-   */
+  /** Adds or updates one target. */
   changed (view: TargetView): void {
     const { id, isLeaving } = view
-    if (this.set.isNew(view)) this.parts.log.write('runnerState', { runner: id, state: isLeaving ? 'leaving' : 'active', reason: 'the register says so' })
+    if (this.set.isNew(view)) this.parts.log.write('runnerState', { runner: id, state: isLeaving ? 'leaving' : 'active', reason: 'listed in the register' })
     this.noteState(view)
     this.set.put(view)
   }
 
   /**
-   * Takes an entry that cannot be read: it names no target, also if it did before.
+   * Removes a target whose entry is malformed, also if an earlier entry was valid.
    * @param id - id of the entry
-   * @param detail - what does not fit
    */
   unusable (id: string, detail: string): void {
-    if (this.set.has(id)) this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its entry cannot be read' })
+    if (this.set.has(id)) this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its register entry is malformed' })
     this.parts.log.write('platformFault', { service: 'register', operation: 'decode', code: id, detail })
     this.set.discard(id)
   }
 
   /**
-   * Takes the removal of an entry.
+   * Handles the removal of an entry.
    * @param id - id of the target
    */
   removed (id: string): void {
     this.set.remove(id, this.mono)
-    this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its entry was removed' })
+    this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its register entry was removed' })
   }
 
   reported (process: TargetProcess, report: TargetReport): void {
     for (const state of this.set.reported(process, report, this.parts.clock.now())) {
-      this.parts.log.write('runnerState', { runner: process.id, state, reason: 'its answer says so', ...(state === 'paused' ? { pauseMs: report.pauseMs } : {}) })
+      this.parts.log.write('runnerState', { runner: process.id, state, reason: 'reported with an answer', ...(state === 'paused' ? { pauseMs: report.pauseMs } : {}) })
     }
-    if (report.flaw !== undefined) this.answerFlaws.note(process.id, `the time '${report.flaw}' to wait cannot be read`)
+    if (report.flaw !== undefined) this.answerFlaws.note(process.id, `malformed pause '${report.flaw}'`)
   }
 
-  /** The register could not be read. */
+  /** Records that a read of the register failed. */
   unreadable (): void {
     this.set.registerFailed(this.mono)
   }
@@ -142,11 +129,11 @@
     const { balancer, log } = this.parts
     if (this.set.isRestarted(view)) {
       balancer.restarted(view.id)
-      log.write('runnerState', { runner: view.id, state: 'active', reason: 'another process has its id' })
+      log.write('runnerState', { runner: view.id, state: 'active', reason: 'replaced by another process with the same id' })
     }
     const leftMs = view.warmUpMs ?? 0
     if (isWarmUpTime(leftMs)) balancer.warmsUp(view.id, leftMs, this.mono)
-    else this.entryFlaws.note(view.id, `${leftMs} ms until it is warm cannot be; what was known before holds`)
+    else this.entryFlaws.note(view.id, `implausible warm-up time of ${leftMs} ms; keeping the previous value`)
   }
 
   private noteEvacuations (changes: readonly EvacuationChange[]): void {
--- a/packages/rosemaryspread/src/gateway/gatewayVm.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayVm.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway of one VM: composes its parts over what the edge binds (table, feeds, client of the
- * targets), keeps their timers, and stops gracefully.
+ * The gateway of one VM: composes it over the ports to the platform and the targets, runs its timers, and
+ * stops it gracefully.
  */
 import 'reflect-metadata'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -18,32 +18,27 @@
 import { WORK_METHOD, workMethod } from './workNotices.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** Milliseconds between two ticks of budgets, presence and targets; each wakes the process. */
+/** Interval between two ticks of budgets, presence and targets; each wakes the process. */
 const TICK_MS = 150
-/** The same while a request waits for tokens, or this VM does not serve yet. */
+/** Interval while a request waits for tokens, or while this VM is not ready. */
 const URGENT_TICK_MS = 50
-/** Milliseconds between two passes over what ended holders held. */
+/** Interval between two recovery passes over the allotments of terminated holders. */
 const RECOVERY_MS = 4_000
-/** Milliseconds before earlier processes of this VM are looked for again: the store may be out of reach at the start. */
+/** Delay before the recovery from earlier processes of this VM is retried: the store may be unreachable at startup. */
 const TAKE_OVER_RETRY_MS = 300
-/** Part of the grace time for which a stopping VM serves callers that do not know of it yet. */
+/** Share of the grace time during which a stopping VM serves callers that do not know of it yet. */
 const LINGER_PART = 0.25
-/** Milliseconds for the last bytes of answers to leave the process. */
+/** Time for the last bytes of answers to leave the process. */
 const FLUSH_MS = 50
-/** Part of the grace time after which requests still open are given up. */
+/** Share of the grace time after which open requests are abandoned. */
 const FINISH_PART = 0.85
 
-/** The gateway of one VM. */
 export class GatewayVm {
   readonly container = new Container()
   private readonly log: EventLog
   private readonly timers: NodeJS.Timeout[] = []
   private ticks: PacedTicks | undefined
 
-  /**
-   * @param settings - settings of the VM
-   * @param edge - what reaches the platform and the targets
-   */
   constructor (private readonly settings: GatewaySettings, edge: GatewayEdge) {
     bindGateway(this.container, settings, edge)
     this.log = this.container.get(ids.log)
@@ -51,7 +46,7 @@
       new FrontWatch({ clock, log, metrics, turns: loopTurns, busyMs: loopBusyMs, isReady: () => this.isReady }), [ids.clock, ids.log, ids.metrics]).inSingletonScope()
   }
 
-  /** Whether callers may be sent here: configuration and quarantine were read and no stop was ordered. */
+  /** Whether callers may be sent here: configuration and quarantine are loaded and the VM is not draining. */
   get isReady (): boolean {
     return this.container.get(ids.config).current() !== undefined && this.container.get(ids.quarantineShare).isLoaded && !this.container.get(ids.work).draining
   }
@@ -60,7 +55,7 @@
     return this.container.get(ids.clock)
   }
 
-  /** Starts what works in the background. */
+  /** Starts the background work. */
   start (): void {
     const budgets = this.container.get(ids.budgets)
     const presence = this.container.get(ids.presence)
@@ -104,9 +99,9 @@
   }
 
   /**
-   * Stops gracefully: callers are sent elsewhere, open requests are finished, tokens go back.
-   * Resolves when the process may end, at the latest shortly before the grace time is over.
-   * @param stopAccepting - closes connections without a request and takes no new ones
+   * Stops gracefully: sends callers elsewhere, finishes open requests and returns tokens. Resolves when the
+   * process may exit, at the latest shortly before the end of the grace time.
+   * @param stopAccepting - closes idle connections and accepts no new ones
    */
   async drain (stopAccepting: () => void): Promise<void> {
     const work = this.container.get(ids.work)
@@ -119,7 +114,7 @@
     stopAccepting()
     await work.idle(leftMs())
     await Promise.race([this.handBack(), pause(leftMs())])
-    // Requests that came on open connections meanwhile are answered too, and the last bytes are on their way.
+    // Requests that arrived on open connections meanwhile are finished as well, and their last bytes are sent.
     await work.idle(leftMs())
     await pause(FLUSH_MS)
     this.container.get(ids.quarantineShare).stop()
@@ -140,7 +135,7 @@
     this.inBackground(links.open())
   }
 
-  /** What earlier processes of this VM held is missing to everybody until it is taken back. */
+  /** Retries until the tokens of earlier processes of this VM are recovered; no VM can use them before. */
   private async takeOver (): Promise<void> {
     const budgets = this.container.get(ids.budgets)
     while (!this.container.get(ids.work).draining && !await budgets.takeOver()) await pause(TAKE_OVER_RETRY_MS)
--- a/packages/rosemaryspread/src/gateway/pacedTicks.spec.ts
+++ b/packages/rosemaryspread/src/gateway/pacedTicks.spec.ts
@@ -1,21 +1,19 @@
-/**
- * When ticks come: at the pace asked for, sooner when something urgent begins, and not at all once stopped.
- */
+/** Ticks must come at the given interval, sooner for urgent work, and never after a stop. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { expect } from 'chai'
 import { PacedTicks } from './pacedTicks.js'
 
 const URGENT_MS = 20
-/** Longer than any case lasts. */
+/** Longer than any test case. */
 const NEVER_MS = 60_000
-/** Milliseconds in which an urgent tick has come on a busy machine. */
+/** Time within which an urgent tick occurs on a busy machine. */
 const SOON_MS = 300
 
 const cases: ReadonlyArray<{ readonly name: string, readonly after: (ticks: PacedTicks) => void, readonly count: number }> = [
-  { name: 'the first at once, the next at the pace', after: () => {}, count: 1 },
-  { name: 'one sooner for something urgent', after: ticks => { ticks.hurry() }, count: 2 },
-  { name: 'one for many urgent things at a time', after: ticks => { for (let i = 0; i < 5; i += 1) ticks.hurry() }, count: 2 },
-  { name: 'none once they are stopped', after: ticks => { ticks.stop(); ticks.hurry() }, count: 1 }
+  { name: 'no second tick before the interval', after: () => {}, count: 1 },
+  { name: 'an early tick for urgent work', after: ticks => { ticks.hurry() }, count: 2 },
+  { name: 'a single early tick for several urgent requests', after: ticks => { for (let i = 0; i < 5; i += 1) ticks.hurry() }, count: 2 },
+  { name: 'no tick after a stop', after: ticks => { ticks.stop(); ticks.hurry() }, count: 1 }
 ]
 
 describe('PacedTicks', () => {
--- a/packages/rosemaryspread/src/gateway/workNotices.spec.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.spec.ts
@@ -1,6 +1,4 @@
-/**
- * How often other VMs are told of large requests.
- */
+/** Notifications of large requests must stay within the rate limit, whatever the size of the fleet. */
 import { expect } from 'chai'
 import { WorkNotices, workMethod } from './workNotices.js'
 
@@ -22,20 +20,20 @@
 }
 
 const cases: ReadonlyArray<{ readonly name: string, readonly vms: number, readonly times: number, readonly everyMs: number, readonly sent: number }> = [
-  { name: 'all VMs of a small fleet of each request', vms: 7, times: 20, everyMs: 200, sent: 120 },
-  { name: 'nobody where the VM is alone', vms: 1, times: 20, everyMs: 50, sent: 0 },
-  { name: 'no more than the bound at once', vms: 20, times: 20, everyMs: 0, sent: 57 },
-  { name: 'a larger fleet as often as the bound allows', vms: 20, times: 21, everyMs: 50, sent: 114 },
-  { name: 'all in the largest fleet that is told', vms: 21, times: 1, everyMs: 0, sent: 20 },
-  { name: 'nobody in a larger one', vms: 22, times: 21, everyMs: 50, sent: 0 }
+  { name: 'all VMs of a small fleet for each request', vms: 7, times: 20, everyMs: 200, sent: 120 },
+  { name: 'nobody in a fleet of one VM', vms: 1, times: 20, everyMs: 50, sent: 0 },
+  { name: 'no more than the limit in a burst', vms: 20, times: 20, everyMs: 0, sent: 57 },
+  { name: 'a larger fleet as often as the limit allows', vms: 20, times: 21, everyMs: 50, sent: 114 },
+  { name: 'all VMs of the largest fleet that is notified', vms: 21, times: 1, everyMs: 0, sent: 20 },
+  { name: 'nobody in a larger fleet', vms: 22, times: 21, everyMs: 50, sent: 0 }
 ]
 
 describe('WorkNotices', () => {
   for (const { name, vms, times, everyMs, sent } of cases) {
-    it(`tell ${name}`, () => { expect(told(vms, times, everyMs)).to.equal(sent) })
+    it(`reach ${name}`, () => { expect(told(vms, times, everyMs)).to.equal(sent) })
   }
 
-  it('are dropped where they are malformed', async () => {
+  it('are rejected if malformed', async () => {
     let taken = 0
     const serve = workMethod(() => { taken += 1 })
     const failed = await serve({ target: 't', work: -1, parts: 'p' }, 'v').then(() => false, () => true)
--- a/packages/rosemaryspread/src/gateway/workNotices.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the other VMs of large requests that this one sent to a target, so that they do not queue
- * theirs behind them. The telling is bounded: a VM of a large fleet tells of fewer.
+ * Notifies other VMs of large requests that this VM sent to a target, so that they do not queue theirs
+ * behind them. Messages are rate limited: a VM of a large fleet notifies of fewer requests.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { workNoticeSchema, type WorkNotice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
@@ -8,34 +8,26 @@
 import { MOST_TOLD } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 
-/** Method between VMs. */
+/** Method name on the links between VMs. */
 export const WORK_METHOD = 'targets.work'
-/**
- * Messages that one VM sends in a second at most. A fleet of seven needs some forty; with 400 the processes of
- * a fleet of 80 took twice the processor time.
- */
+/** Messages per second of one VM. A fleet of seven needs about forty; a higher limit costs large fleets much processor time. */
 const MOST_PER_S = 60
 const MS_PER_SECOND = 1_000
 
-/** What telling works with. */
 export interface WorkNoticesParts {
   readonly clock: Clock
   peers (): readonly PeerVm[]
   notify (address: string, method: string, params: unknown): void
 }
 
-/** Tells other VMs. */
 export class WorkNotices {
-  /** Messages that may be sent now. */
+  /** Messages that may be sent now (token bucket). */
   private allowance = MOST_PER_S
   private allowedAt = 0
 
   constructor (private readonly parts: WorkNoticesParts) {}
 
-  /**
-   * Tells all other VMs of a request, or none where they or the messages are too many.
-   * @param notice - the request
-   */
+  /** Notifies all other VMs of a request, or none if they are too many or the rate limit is reached. */
   tell (notice: WorkNotice): void {
     const peers = this.parts.peers()
     this.refill()
@@ -51,10 +43,7 @@
   }
 }
 
-/**
- * Serves what other VMs tell.
- * @param told - takes a notice
- */
+/** Link method that receives notifications of other VMs. */
 export function workMethod (told: (notice: WorkNotice) => void): PeerMethod {
   return async params => { told(workNoticeSchema.parse(params)) }
 }
--- a/packages/rosemaryspread/src/routing/admittedCompletion.fixture.ts
+++ b/packages/rosemaryspread/src/routing/admittedCompletion.fixture.ts
@@ -1,13 +1,7 @@
-/**
- * A completion as routing gets it, for specs.
- */
+/** An admitted completion for routing specs. */
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 
-/**
- * A completion that was admitted.
- * @param requestId - id of the request
- * @param over - what is different from the usual one
- */
+/** @param over - fields that differ from the defaults */
 export function admittedCompletion (requestId: string, over: { readonly team?: string, readonly keyed?: boolean, readonly deadlineMs?: number, readonly maxInFlight?: number } = {}): AdmittedCompletion {
   const { team = 't', keyed = false, deadlineMs = 10_000, maxInFlight = 64 } = over
   return {
--- a/packages/rosemaryspread/src/routing/routingPoller.ts
+++ b/packages/rosemaryspread/src/routing/routingPoller.ts
@@ -1,31 +1,29 @@
 /**
- * Asks runners for their load reports and, where this VM sends requests, for their cache events,
- * and tells the decider. The schedule bounds the calls.
+ * Polls runners for their load reports and, where this VM sends requests, for their cache events, and
+ * passes both to the route decider. The schedule limits the number of calls.
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { PollSchedule } from '@rosemaryspread/decisions/routing/pollSchedule.js'
 import type { RouteDecider, RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import type { EngineClient, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
 
-/** What the poller is composed of. */
 export interface PollerDeps {
   readonly decider: RouteDecider
   readonly schedule: PollSchedule
   readonly engines: Pick<EngineClient, 'load' | 'cacheEvents'>
-  /** The runners whose reports this VM asks for. */
+  /** The runners that this VM polls. */
   readonly watched: () => readonly RunnerView[]
-  /** VMs of the fleet. */
+  /** Number of VMs in the fleet. */
   readonly vms: () => number
   readonly clock: Clock
 }
 
-/** Asks watched runners as the schedule says. */
 export class RunnerPoller {
   private readonly nextCacheEvent = new Map<string, number>()
 
   constructor (private readonly deps: PollerDeps) {}
 
-  /** Asks the runners that are due; to be called several times a second. */
+  /** Polls the runners that are due; to be called several times a second. */
   async poll (): Promise<void> {
     const watched = new Map(this.deps.watched().map(view => [view.runner, view.address]))
     const due = this.deps.schedule.due([...watched.keys()], this.deps.vms(), this.deps.clock.now().mono)
--- a/packages/rosemaryspread/src/routing/routingPort.ts
+++ b/packages/rosemaryspread/src/routing/routingPort.ts
@@ -1,55 +1,51 @@
-/**
- * What request handling asks of routing.
- */
+/** Routing as used by request handling. */
 import type { Either, Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { StreamLoad } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 import type { RunnerAddress } from '../completion/completionUnsettled.js'
 
-/** A runner for a request, and those a keyed request passed over. */
+/** The runner chosen for a request. */
 export interface RoutedRunner {
   readonly choice: RunnerAddress
+  /** For a keyed request: preferred runners that were skipped, where the request must be sealed first. */
   readonly before: readonly RunnerAddress[]
-  /** Counted at the runner already; has to be ended also when nothing is dispatched. */
+  /** Already counted at the runner; must be ended even if nothing is dispatched. */
   readonly run: DispatchedRun
 }
 
 /** Why no runner was chosen. */
 export interface RouteRefusal {
   readonly failure: Failure
-  /** For a keyed request: where a run of an earlier attempt would be, in this order. */
+  /** For a keyed request: runners that may have run an earlier attempt, in lookup order. */
   readonly lookIn: readonly RunnerAddress[]
 }
 
-/** One dispatched request, told on as it goes. */
+/** Progress of one dispatched request, as reported by its sender. */
 export interface DispatchedRun {
-  /** The stream was opened; `load` is what the engine said of itself with it. */
+  /** The stream was opened; `load` is what the engine reported with it. */
   opened (load: StreamLoad | undefined): void
-  /** The engine refused the run since it is leaving. */
+  /** The engine refused the run because it is leaving. */
   leaving (): void
   firstToken (afterMs: number): void
   ended (ok: boolean, tokens: number): void
 }
 
-/** Routing as request handling uses it. */
 export interface RoutingPort {
   /**
-   * Chooses a runner and writes the decision's log line. A first attempt waits for its turn;
-   * a further one is routed or refused at once.
-   * @param admitted - the request
+   * Chooses a runner and logs the decision. A first attempt waits in the queue; a further attempt is routed or
+   * refused at once.
    * @param exclude - runners tried already
-   * @param gone - aborted when the caller goes away
+   * @param gone - aborted when the caller disconnects
    */
   route (admitted: AdmittedCompletion, exclude: readonly string[], gone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>>
   /**
-   * Tells that a request ended, so that another may have its turn.
-   * @param admitted - the request
-   * @param usedTokens - tokens it used; 0 when nothing ran
+   * Reports that a request ended, which frees its place in the queue.
+   * @param usedTokens - 0 when nothing ran
    */
   finish (admitted: AdmittedCompletion, usedTokens: number): void
   /**
-   * Milliseconds to wait before another attempt; nothing when it is not to be tried.
+   * Milliseconds to wait before another attempt; nothing if no further attempt is allowed.
    * @param admitted - the request; completions may be repeated
    * @param attempts - attempts made so far
    */
--- a/packages/rosemaryspread/src/routing/routingPrefix.ts
+++ b/packages/rosemaryspread/src/routing/routingPrefix.ts
@@ -1,6 +1,6 @@
 /**
- * Hashes of a prompt's prefixes, as the engines' cache events name them: one hash after each
- * message, over all text up to there.
+ * Hashes of prompt prefixes as used by the engines' cache events: one hash after each message, over all
+ * text up to there.
  */
 import { createHash } from 'node:crypto'
 
@@ -8,8 +8,7 @@
 
 /**
  * Hashes of the growing prefixes of a conversation, longest last.
- * @param model - the model; prefixes of different models never match
- * @param messages - the conversation
+ * @param model - prefixes of different models never match
  */
 export function prefixHashes (model: string, messages: ReadonlyArray<{ readonly role: string, readonly content: string }>): string[] {
   const hash = createHash('sha256').update(model)
--- a/packages/rosemaryspread/src/routing/routingQueue.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Requests without room wait, are served in turn, and are refused at once when waiting is in vain.
+ * Requests without capacity wait, are served in fair order, and are refused as soon as waiting is futile.
  */
 import { expect } from 'chai'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -12,7 +12,7 @@
 const FULL: RouteTry = { kind: 'full', refusal: { failure: new Failure('overloaded', 'full'), lookIn: [] } }
 const NONE: RouteTry = { kind: 'refused', refusal: { failure: new Failure('noRunner', 'none'), lookIn: [] } }
 
-/** A queue before one model whose runner answers as told. */
+/** Queues in front of one model with a scripted runner. */
 class QueueUnderTest {
   now: Instant = { mono: 0, wall: 0 }
   runner: RouteTry = FREE
@@ -34,7 +34,7 @@
       .catch(() => {})
   }
 
-  /** Lets what was decided reach those who wait. */
+  /** Lets pending promises resolve. */
   async settle (): Promise<void> {
     await new Promise(resolve => setImmediate(resolve))
   }
@@ -51,10 +51,10 @@
 }
 
 const cases: readonly QueueCase[] = [
-  { name: 'routes at once while there is room', act: test => { test.ask(admittedCompletion('a')) }, ended: ['a routed'] },
-  { name: 'refuses at once when no runner may be used', act: test => { test.runner = NONE; test.ask(admittedCompletion('a')) }, ended: ['a noRunner no'] },
+  { name: 'routes at once while there is capacity', act: test => { test.ask(admittedCompletion('a')) }, ended: ['a routed'] },
+  { name: 'refuses at once if no runner is usable', act: test => { test.runner = NONE; test.ask(admittedCompletion('a')) }, ended: ['a noRunner no'] },
   {
-    name: 'keeps requests while all is full, and routes them when there is room',
+    name: 'queues requests while all runners are full, and routes them once there is capacity',
     act: test => {
       test.runner = FULL
       test.ask(admittedCompletion('a'))
@@ -65,7 +65,7 @@
     ended: ['a routed', 'b routed']
   },
   {
-    name: 'refuses a waiting request as soon as its deadline is out of reach, not at its deadline',
+    name: 'refuses a waiting request as soon as it would miss its deadline, not at the deadline',
     act: test => {
       test.runner = FULL
       test.ask(admittedCompletion('a', { deadlineMs: 1_000 }))
@@ -75,7 +75,7 @@
     ended: ['a deadlineOutOfReach no']
   },
   {
-    name: 'says of a keyed request that an earlier attempt may have run',
+    name: 'does not report a keyed request as not run, since an earlier attempt may have run',
     act: test => {
       test.runner = FULL
       test.ask(admittedCompletion('a', { deadlineMs: 1_000, keyed: true }))
@@ -85,7 +85,7 @@
     ended: ['a deadlineOutOfReach unknown']
   },
   {
-    name: 'refuses a team beyond its limit and no other',
+    name: 'refuses only the team that exceeds its limit',
     act: test => {
       test.runner = FULL
       test.ask(admittedCompletion('a', { team: 'greedy', maxInFlight: 1 }))
@@ -97,7 +97,7 @@
     ended: ['b queueFull no', 'a routed', 'c routed']
   },
   {
-    name: 'lets go of a request whose caller left',
+    name: 'removes a request whose caller disconnected',
     act: test => {
       test.runner = FULL
       const caller = new AbortController()
@@ -119,7 +119,7 @@
     })
   }
 
-  it('gives the turn of an ended request to the next', async () => {
+  it('routes the next request when one ends', async () => {
     const test = new QueueUnderTest()
     const all = Array.from({ length: 200 }, (_, index) => admittedCompletion(`r${index}`, { maxInFlight: 500 }))
     all.forEach(admitted => { test.ask(admitted) })
--- a/packages/rosemaryspread/src/routing/routingQueue.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that wait for room at a runner: one fair queue for each model. A request whose turn
- * has come is routed in the same step, so that the next decision already counts it.
+ * Queues of requests that wait for capacity at a runner: one fair queue for each model. A dequeued request
+ * is routed in the same step, so that the next decision already counts it.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -10,24 +10,23 @@
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 import type { RoutedRunner, RouteRefusal } from './routingPort.js'
 
-/** Times its even share of the slots that one VM may use: callers are not spread evenly. */
+/** Multiple of its fair share of the slots that one VM may use, as callers are not spread evenly over the VMs. */
 const CONCURRENCY_HEADROOM = 3
 
-/** How a try to route ended; `full` means that the request should wait. */
+/** Outcome of a routing attempt; `full` means that the request should wait. */
 export type RouteTry =
   | { readonly kind: 'routed', readonly routed: RoutedRunner }
   | { readonly kind: 'refused' | 'full', readonly refusal: RouteRefusal }
 
-/** What the queues work with. */
 export interface RouteQueuesParts {
   readonly clock: Clock
-  /** Routes a request now. */
+  /** Routes a request without waiting. */
   readonly tryRoute: (admitted: AdmittedCompletion) => RouteTry
   /** Predicted milliseconds from start to end of a request. */
   readonly serviceMs: (admitted: AdmittedCompletion) => number
   /** Slots of all runners of a model. */
   readonly slotsOf: (model: string) => number
-  /** VMs that share the runners, this one included. */
+  /** Number of VMs that share the runners, this one included. */
   readonly vms: () => number
 }
 
@@ -39,22 +38,20 @@
   startedAt: number
 }
 
-/** Queues of one VM. */
 export class RouteQueues {
   private readonly queues = new Map<string, FairQueue<Waiting>>()
   private readonly started = new Map<string, QueueItem<Waiting>>()
 
   constructor (private readonly parts: RouteQueuesParts) {}
 
-  /** Requests that wait now, over all models. */
+  /** Number of waiting requests over all models. */
   get waiting (): number {
     return [...this.queues.values()].reduce((sum, queue) => sum + queue.waiting, 0)
   }
 
   /**
    * Waits until a request is routed or refused.
-   * @param admitted - the request
-   * @param gone - aborted when its caller goes away
+   * @param gone - aborted when the caller disconnects
    */
   async route (admitted: AdmittedCompletion, gone: AbortSignal): Promise<Routed> {
     const queue = this.queueOf(admitted.model)
@@ -70,15 +67,14 @@
     })
   }
 
-  /** Looks at everything that waits; to be called several times a second. */
+  /** Expires and routes waiting requests; to be called several times a second. */
   tick (): void {
     for (const model of this.queues.keys()) this.startWaiting(model)
   }
 
   /**
-   * Tells that a routed request ended.
-   * @param admitted - the request
-   * @param usedTokens - tokens it used; 0 when nothing ran
+   * Reports that a routed request ended.
+   * @param usedTokens - 0 when nothing ran
    */
   finish (admitted: AdmittedCompletion, usedTokens: number): void {
     const item = this.started.get(admitted.requestId)
@@ -119,7 +115,7 @@
 
   private withdraw (queue: FairQueue<Waiting>, item: QueueItem<Waiting>): void {
     if (!queue.remove(item.id)) return
-    item.value.resolve(Left(refusalOf(item.value.admitted, new Failure('callerGone', 'the caller left while the request waited'))))
+    item.value.resolve(Left(refusalOf(item.value.admitted, new Failure('callerGone', 'the caller closed the connection while the request was queued'))))
   }
 
   private queueOf (model: string): FairQueue<Waiting> {
@@ -150,7 +146,7 @@
   }
 }
 
-/** A request that never left the queue was not run; an earlier attempt of a keyed one may have been. */
+/** A queued request was not run, but an earlier attempt of a keyed one may have been. */
 function refusalOf (admitted: AdmittedCompletion, { code, message, retryAfterMs }: Failure): RouteRefusal {
   const ran = admitted.keyed ? 'unknown' : 'no'
   return { failure: new Failure(code, message, { ran, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) }), lookIn: [] }
--- a/packages/rosemaryspread/src/routing/routingService.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingService.spec.ts
@@ -1,6 +1,4 @@
-/**
- * What a runner says of itself when it refuses decides where the next request goes.
- */
+/** A runner that refuses a request as it is leaving must not get the next one. */
 import { expect } from 'chai'
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
 import { PollSchedule } from '@rosemaryspread/decisions/routing/pollSchedule.js'
@@ -17,7 +15,7 @@
 
 describe('RoutingService', () => {
   for (const isTold of [false, true]) {
-    it(`${isTold ? 'keeps from' : 'uses'} a runner that ${isTold ? 'said' : 'did not say'} that it is leaving`, async () => {
+    it(`${isTold ? 'avoids' : 'uses'} a runner that ${isTold ? 'reported' : 'did not report'} that it is leaving`, async () => {
       let draw = 0
       const routing = new RoutingService({
         decider: new RunnerRouter('v', 'd'),
--- a/packages/rosemaryspread/src/routing/routingService.ts
+++ b/packages/rosemaryspread/src/routing/routingService.ts
@@ -1,7 +1,4 @@
-/**
- * Feeds the routing decider with what this VM sees of the runners, and writes a log line for
- * each decision.
- */
+/** Passes what this VM observes of the runners to the route decider, and logs each decision. */
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig, RunnerConfig } from '@rosemaryspread/decisions/config/configSchema.js'
@@ -18,10 +15,9 @@
 import type { DispatchedRun, RoutedRunner, RouteRefusal, RoutingPort } from './routingPort.js'
 import { RunnerStateLog } from './runnerStateLog.js'
 
-/** What routing is composed of. */
 export interface RoutingDeps {
   readonly decider: RouteDecider & Pick<RunnerRouter, 'serviceMs' | 'states'>
-  /** VMs that share the runners, this one included. */
+  /** Number of VMs that share the runners, this one included. */
   readonly vms: () => number
   readonly retries: RetryDecider
   readonly polls: PollSchedule
@@ -30,7 +26,6 @@
   readonly log: EventLog
 }
 
-/** Routing of one VM. */
 export class RoutingService implements RoutingPort {
   private readonly queues: RouteQueues
   private readonly stateLog: RunnerStateLog
@@ -47,10 +42,7 @@
     })
   }
 
-  /**
-   * Takes a configuration that came into force.
-   * @param config - the configuration
-   */
+  /** Applies a new configuration. */
   configure (config: FleetConfig): void {
     const now = this.deps.clock.now()
     const byModel = new Map(Object.keys(config.models).map(model => [model, runnersOf(config, model)]))
@@ -73,13 +65,13 @@
     this.queues.finish(admitted, usedTokens)
   }
 
-  /** Looks at the requests that wait and at the state of the runners; to be called several times a second. */
+  /** Updates the queues and logs state changes of runners; to be called several times a second. */
   tick (): void {
     this.queues.tick()
     this.stateLog.check(this.states())
   }
 
-  /** Routes now; a refusal for want of room is left to the caller, who may wait. */
+  /** Routes without waiting. A refusal for lack of capacity is not logged, as the request may wait. */
   private tryRoute (admitted: AdmittedCompletion, exclude: readonly string[]): RouteTry {
     const decision = this.decide(admitted, exclude)
     if (decision.kind === 'refused') {
@@ -142,13 +134,13 @@
     return decision.retry ? Just(decision.delayMs) : Nothing
   }
 
-  /** An engine that tells its load with an answer saves a call. */
+  /** Load that an engine reports with an answer saves a poll. */
   private tellLoad (runner: string, load: StreamLoad | undefined): void {
     if (load === undefined) return
     this.deps.decider.observe({ kind: 'loadReported', runner, ...load, reportAgeMs: 0, leaving: false }, this.deps.clock.now())
   }
 
-  /** How this VM stands to each model runner. */
+  /** State of each model runner as seen by this VM. */
   states (): readonly RunnerStanding[] {
     return this.deps.decider.states(this.deps.clock.now())
   }
@@ -158,11 +150,7 @@
   }
 }
 
-/**
- * Runners that the configuration declares for a model.
- * @param config - the configuration
- * @param model - the model
- */
+/** Runners that the configuration declares for a model. */
 export function runnersOf (config: FleetConfig, model: string): RunnerView[] {
   const serves = ([, runner]: [string, RunnerConfig]): boolean => runner.models.includes(model)
   return Object.entries(config.runners)
--- a/packages/rosemaryspread/src/routing/runnerStateLog.spec.ts
+++ b/packages/rosemaryspread/src/routing/runnerStateLog.spec.ts
@@ -1,6 +1,4 @@
-/**
- * Lines on changes of runners: one for each change, none while nothing changes.
- */
+/** One log line for each state change of a runner, and none while nothing changes. */
 import { expect } from 'chai'
 import type { RunnerStanding } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { RunnerStateLog } from './runnerStateLog.js'
@@ -10,11 +8,11 @@
 describe('RunnerStateLog', () => {
   const cases: ReadonlyArray<{ readonly name: string, readonly states: readonly State[], readonly lines: readonly string[] }> = [
     { name: 'a runner that stays active', states: ['active', 'active'], lines: [] },
-    { name: 'one that is ejected and comes back', states: ['active', 'ejected', 'ejected', 'active', 'active'], lines: ['ejected', 'active'] },
-    { name: 'one that is seen first while it leaves', states: ['leaving', 'leaving'], lines: ['leaving'] },
+    { name: 'one that is ejected and readmitted', states: ['active', 'ejected', 'ejected', 'active', 'active'], lines: ['ejected', 'active'] },
+    { name: 'one that is leaving when first seen', states: ['leaving', 'leaving'], lines: ['leaving'] },
     { name: 'one that leaves while it is ejected', states: ['ejected', 'leaving'], lines: ['ejected', 'leaving'] },
     { name: 'one that loads its model', states: ['notLoaded', 'active'], lines: ['notLoaded', 'active'] },
-    { name: 'one that is removed and declared anew', states: ['ejected', 'gone', 'active'], lines: ['ejected'] }
+    { name: 'one that is removed and declared again', states: ['ejected', 'gone', 'active'], lines: ['ejected'] }
   ]
   for (const { name, states, lines } of cases) {
     it(`writes the changes of ${name}`, () => {
--- a/packages/rosemaryspread/src/routing/runnerStateLog.ts
+++ b/packages/rosemaryspread/src/routing/runnerStateLog.ts
@@ -1,18 +1,15 @@
-/**
- * Writes a log line whenever this VM's view of a runner changes its state.
- */
+/** Logs each change of the state of a runner as seen by this VM. */
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { RunnerStanding } from '@rosemaryspread/decisions/routing/routingTypes.js'
 
-/** Remembers the state of each runner as it was logged last. */
 export class RunnerStateLog {
   private logged: ReadonlyMap<string, RunnerStanding['state']> = new Map()
 
   constructor (private readonly log: EventLog) {}
 
   /**
-   * Compares with the last call; a runner that is seen for the first time counts as active before.
-   * @param standings - all runners now
+   * Logs the changes since the previous call; a new runner counts as active before.
+   * @param standings - all runners
    */
   check (standings: readonly RunnerStanding[]): void {
     for (const { runner, state, reason } of standings) {
--- a/packages/rosemaryspread/src/service/serviceBackground.ts
+++ b/packages/rosemaryspread/src/service/serviceBackground.ts
@@ -1,17 +1,13 @@
-/**
- * Writes about claims that the caller does not wait for, tried again until the table takes them.
- */
+/** Writes to claims that the caller does not wait for, retried until the table accepts them. */
 import { failureOf, toFailure, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { DrainState } from '../completion/completionPorts.js'
 import type { ClaimRow, ClaimStore, HeldClaim } from './serviceClaim.js'
 
-/** Milliseconds between two tries. */
 const RETRY_MS = 500
-/** Tries before a write is given up; the claim then stays `claimed` and repeats are told `unknown`. */
+/** After these attempts the write is abandoned; the claim then stays `claimed` and repeats get `unknown`. */
 const MAX_TRIES = 600
 
-/** Carries out claim writes in the background. */
 export class BackgroundWrites {
   constructor (
     private readonly claims: ClaimStore,
@@ -19,16 +15,13 @@
     private readonly log: EventLog
   ) {}
 
-  /**
-   * Marks a claim as certainly not dispatched.
-   * @param claim - a held claim
-   */
+  /** Marks a claim as certainly not dispatched. */
   abandon (claim: HeldClaim): void {
     this.repeat(async () => isSettled(failureOf(await this.claims.abandon(claim))))
   }
 
   /**
-   * Finds out whether a claim with an unknown outcome was written, and abandons it if so.
+   * Resolves a claim with an unknown outcome, and abandons it if it was written.
    * @param row - the row that may have been written
    */
   abandonIfOurs (row: ClaimRow): void {
@@ -41,11 +34,7 @@
     })
   }
 
-  /**
-   * Keeps the answer of a claim for repeats.
-   * @param claim - a held claim
-   * @param answer - the whole answer
-   */
+  /** Stores the answer of a claim for repeats. */
   finish (claim: HeldClaim, answer: { status: number, contentType: string, body: Buffer }): void {
     this.repeat(async () => isSettled(failureOf(await this.claims.finish(claim, answer))))
   }
@@ -65,7 +54,7 @@
   }
 }
 
-/** A write is over when it took effect or when the row is no longer ours. */
+/** A write is complete when it took effect or when the row belongs to another claim. */
 function isSettled (failure: Failure | undefined): boolean {
   return failure === undefined || failure.code === 'platformConflict'
 }
--- a/packages/rosemaryspread/src/service/serviceCalls.ts
+++ b/packages/rosemaryspread/src/service/serviceCalls.ts
@@ -1,6 +1,6 @@
 /**
- * Passes calls on to application runners. A call that may not be repeated is claimed durably
- * first and dispatched once at most; what happened to it is told as far as it is known.
+ * Forwards calls to application runners. A call that must not be repeated is first claimed durably and then
+ * dispatched at most once; its outcome is reported as far as it is known.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { ApplicationService, ServiceAnswer, ServiceCall } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -20,14 +20,13 @@
 import { AnswerKeeper, ApplicationTargets, ServiceChooser, unboundedRetries } from './serviceDispatch.js'
 import { isRepeatable, ServiceLoad } from './serviceRoute.js'
 
-/** A claim older than this when the call would be dispatched is abandoned: its holder was paused. */
+/** A claim older than this before dispatch is abandoned: its holder was suspended meanwhile. */
 const CLAIM_FRESH_MS = 5_000
-/** Milliseconds to come back after when an earlier attempt is in progress. */
+/** Retry-After while an earlier attempt is in progress. */
 const IN_PROGRESS_RETRY_MS = 1_000
-/** Milliseconds to come back after when the VM drains or has no configuration. */
+/** Retry-After while the VM drains or has no configuration. */
 const NOT_READY_RETRY_MS = 500
 
-/** What the service is composed of. */
 export interface ServiceDeps {
   readonly holder: string
   readonly domain: string
@@ -42,7 +41,7 @@
   readonly metrics: Metrics
 }
 
-/** A call that was checked. */
+/** A call that passed the checks. */
 interface CheckedCall {
   readonly call: ServiceCall
   readonly service: ServiceConfig
@@ -52,7 +51,6 @@
   readonly repeatable: boolean
 }
 
-/** Passes calls to application runners under claims. */
 export class ClaimedServiceCalls implements ApplicationService {
   private readonly load = new ServiceLoad()
 
@@ -72,7 +70,7 @@
     }
   }
 
-  /** Open calls at an application runner, by this VM's own count. */
+  /** Open calls of this VM at an application runner. */
   inFlight (runner: string): number {
     return this.load.of(runner)
   }
@@ -80,7 +78,7 @@
   private check (call: ServiceCall): Either<Failure, CheckedCall> {
     if (this.deps.work.draining) return Left(new Failure('draining', 'this VM is draining; use another address', { retryAfterMs: NOT_READY_RETRY_MS }))
     return this.deps.config.current()
-      .toEither(new Failure('configNotLoaded', 'no configuration is in force yet', { retryAfterMs: NOT_READY_RETRY_MS }))
+      .toEither(new Failure('configNotLoaded', 'no configuration is loaded yet', { retryAfterMs: NOT_READY_RETRY_MS }))
       .chain(({ config }) => this.checkAgainst(call, config))
   }
 
@@ -91,7 +89,7 @@
     if (service === undefined) return Left(new Failure('notFound', `team ${caller.team} has no service ${call.service}`))
     const repeatable = isRepeatable(service, call.method, call.path)
     if (!repeatable && idempotencyKey === undefined) {
-      return Left(new Failure('keyRequired', 'this call may not be repeated: send an Idempotency-Key'))
+      return Left(new Failure('keyRequired', 'this call must not be repeated: send an Idempotency-Key'))
     }
     return Right({
       call,
@@ -127,7 +125,7 @@
     return await this.dispatchClaimed(checked, outcome.claim, sentAt)
   }
 
-  /** A claim whose write may have taken effect is abandoned in the background, so that a repeat can be run. */
+  /** A claim whose write may have taken effect is abandoned in the background, so that a repeat can run. */
   private claimFailed (row: ClaimRow, failure: Failure): Either<Failure, ServiceAnswer> {
     if (failure.code === 'notClaimed') this.deps.background.abandonIfOurs(row)
     return Left(failure)
@@ -136,7 +134,7 @@
   private async dispatchClaimed (checked: CheckedCall, claim: HeldClaim, sentAt: Instant): Promise<Either<Failure, ServiceAnswer>> {
     if (elapsedMs(sentAt, this.deps.clock.now()) > CLAIM_FRESH_MS) {
       this.deps.background.abandon(claim)
-      return Left(new Failure('notClaimed', 'the claim took too long and was given up', { retryAfterMs: IN_PROGRESS_RETRY_MS }))
+      return Left(new Failure('notClaimed', 'the claim took too long and was abandoned', { retryAfterMs: IN_PROGRESS_RETRY_MS }))
     }
     const answer = await this.dispatch(checked)
     answer.caseOf({
@@ -170,12 +168,12 @@
   }
 }
 
-/** Digest of all that makes two calls the same: a key used for another service or path is used wrongly too. */
+/** Digest of everything that identifies a call: an idempotency key must not be reused for another service or path either. */
 function callDigest ({ service, method, path, digest }: ServiceCall): string {
   return bodyDigest(`${service} ${method} ${path} ${digest}`)
 }
 
-/** The call as dispatch takes it: a caller that leaves does not end it, and tokens are not counted. */
+/** Converts the call for dispatch: it continues when the caller disconnects, and tokens are not counted. */
 function admittedOf ({ call, service, requestId, startedAt, timeoutMs, repeatable }: CheckedCall): AdmittedCall {
   const { method, path, body, contentType, caller } = call
   const rule = { name: call.service, repeat: repeatable ? 'always' : 'never', streamed: false, objectiveMs: timeoutMs, attempts: Object.keys(service.runners).length, repeatsFailures: false } as const
@@ -195,12 +193,12 @@
   }
 }
 
-/** What a repeat is told about a call that another attempt claimed. */
+/** Answer to a repeat of a call that another attempt claimed. */
 function repeatOf (row: ClaimRow): Either<Failure, ServiceAnswer> {
   if (row.state === 'done' && row.answer !== undefined) {
     const { status, contentType, body } = row.answer
     return Right({ status, contentType, body: Buffer.from(body, 'base64'), requestId: row.requestId, repeated: true })
   }
-  if (row.state === 'done') return Left(new Failure('claimOutcomeUnknown', 'the call was run; its answer was too large to keep', { ran: 'yes' }))
+  if (row.state === 'done') return Left(new Failure('claimOutcomeUnknown', 'the call was run; its answer was too large to store', { ran: 'yes' }))
   return Left(new Failure('claimOutcomeUnknown', 'an earlier attempt claimed this call; it may be in progress or may have run', { ran: 'unknown', retryAfterMs: IN_PROGRESS_RETRY_MS }))
 }
--- a/packages/rosemaryspread/src/service/serviceClaim.ts
+++ b/packages/rosemaryspread/src/service/serviceClaim.ts
@@ -1,17 +1,16 @@
 /**
- * Claims of calls that may not be repeated: one row for each request id in the table, inserted
- * before anything is dispatched. Whoever finds the row does not dispatch.
+ * Claims of calls that must not be repeated: one row per request id, inserted into the table before the
+ * call is dispatched. Whoever finds an existing row does not dispatch.
  */
 import * as z from 'zod'
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure, failureOf } from '@rosemaryspread/decisions/codes/failure.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Table of the claims. */
 const CLAIMS_TABLE = 'claims'
-/** Largest answer kept for repeats, in bytes. */
+/** Largest answer that is stored for repeats. */
 const MAX_KEPT_ANSWER_BYTES = 65_536
-/** Milliseconds to come back after when the table cannot be reached. */
+/** Retry-After while the table is unreachable. */
 const TABLE_RETRY_MS = 2_000
 
 /** Row `claims/<requestId>`. */
@@ -21,21 +20,20 @@
   service: z.string(),
   digest: z.string(),
   holder: z.string(),
-  /** Tells two claims of one holder apart. */
+  /** Distinguishes two claims of one holder. */
   nonce: z.string(),
-  /** `abandoned`: certainly not dispatched; the request may be claimed anew. */
+  /** `abandoned`: certainly not dispatched; the request may be claimed again. */
   state: z.enum(['claimed', 'done', 'abandoned']),
   answer: z.object({ status: z.number(), contentType: z.string(), body: z.string() }).optional()
 })
 export type ClaimRow = z.infer<typeof claimRowSchema>
 
-/** A claim that this process holds, with the row's version. */
+/** A claim of this process, with the version of its row. */
 export interface HeldClaim {
   readonly row: ClaimRow
   readonly version: number
 }
 
-/** What a claim attempt found. */
 export type ClaimOutcome =
   | { readonly kind: 'held', readonly claim: HeldClaim }
   | { readonly kind: 'found', readonly row: ClaimRow }
@@ -45,7 +43,7 @@
   constructor (private readonly table: TableStore) {}
 
   /**
-   * Claims a request, unless it is claimed already.
+   * Claims a request unless it is claimed already.
    * @param wanted - the row to insert
    */
   async claim (wanted: ClaimRow): Promise<Either<Failure, ClaimOutcome>> {
@@ -60,7 +58,7 @@
 
   /**
    * Finds a claim that this process may have written.
-   * @param row - the row as it was sent
+   * @param row - the row as sent
    */
   async find (row: ClaimRow): Promise<Either<Failure, HeldClaim | undefined>> {
     const found = await this.read(row.requestId)
@@ -71,19 +69,12 @@
     })
   }
 
-  /**
-   * Marks a claim as certainly not dispatched.
-   * @param claim - a held claim
-   */
+  /** Marks a claim as certainly not dispatched. */
   async abandon (claim: HeldClaim): Promise<Either<Failure, number>> {
     return await this.write({ ...claim.row, state: 'abandoned' }, claim.version)
   }
 
-  /**
-   * Keeps the answer of a claim for repeats; a body over the limit is not kept.
-   * @param claim - a held claim
-   * @param answer - the whole answer
-   */
+  /** Stores the answer of a claim for repeats; a body over the limit is not stored. */
   async finish (claim: HeldClaim, answer: { status: number, contentType: string, body: Buffer }): Promise<Either<Failure, number>> {
     const kept = answer.body.byteLength <= MAX_KEPT_ANSWER_BYTES
       ? { answer: { ...answer, body: answer.body.toString('base64') } }
@@ -101,7 +92,7 @@
     return again.map(version => held(wanted, version)).mapLeft(() => notClaimed('another attempt claimed the request'))
   }
 
-  /** Writes the row; an unknown outcome is resolved by reading back, and stays `notClaimed` when that fails too. */
+  /** Writes the row. An unknown outcome is resolved by reading it back, and is reported as `notClaimed` if that fails too. */
   private async write (row: ClaimRow, expected: number | null): Promise<Either<Failure, number>> {
     const key = { table: CLAIMS_TABLE, key: row.requestId }
     const answer = await this.table.transact({ checks: [{ ...key, version: expected }], writes: [{ ...key, value: row }] })
@@ -115,12 +106,12 @@
   private async readBack (row: ClaimRow): Promise<Either<Failure, number>> {
     const found = await this.read(row.requestId)
     return found
-      .mapLeft(() => notClaimed('the outcome of the claim is not known'))
+      .mapLeft(() => notClaimed('the outcome of the claim is unknown'))
       .chain(stored => {
         const parsed = claimRowSchema.safeParse(stored?.value)
         const ours = parsed.success && parsed.data.nonce === row.nonce && parsed.data.state === row.state
         if (ours && stored !== undefined) return Right(stored.version)
-        return Left(stored === undefined ? notClaimed('the claim was not written') : new Failure('platformConflict', 'claimed by another'))
+        return Left(stored === undefined ? notClaimed('the claim was not written') : new Failure('platformConflict', 'another attempt claimed the request'))
       })
   }
 
--- a/packages/rosemaryspread/src/service/serviceDispatch.ts
+++ b/packages/rosemaryspread/src/service/serviceDispatch.ts
@@ -1,6 +1,6 @@
 /**
- * The service API as an edge of dispatch: application runners as targets, chosen by the fewest open
- * calls, and answers that are taken whole.
+ * Adapts the service API to call dispatch: application runners as targets, chosen by the fewest open calls,
+ * with buffered answers.
  */
 import { Right, type Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -13,7 +13,7 @@
 import { chooseServiceRunner, type ServiceLoad } from './serviceRoute.js'
 
 const CONTENT_TYPE = 'content-type'
-/** Reason in the log of each choice. */
+/** Reason logged with each choice. */
 const REASON = 'fewest open calls'
 
 /** Chooses application runners of one service. */
@@ -49,13 +49,13 @@
   }
 }
 
-/** Calls to services may go to every runner in turn. */
+/** A service call may be tried at each runner in turn. */
 export const unboundedRetries: CallRetries = {
   requested: () => {},
   take: () => true
 }
 
-/** Application runners as targets. They are not asked to stop: a call runs to its end or its time limit. */
+/** Application runners as targets. A call is never aborted: it runs to its end or its time limit. */
 export class ApplicationTargets implements TargetClient {
   constructor (private readonly client: ApplicationClient) {}
 
@@ -83,7 +83,7 @@
   }
 }
 
-/** Keeps the answer of a call for who asked. */
+/** Stores the answer of a call for the service API. */
 export class AnswerKeeper implements CallSink {
   answer: ApplicationAnswer | undefined
 
--- a/packages/rosemaryspread/src/service/serviceRoute.spec.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.spec.ts
@@ -22,7 +22,7 @@
   readonly name: string
   readonly open?: Readonly<Record<string, number>>
   readonly failed?: readonly string[]
-  /** Milliseconds for which runners want no call, from 0 on. */
+  /** Milliseconds from 0 for which runners accept no calls. */
   readonly paused?: Readonly<Record<string, number>>
   readonly exclude?: readonly string[]
   readonly atMs?: number
@@ -30,19 +30,19 @@
 }
 
 const choices: readonly ChoiceCase[] = [
-  { name: 'the own failure domain among equals', expected: 'a' },
+  { name: 'the local failure domain among equals', expected: 'a' },
   { name: 'the fewest open calls', open: { a: 1 }, expected: 'b' },
-  { name: 'no runner that was tried', exclude: ['a'], expected: 'b' },
-  { name: 'no full runner', open: { a: 2, b: 1 }, expected: 'b' },
-  { name: 'a refusal when all are full', open: { a: 2, b: 2 }, expected: 'overloaded' },
-  { name: 'a refusal when only a leaving one is left', exclude: ['a', 'b'], expected: 'noRunner' },
-  { name: 'no runner that failed several times in a row', failed: ['a'], expected: 'b' },
-  { name: 'an ejected runner when there is no other', failed: ['a', 'b'], expected: 'a' },
-  { name: 'an ejected runner again after a while, as a probe', failed: ['a'], atMs: 3_000, expected: 'a' },
-  { name: 'no second call to a runner that is probed', failed: ['a'], open: { a: 1, b: 1 }, atMs: 3_000, expected: 'b' },
-  { name: 'no runner that wants no call for a time', paused: { a: 2_000 }, atMs: 1_999, expected: 'b' },
-  { name: 'a runner again whose time is over', paused: { a: 2_000 }, atMs: 2_000, expected: 'a' },
-  { name: 'a refusal when none wants a call', paused: { a: 2_000, b: 1_000 }, expected: 'targetsPaused' }
+  { name: 'not a runner that was tried', exclude: ['a'], expected: 'b' },
+  { name: 'not a full runner', open: { a: 2, b: 1 }, expected: 'b' },
+  { name: 'a refusal if all are full', open: { a: 2, b: 2 }, expected: 'overloaded' },
+  { name: 'a refusal if only a leaving runner remains', exclude: ['a', 'b'], expected: 'noRunner' },
+  { name: 'not a runner that failed several times in a row', failed: ['a'], expected: 'b' },
+  { name: 'an ejected runner if there is no other', failed: ['a', 'b'], expected: 'a' },
+  { name: 'an ejected runner after its ejection, as a probe', failed: ['a'], atMs: 3_000, expected: 'a' },
+  { name: 'not a runner with a probe in progress', failed: ['a'], open: { a: 1, b: 1 }, atMs: 3_000, expected: 'b' },
+  { name: 'not a paused runner', paused: { a: 2_000 }, atMs: 1_999, expected: 'b' },
+  { name: 'a runner whose pause is over', paused: { a: 2_000 }, atMs: 2_000, expected: 'a' },
+  { name: 'a refusal if all are paused', paused: { a: 2_000, b: 1_000 }, expected: 'targetsPaused' }
 ]
 
 describe('the choice of an application runner', () => {
@@ -58,8 +58,8 @@
   }
 })
 
-describe('the service API as an edge of dispatch', () => {
-  it('keeps from a runner that asked in an answer for a time without calls', async () => {
+describe('the adapter from the service API to call dispatch', () => {
+  it('avoids a runner that requested a pause with its answer', async () => {
     const load = new ServiceLoad()
     const chooser = new ServiceChooser(service, 'd1', load, { now: () => ({ mono: 0, wall: 0 }) })
     const targets = new ApplicationTargets({ call: async () => Right({ status: 503, contentType: '', body: Buffer.alloc(0), pauseMs: 2_000 }) })
--- a/packages/rosemaryspread/src/service/serviceRoute.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.ts
@@ -1,31 +1,31 @@
 /**
- * Chooses application runners: the fewest open calls by this VM's own count, the own failure
- * domain first among equals; leaving, full and ejected runners get nothing.
+ * Chooses application runners by the fewest open calls of this VM, and prefers the local failure domain
+ * among equals. Leaving and full runners are excluded; ejected ones are used only if no other is free.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { TargetHealth } from '@rosemaryspread/decisions/routing/targetHealth.js'
 import type { ServiceConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 
-/** Milliseconds to come back after when every runner is full. */
+/** Retry-After when every runner is full. */
 const FULL_RETRY_MS = 500
-/** Milliseconds to come back after when no runner is declared or left. */
+/** Retry-After when no runner is declared or left to try. */
 const NONE_RETRY_MS = 5_000
 
 /** An application runner chosen for a call. */
 export interface ServiceChoice {
   readonly runner: string
   readonly address: string
-  /** Its failure domain. */
+  /** Failure domain of the runner. */
   readonly domain: string
   readonly candidates: readonly string[]
 }
 
-/** Open calls and health of each application runner, as this VM sees them. */
+/** Open calls and health of each application runner, as seen by this VM. */
 export class ServiceLoad {
   private readonly open = new Map<string, number>()
   private readonly health = new Map<string, TargetHealth>()
-  /** Until when runners want no call. */
+  /** Monotonic milliseconds until which a runner accepts no calls. */
   private readonly pausedUntil = new Map<string, number>()
 
   of (runner: string): number {
@@ -37,8 +37,7 @@
   }
 
   /**
-   * Notes how a call ended; a runner that cannot be reached several times in a row is ejected.
-   * @param runner - id of the runner
+   * Records the end of a call; a runner that is unreachable several times in a row is ejected.
    * @param reached - whether it answered, whatever the status
    * @param mono - monotonic milliseconds
    */
@@ -50,17 +49,15 @@
   }
 
   /**
-   * Takes that a runner wants no call for a time.
-   * @param runner - id of the runner
-   * @param until - end of the time, in monotonic milliseconds
+   * Records that a runner accepts no calls for a time; a shorter pause does not replace a longer one.
+   * @param until - in monotonic milliseconds
    */
   pause (runner: string, until: number): void {
     this.pausedUntil.set(runner, Math.max(until, this.pausedUntil.get(runner) ?? -Infinity))
   }
 
   /**
-   * Milliseconds for which a runner wants no call; 0 when it takes one.
-   * @param runner - id of the runner
+   * Remaining pause of a runner in milliseconds; 0 when it accepts calls.
    * @param mono - monotonic milliseconds
    */
   pauseMs (runner: string, mono: number): number {
@@ -68,8 +65,7 @@
   }
 
   /**
-   * Whether a call may go to a runner; one that was ejected gets single probes at first.
-   * @param runner - id of the runner
+   * Whether a call may go to a runner; after an ejection it gets single probes first.
    * @param mono - monotonic milliseconds
    */
   isUsable (runner: string, mono: number): boolean {
@@ -80,10 +76,8 @@
 
 /**
  * Chooses a runner for a call.
- * @param service - the service's configuration
  * @param domain - failure domain of this VM
- * @param load - open calls
- * @param exclude - runners tried already
+ * @param exclude - ids of runners tried already
  * @param mono - monotonic milliseconds
  */
 export function chooseServiceRunner (service: ServiceConfig, domain: string, load: ServiceLoad, exclude: readonly string[], mono: number): Either<Failure, ServiceChoice> {
@@ -91,7 +85,7 @@
     .filter(([runner, { state }]) => state === 'active' && !exclude.includes(runner))
   if (active.length === 0) return Left(new Failure('noRunner', 'no application runner is left to try', { retryAfterMs: NONE_RETRY_MS }))
   const backMs = Math.min(...active.map(([runner]) => load.pauseMs(runner, mono)))
-  if (backMs > 0) return Left(new Failure('targetsPaused', 'every application runner asked this VM to wait', { retryAfterMs: backMs }))
+  if (backMs > 0) return Left(new Failure('targetsPaused', 'every application runner has paused this VM', { retryAfterMs: backMs }))
   const free = active.filter(([runner]) => load.pauseMs(runner, mono) === 0).filter(([runner, { maxInFlight }]) => load.of(runner) < maxInFlight)
   if (free.length === 0) return Left(new Failure('overloaded', 'every application runner is full', { retryAfterMs: FULL_RETRY_MS }))
   const distance = (other: string): number => other === domain ? 0 : 1
@@ -103,10 +97,8 @@
 }
 
 /**
- * Whether a call may be repeated by the service's own declaration.
- * @param service - the service's configuration
- * @param method - HTTP method
- * @param path - path below the service
+ * Whether the service declares that a call may be repeated.
+ * @param path - path below the service, with its query
  */
 export function isRepeatable (service: ServiceConfig, method: string, path: string): boolean {
   if (method === 'GET') return true
