--- a/packages/rosemaryspread/src/gateway/connectionSilence.ts
+++ b/packages/rosemaryspread/src/gateway/connectionSilence.ts
@@ -16,7 +16,7 @@
   private readonly keepers: DropIdle[] = []
   private log: EventLog | undefined
 
-  /** Sets the log; it is created after the first connections. */
+  /** Sets the log, which is created after the clients. */
   logTo (log: EventLog): void {
     this.log = log
   }
