--- a/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
+++ b/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
@@ -53,7 +53,7 @@
   }
 }
 
-describe('FrontWatch', () => {
+describe('IngressMonitor', () => {
   for (const { name, lines, ...second } of cases) {
     it(`writes ${name}`, () => {
       const watched = new Watched()
--- a/packages/rosemaryspread/src/gateway/workNotices.spec.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.spec.ts
@@ -28,7 +28,7 @@
   { name: 'nobody in a larger fleet', vms: 22, times: 21, everyMs: 50, sent: 0 }
 ]
 
-describe('WorkNotices', () => {
+describe('WorkNotifications', () => {
   for (const { name, vms, times, everyMs, sent } of cases) {
     it(`reach ${name}`, () => { expect(told(vms, times, everyMs)).to.equal(sent) })
   }
