--- a/packages/rosemaryspread/src/gateway/callTypes.ts
+++ b/packages/rosemaryspread/src/gateway/callTypes.ts
@@ -75,7 +75,7 @@
   piece (bytes: Buffer): Promise<void> | undefined
   /** Ends a complete stream. */
   end (): void
-  /** Ends a stream such that the caller can tell that it is incomplete. */
+  /** Ends a stream such that the caller can detect that it is incomplete. */
   cut (): void
   refuse (failure: Failure): void
 }
--- a/packages/rosemaryspread/src/service/serviceCalls.ts
+++ b/packages/rosemaryspread/src/service/serviceCalls.ts
@@ -78,7 +78,7 @@
   private check (call: ServiceCall): Either<Failure, CheckedCall> {
     if (this.deps.work.draining) return Left(new Failure('draining', 'this VM is draining; use another address', { retryAfterMs: NOT_READY_RETRY_MS }))
     return this.deps.config.current()
-      .toEither(new Failure('configNotLoaded', 'no configuration is loaded yet', { retryAfterMs: NOT_READY_RETRY_MS }))
+      .toEither(new Failure('configNotLoaded', 'no configuration is in force yet', { retryAfterMs: NOT_READY_RETRY_MS }))
       .chain(({ config }) => this.checkAgainst(call, config))
   }
 
