--- a/packages/rosemaryspread/src/completion/completionFakes.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionFakes.spec.ts
@@ -224,10 +224,10 @@
   async route (admitted: AdmittedCompletion, exclude: readonly string[]): Promise<Either<RouteRefusal, RoutedRunner>> {
     const usable = this.runners.filter(({ runner }) => !exclude.includes(runner))
     const choice = usable.find(({ runner }) => !this.believedDown.includes(runner))
-    if (choice === undefined) return Left({ failure: new Failure('noRunner', 'none', { retryAfterMs: 100 }), lookIn: admitted.keyed ? this.runners : [] })
+    if (choice === undefined) return Left({ failure: new Failure('noRunner', 'none', { retryAfterMs: 100 }), lookupRunners: admitted.keyed ? this.runners : [] })
     this.open += 1
-    const run = { opened: () => {}, leaving: () => { this.reportedLeaving.push(choice.runner) }, firstToken: () => {}, ended: () => { this.open -= 1 } }
-    return Right({ run, choice, before: admitted.keyed ? usable.slice(0, usable.indexOf(choice)) : [] })
+    const run = { streamOpened: () => {}, leaving: () => { this.reportedLeaving.push(choice.runner) }, firstToken: () => {}, ended: () => { this.open -= 1 } }
+    return Right({ run, choice, runnersToSeal: admitted.keyed ? usable.slice(0, usable.indexOf(choice)) : [] })
   }
 
   finish (): void {}
--- a/packages/rosemaryspread/src/completion/completionPlanner.ts
+++ b/packages/rosemaryspread/src/completion/completionPlanner.ts
@@ -62,7 +62,7 @@
 
   /** Plans a run at the chosen runner, unless an earlier attempt sealed it. */
   private async planAt (admitted: AdmittedCompletion, routed: RoutedRunner, tried: TriedRunners): Promise<Either<Failure, PlannedRun> | 'sealed'> {
-    const { choice, before, run } = routed
+    const { choice, runnersToSeal: before, run } = routed
     if (!admitted.keyed) return await this.reserveAt(admitted, routed, [])
     const found = await sealAndFindRun(this.deps.engines, admitted.requestId, before, choice)
     if (found.at === undefined && !found.isChoiceSealed) {
@@ -75,7 +75,7 @@
   }
 
   /** A keyed request that routing refuses may still be answered by the run of an earlier attempt. */
-  private async joinOrRefuse (admitted: AdmittedCompletion, { failure, lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
+  private async joinOrRefuse (admitted: AdmittedCompletion, { failure, lookupRunners: lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
     if (lookIn.length === 0) return Left(failure)
     const found = await lookUpRun(this.deps.engines, admitted.requestId, lookIn)
     if (found.at !== undefined) return planJoin(admitted, found.at)
--- a/packages/rosemaryspread/src/completion/completionRun.ts
+++ b/packages/rosemaryspread/src/completion/completionRun.ts
@@ -37,7 +37,7 @@
     const outcome = await runAttempt(this.context(completion, plan.at, run.firstToken), async () => {
       const submitted = await this.submit(admitted, plan.at, paid)
       submitted.ifRight(({ load }) => {
-        run.opened(load)
+        run.streamOpened(load)
         onStarted(plan.at)
       })
       return submitted
--- a/packages/rosemaryspread/src/gateway/bindGateway.ts
+++ b/packages/rosemaryspread/src/gateway/bindGateway.ts
@@ -19,8 +19,8 @@
 import { CallQuarantine } from '../quarantine/callQuarantine.js'
 import { QuarantineSync } from '../quarantine/quarantineSync.js'
 import { TargetEndDetector } from '../quarantine/targetEndDetector.js'
-import { gatewayBudgets } from './gatewayBudgets.js'
-import type { ConnectionSilence } from './connectionSilence.js'
+import { createBudgetDriver } from './budgetDriverFactory.js'
+import type { ConnectionLiveness } from './connectionSilence.js'
 import { CallDispatch } from './callDispatch.js'
 import { CallReport } from './callReport.js'
 import { GatewayChooser } from './gatewayChooser.js'
@@ -30,30 +30,30 @@
 import { GatewayRetries } from './gatewayRetries.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 import { GatewayTargets } from './gatewayTargets.js'
-import { WorkNotices } from './workNotices.js'
+import { WorkNotifications } from './workNotifications.js'
 import type { TargetClient, TargetProbe } from './callTypes.js'
 
 const INCARNATION_BYTES = 6
 
 /** Ports to the platform and to the targets. */
-export interface GatewayEdge {
+export interface GatewayPorts {
   readonly table: TableStore
   readonly feed: TableFeed
   readonly client: TargetClient & TargetProbe
   readonly clock: Clock
-  readonly silence: ConnectionSilence
+  readonly liveness: ConnectionLiveness
 }
 
-export function bindGateway (container: Container, settings: GatewaySettings, edge: GatewayEdge): void {
+export function bindGateway (container: Container, settings: GatewaySettings, ports: GatewayPorts): void {
   const holder = holderOf(settings.vm, randomBytes(INCARNATION_BYTES).toString('hex'))
-  bindBase(container, settings, edge, holder)
-  bindFleet(container, settings, edge, holder)
-  bindBudgets(container, settings, edge, holder)
-  bindQuarantine(container, settings, edge)
-  bindPipeline(container, settings, edge)
+  bindBase(container, settings, ports, holder)
+  bindFleet(container, settings, ports, holder)
+  bindBudgets(container, settings, ports, holder)
+  bindQuarantine(container, settings, ports)
+  bindPipeline(container, settings, ports)
 }
 
-function bindBase (container: Container, { vm, domain, logLevel }: GatewaySettings, { clock }: GatewayEdge, holder: string): void {
+function bindBase (container: Container, { vm, domain, logLevel }: GatewaySettings, { clock }: GatewayPorts, holder: string): void {
   container.bind(ids.clock).toConstantValue(clock)
   container.bind(ids.random).toConstantValue(new SystemRandom())
   container.bind(ids.log).toConstantValue(new BunyanEventLog({ vm, domain, holder, level: logLevel }))
@@ -62,7 +62,7 @@
   container.bind(ids.config).toResolvedValue(log => new GatewayConfigHolder(log), [ids.log]).inSingletonScope()
 }
 
-function bindFleet (container: Container, { vm, domain, region, callers, peers }: GatewaySettings, { table, feed, silence }: GatewayEdge, holder: string): void {
+function bindFleet (container: Container, { vm, domain, region, callers, peers }: GatewaySettings, { table, feed, liveness: silence }: GatewayPorts, holder: string): void {
   container.bind(ids.table).toConstantValue(table)
   container.bind(ids.digest).toResolvedValue((clock, log) =>
     new TableDigest({ vm, table, feed, clock, log, vms: () => container.get(ids.presence).names }), [ids.clock, ids.log]).inSingletonScope()
@@ -76,14 +76,14 @@
     onJoined: other => { container.get(ids.budgets).holderJoined(other) }
   }), [ids.clock, ids.log, ids.digest]).inSingletonScope()
   container.bind(ids.links).toResolvedValue((clock, random, log) =>
-    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onSilence: since => { silence.noticed('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
+    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onSilence: since => { silence.reportUnresponsive('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
   container.bind(ids.balancer).toConstantValue(new TargetBalancer())
   container.bind(ids.targets).toResolvedValue((clock, balancer, log) =>
     new GatewayTargets({ clock, balancer, log }), [ids.clock, ids.balancer, ids.log]).inSingletonScope()
 }
 
-function bindBudgets (container: Container, { domain, callers }: GatewaySettings, { table }: GatewayEdge, holder: string): void {
-  container.bind(ids.budgets).toResolvedValue((presence, config, clock, log, links) => gatewayBudgets({
+function bindBudgets (container: Container, { domain, callers }: GatewaySettings, { table }: GatewayPorts, holder: string): void {
+  container.bind(ids.budgets).toResolvedValue((presence, config, clock, log, links) => createBudgetDriver({
     holder,
     domain,
     place: callers,
@@ -96,8 +96,8 @@
   }), [ids.presence, ids.config, ids.clock, ids.log, ids.links]).inSingletonScope()
 }
 
-function bindQuarantine (container: Container, { vm }: GatewaySettings, { table, feed, client }: GatewayEdge): void {
-  container.bind(ids.quarantineShare).toResolvedValue((clock, log, random, presence, links): QuarantineSync => new QuarantineSync({
+function bindQuarantine (container: Container, { vm }: GatewaySettings, { table, feed, client }: GatewayPorts): void {
+  container.bind(ids.quarantineSync).toResolvedValue((clock, log, random, presence, links): QuarantineSync => new QuarantineSync({
     vm,
     table,
     feed,
@@ -106,44 +106,44 @@
     random: () => random.next(),
     peers: () => presence.peers(),
     notify: (address, method, params) => { links.notify(address, method, params) },
-    onUpdate: news => { container.get(ids.quarantine).receive(news) }
+    onUpdate: update => { container.get(ids.quarantine).receive(update) }
   }), [ids.clock, ids.log, ids.random, ids.presence, ids.links]).inSingletonScope()
   container.bind(ids.quarantine).toResolvedValue((clock, log, metrics, share) =>
-    new CallQuarantine({ clock, log, metrics, share, watch: new TargetEndDetector({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineShare]).inSingletonScope()
+    new CallQuarantine({ clock, log, metrics, share, watch: new TargetEndDetector({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineSync]).inSingletonScope()
 }
 
-function bindPipeline (container: Container, { vm, retries }: GatewaySettings, { client }: GatewayEdge): void {
-  container.bind(ids.pipeline).toDynamicValue(ctx => {
-    const log = ctx.get(ids.log)
-    const metrics = ctx.get(ids.metrics)
-    const presence = ctx.get(ids.presence)
-    const clock = ctx.get(ids.clock)
-    const random = ctx.get(ids.random)
+function bindPipeline (container: Container, { vm, retries }: GatewaySettings, { client }: GatewayPorts): void {
+  container.bind(ids.pipeline).toDynamicValue(context => {
+    const log = context.get(ids.log)
+    const metrics = context.get(ids.metrics)
+    const presence = context.get(ids.presence)
+    const clock = context.get(ids.clock)
+    const random = context.get(ids.random)
     const report = new CallReport(log, metrics)
-    const links = ctx.get(ids.links)
-    const notices = new WorkNotices({
+    const links = context.get(ids.links)
+    const notifications = new WorkNotifications({
       clock,
       peers: () => presence.peers(),
       notify: (address, method, params) => { links.notify(address, method, params) }
     })
     const dispatch = new CallDispatch({
       clock,
-      budgets: ctx.get(ids.budgets),
+      budgets: context.get(ids.budgets),
       chooser: new GatewayChooser({
-        targets: ctx.get(ids.targets),
-        balancer: ctx.get(ids.balancer),
+        targets: context.get(ids.targets),
+        balancer: context.get(ids.balancer),
         clock,
         random,
         vm,
         vms: () => presence.names,
-        tell: notice => { notices.tell(notice) }
+        notifyPeers: notification => { notifications.notifyPeers(notification) }
       }),
       retries: new GatewayRetries(retries, () => presence.size),
       client,
       metrics,
       report,
-      guard: ctx.get(ids.quarantine)
+      guard: context.get(ids.quarantine)
     })
-    return new GatewayPipeline({ random, config: ctx.get(ids.config), work: ctx.get(ids.work), dispatch, log, report })
+    return new GatewayPipeline({ random, config: context.get(ids.config), work: context.get(ids.work), dispatch, log, report })
   }).inSingletonScope()
 }
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.spec.ts
+++ b/packages/rosemaryspread/src/gateway/budgetDriverFactory.spec.ts
@@ -8,7 +8,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { SteadyClock } from '../clock/steadyClock.js'
 import { FixtureTable } from '../membership/membershipTable.fixture.js'
-import { gatewayBudgets } from './gatewayBudgets.js'
+import { createBudgetDriver } from './budgetDriverFactory.js'
 
 interface SuspensionCase {
   readonly name: string
@@ -28,7 +28,7 @@
 
   for (const { name, suspendedMs, isUsable } of cases) {
     it(`${name}: its reserved tokens are ${isUsable ? 'usable' : 'not usable'}`, async () => {
-      const budgets = gatewayBudgets({
+      const budgets = createBudgetDriver({
         holder: 'vm1~a',
         domain: 'd',
         place: '127.0.0.1:1',
--- a/packages/rosemaryspread/src/gateway/gatewayBudgets.ts
+++ b/packages/rosemaryspread/src/gateway/budgetDriverFactory.ts
@@ -20,7 +20,7 @@
 import { fleetBudgetPolicy } from './gatewayBudgetPolicy.js'
 
 /** Start of the process in monotonic milliseconds: the performance clock of Node counts from there. */
-const PROCESS_BEGUN_AT = 0
+const PROCESS_START_MONO_MS = 0
 
 /** The fleet as the budgets see it. */
 export interface BudgetFleet {
@@ -32,7 +32,7 @@
   readonly size: number
 }
 
-export interface GatewayBudgetsParts {
+export interface BudgetDriverOptions {
   readonly holder: string
   readonly domain: string
   /** Address on which this process listens for callers. */
@@ -47,14 +47,14 @@
   declared (budget: string): DeclaredPaid | undefined
 }
 
-export function gatewayBudgets (parts: GatewayBudgetsParts): BudgetDriver {
+export function createBudgetDriver (parts: BudgetDriverOptions): BudgetDriver {
   const { holder, domain, place, store, clock, log, fleet, call, declared } = parts
   const owners = new RendezvousOwners(holder)
   const budgets: BudgetDriver = new BudgetDriver({
     holder,
     domain,
     place,
-    processStartedAt: PROCESS_BEGUN_AT,
+    processStartedAt: PROCESS_START_MONO_MS,
     store,
     peers: new NoTransferPeers(() => fleet.members()),
     clock,
--- a/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
+++ b/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
@@ -15,21 +15,21 @@
 }
 
 function prepared (vm: string, ticks: ReadonlyArray<readonly [GatewayConfig, number]>): readonly string[] {
-  const told: string[] = []
-  const preparation = new BudgetPreparation(vm, { prepare: budget => { told.push(budget) } })
+  const budgets: string[] = []
+  const preparation = new BudgetPreparation(vm, { prepare: budget => { budgets.push(budget) } })
   for (const [config, mono] of ticks) preparation.tick(config, mono)
-  return told
+  return budgets
 }
 
 describe('BudgetPreparation', () => {
   const cases = [
-    { name: 'does not prepare teams without a budget', ticks: [[configOf(1, 2, 3), 0]] as const, told: 2 },
-    { name: 'does not prepare again within the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 1_000]] as const, told: 2 },
-    { name: 'prepares again after the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 5_000]] as const, told: 4 },
-    { name: 'prepares at once after a configuration change', ticks: [[configOf(1, 2), 0], [configOf(2, 3), 1]] as const, told: 5 },
-    { name: 'limits the number of budgets', ticks: [[configOf(1, 1_000), 0]] as const, told: 64 }
+    { name: 'does not prepare teams without a budget', ticks: [[configOf(1, 2, 3), 0]] as const, count: 2 },
+    { name: 'does not prepare again within the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 1_000]] as const, count: 2 },
+    { name: 'prepares again after the interval', ticks: [[configOf(1, 2), 0], [configOf(1, 2), 5_000]] as const, count: 4 },
+    { name: 'prepares at once after a configuration change', ticks: [[configOf(1, 2), 0], [configOf(2, 3), 1]] as const, count: 5 },
+    { name: 'limits the number of budgets', ticks: [[configOf(1, 1_000), 0]] as const, count: 64 }
   ]
-  for (const { name, ticks, told } of cases) {
+  for (const { name, ticks, count: told } of cases) {
     it(name, () => { expect(prepared('vm1', ticks)).to.have.length(told) })
   }
 
--- a/packages/rosemaryspread/src/gateway/budgetPreparation.ts
+++ b/packages/rosemaryspread/src/gateway/budgetPreparation.ts
@@ -6,12 +6,12 @@
 import { hashName, pairWeight } from '@rosemaryspread/decisions/routing/rendezvous.js'
 
 /** Limits the rows and draws of this VM in a fleet with many teams. */
-const MOST_PREPARED = 64
+const MAX_PREPARED_BUDGETS = 64
 /** A prepared budget counts as idle only after three of these intervals. */
-const PASS_MS = 5_000
+const PASS_INTERVAL_MS = 5_000
 
 /** The operation on budgets that preparation uses. */
-export interface PreparedBudgets {
+export interface BudgetPreparer {
   prepare (budget: string): void
 }
 
@@ -22,7 +22,7 @@
   private version: number | undefined
 
   /** @param vm - name of this VM */
-  constructor (vm: string, private readonly budgets: PreparedBudgets) {
+  constructor (vm: string, private readonly budgets: BudgetPreparer) {
     this.vmHash = hashName(vm)
   }
 
@@ -33,18 +33,18 @@
   tick (config: GatewayConfig, mono: number): void {
     if (config.version === this.version && mono < this.nextPassAt) return
     this.version = config.version
-    this.nextPassAt = mono + PASS_MS
-    for (const team of this.chosen(config)) this.budgets.prepare(team)
+    this.nextPassAt = mono + PASS_INTERVAL_MS
+    for (const team of this.selectTeams(config)) this.budgets.prepare(team)
   }
 
   /** Where there are too many teams for one VM, rendezvous hashing selects a different subset on each VM. */
-  private chosen ({ teams }: GatewayConfig): readonly string[] {
+  private selectTeams ({ teams }: GatewayConfig): readonly string[] {
     const prepaid = Object.keys(teams).filter(team => teams[team]?.prepaidTokens !== undefined)
-    if (prepaid.length <= MOST_PREPARED) return prepaid
+    if (prepaid.length <= MAX_PREPARED_BUDGETS) return prepaid
     return prepaid
       .map(team => ({ team, weight: pairWeight(hashName(team), this.vmHash) }))
       .sort((a, b) => b.weight - a.weight)
-      .slice(0, MOST_PREPARED)
+      .slice(0, MAX_PREPARED_BUDGETS)
       .map(({ team }) => team)
   }
 }
--- a/packages/rosemaryspread/src/gateway/callAttempt.ts
+++ b/packages/rosemaryspread/src/gateway/callAttempt.ts
@@ -8,12 +8,12 @@
 import type { AnswerHead, CallSink, TargetAnswer, TargetClient, TargetRequest } from './callTypes.js'
 
 /** Largest answer that is buffered. */
-const MAX_WHOLE_BYTES = 16 * 1024 * 1024
-const FIRST_SUCCESS = 200
-const FIRST_REDIRECT = 300
-const FIRST_ERROR_STATUS = 500
+const MAX_BUFFERED_BYTES = 16 * 1024 * 1024
+const MIN_SUCCESS_STATUS = 200
+const MIN_REDIRECT_STATUS = 300
+const MIN_SERVER_ERROR_STATUS = 500
 
-export type AttemptEnd =
+export type AttemptOutcome =
   /** The complete answer was relayed. */
   | { readonly kind: 'answered', readonly status: number }
   /** The target answered with a server error, which has not been relayed. */
@@ -29,9 +29,9 @@
   readonly relay: EventRelay
   readonly streamed: boolean
   /** Whether a server error of the target may be retried at another target. */
-  readonly repeatsFailures: boolean
+  readonly retriesFailures: boolean
   /** Called when the first event, or the complete answer, was relayed. */
-  readonly onFirst: () => void
+  readonly onFirstOutput: () => void
   /** Called with the state that the target reports about itself, whatever the outcome of the attempt. */
   readonly onReport: (report: TargetReport) => void
 }
@@ -40,10 +40,10 @@
  * Runs an attempt to its end; never throws.
  * @param stop - aborted when the caller has disconnected or the deadline has passed
  */
-export async function runAttempt (parts: AttemptParts, req: TargetRequest, stop: AbortSignal): Promise<AttemptEnd> {
+export async function runAttempt (parts: AttemptParts, req: TargetRequest, stop: AbortSignal): Promise<AttemptOutcome> {
   try {
     const sent = await parts.client.send(req, stop, parts.onReport)
-    return await sent.caseOf<Promise<AttemptEnd>>({
+    return await sent.caseOf<Promise<AttemptOutcome>>({
       Left: async failure => failure.ran === 'no' ? { kind: 'notRun', failure } : { kind: 'broken', failure },
       Right: async answer => await relayAnswer(parts, answer)
     })
@@ -52,57 +52,57 @@
   }
 }
 
-async function relayAnswer (parts: AttemptParts, answer: TargetAnswer): Promise<AttemptEnd> {
+async function relayAnswer (parts: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
   const isStream = parts.streamed && isSuccess(answer.head.status)
-  return isStream ? await relayStream(parts, answer) : await relayWhole(parts, answer)
+  return isStream ? await relayStream(parts, answer) : await relayBuffered(parts, answer)
 }
 
 /** Whether a status means that the request ran successfully. */
 export function isSuccess (status: number): boolean {
-  return status >= FIRST_SUCCESS && status < FIRST_REDIRECT
+  return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
 }
 
-async function relayWhole ({ sink, repeatsFailures, onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptEnd> {
-  const pieces: Buffer[] = []
+async function relayBuffered ({ sink, retriesFailures: repeatsFailures, onFirstOutput: onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
+  const chunks: Buffer[] = []
   let size = 0
   const read = await answer.read(bytes => {
     size += bytes.length
-    if (size > MAX_WHOLE_BYTES) throw new Failure('answerCut', `the answer exceeds the limit of ${MAX_WHOLE_BYTES} bytes`, { ran: 'yes' })
-    pieces.push(bytes)
+    if (size > MAX_BUFFERED_BYTES) throw new Failure('answerCut', `the answer exceeds the limit of ${MAX_BUFFERED_BYTES} bytes`, { ran: 'yes' })
+    chunks.push(bytes)
     return undefined
   })
   const failure = failureOf(read)
   if (failure !== undefined) return { kind: 'broken', failure }
-  const body = Buffer.concat(pieces)
-  if ((answer.head.status >= FIRST_ERROR_STATUS && repeatsFailures) || sink.begun) return { kind: 'failedAnswer', head: answer.head, body }
+  const body = Buffer.concat(chunks)
+  if ((answer.head.status >= MIN_SERVER_ERROR_STATUS && repeatsFailures) || sink.isStarted) return { kind: 'failedAnswer', head: answer.head, body }
   onFirst()
   sink.whole(answer.head, body)
   return { kind: 'answered', status: answer.head.status }
 }
 
 /** Sends the head together with the first event; until then another target can be tried. */
-async function relayStream ({ sink, relay, onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptEnd> {
+async function relayStream ({ sink, relay, onFirstOutput: onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
   const read = await answer.read(bytes => {
-    const whole = relay.take(bytes)
-    if (whole.length === 0) return undefined
-    if (!sink.begun) {
+    const completeEvents = relay.push(bytes)
+    if (completeEvents.length === 0) return undefined
+    if (!sink.isStarted) {
       onFirst()
       sink.head(answer.head)
     }
-    return sink.piece(whole)
+    return sink.chunk(completeEvents)
   })
   const failure = failureOf(read)
-  if (failure === undefined && relay.hasRest) return brokenInside(relay)
+  if (failure === undefined && relay.hasPartialEvent) return truncatedOutcome(relay)
   if (failure !== undefined) {
-    relay.drop()
+    relay.discardPartial()
     return { kind: 'broken', failure }
   }
-  if (!sink.begun) sink.head(answer.head)
+  if (!sink.isStarted) sink.head(answer.head)
   sink.end()
   return { kind: 'answered', status: answer.head.status }
 }
 
-function brokenInside (relay: EventRelay): AttemptEnd {
-  relay.drop()
+function truncatedOutcome (relay: EventRelay): AttemptOutcome {
+  relay.discardPartial()
   return { kind: 'broken', failure: new Failure('answerCut', 'the stream ended within an event', { ran: 'yes' }) }
 }
--- a/packages/rosemaryspread/src/gateway/callDispatch.ts
+++ b/packages/rosemaryspread/src/gateway/callDispatch.ts
@@ -10,15 +10,15 @@
 import type { TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import type { BudgetPort } from '../budget/budgetPort.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
-import { isSuccess, runAttempt, type AttemptEnd } from './callAttempt.js'
+import { isSuccess, runAttempt, type AttemptOutcome } from './callAttempt.js'
 import type { CallReport } from './callReport.js'
-import { OpenCall } from './callOpen.js'
+import { OpenCall } from './openCall.js'
 import type { AdmittedCall, CallGuard, CallRetries, CallSink, TargetChooser, TargetClient, TargetRequest, TargetVerdict } from './callTypes.js'
 
 /** Share of the latency objective that a call may wait for tokens. */
-const RESERVE_PART = 0.5
+const RESERVE_WAIT_RATIO = 0.5
 /** Absent targets that one call may skip, even if its route allows fewer attempts. */
-const MAX_ABSENT = 3
+const MAX_ABSENT_TARGETS = 3
 
 export interface DispatchDeps {
   readonly clock: Clock
@@ -46,7 +46,7 @@
       if (refusal !== undefined) return Left(refusal)
       const reserved = await this.reserve(open)
       if (reserved.isLeft()) return reserved
-      this.deps.retries.requested(admitted.service, this.deps.clock.now())
+      this.deps.retries.recordFirstAttempt(admitted.service, this.deps.clock.now())
       return await this.tryTargets(open)
     } finally {
       this.settle(open)
@@ -59,30 +59,30 @@
     const { call, team, route, isPrepaid } = open.admitted
     const { budgets } = this.deps
     if (!isPrepaid || team === undefined || budgets === undefined) return Right(undefined)
-    const before = this.deps.clock.now().mono
-    const waitMs = Math.max(0, Math.min(route.objectiveMs * RESERVE_PART, open.leftMs))
+    const startedAtMono = this.deps.clock.now().mono
+    const waitMs = Math.max(0, Math.min(route.objectiveMs * RESERVE_WAIT_RATIO, open.leftMs))
     const reserved = await budgets.reserve(team, call.promptTokens + call.maxTokens, waitMs)
-    open.reserveMs = this.deps.clock.now().mono - before
+    open.reserveMs = this.deps.clock.now().mono - startedAtMono
     this.deps.metrics.record('reserve_wait_ms', open.reserveMs)
-    return reserved.map(reservation => open.pay(reservation))
+    return reserved.map(reservation => open.setReservation(reservation))
   }
 
   /** Tries targets in turn until an answer is complete or no further attempt is allowed. */
   private async tryTargets (open: OpenCall): Promise<Either<Failure, void>> {
     for (;;) {
-      open.checkTime()
+      open.checkDeadline()
       open.stopped ??= this.deps.guard?.refusal(open)
       if (open.stopped !== undefined) return Left(open.stopped)
       const chosen = this.choose(open)
-      if (chosen.isLeft()) return this.lastEnd(open, chosen.extract())
+      if (chosen.isLeft()) return this.concludeFailed(open, chosen.extract())
       const confirmed = this.confirm(open)
-      if (confirmed.isLeft()) return this.lastEnd(open, confirmed.extract())
-      const end = await this.attempt(open, chosen.unsafeCoerce())
-      if (end.kind === 'answered') return this.answered(open, chosen.unsafeCoerce(), end.status)
-      open.tried(chosen.unsafeCoerce().target.id, end)
-      const isRetried = this.mayRetry(open, end)
-      this.deps.report.attemptFailed(open, chosen.unsafeCoerce().target.id, end, isRetried)
-      if (!isRetried) return this.lastEnd(open, open.lastFailure)
+      if (confirmed.isLeft()) return this.concludeFailed(open, confirmed.extract())
+      const outcome = await this.attempt(open, chosen.unsafeCoerce())
+      if (outcome.kind === 'answered') return this.answered(open, chosen.unsafeCoerce(), outcome.status)
+      open.recordAttempt(chosen.unsafeCoerce().target.id, outcome)
+      const isRetried = this.mayRetry(open, outcome)
+      this.deps.report.attemptFailed(open, chosen.unsafeCoerce().target.id, outcome, isRetried)
+      if (!isRetried) return this.concludeFailed(open, open.lastFailure)
     }
   }
 
@@ -101,32 +101,32 @@
     return open.reservation === undefined || budgets === undefined ? Right(undefined) : budgets.confirm(open.reservation)
   }
 
-  private async attempt (open: OpenCall, choice: TargetChoice): Promise<AttemptEnd> {
+  private async attempt (open: OpenCall, choice: TargetChoice): Promise<AttemptOutcome> {
     const { chooser, client } = this.deps
-    const { sink, relay, admitted: { route: { streamed, repeatsFailures } } } = open
+    const { sink, relay, admitted: { route: { streamed, retriesFailures: repeatsFailures } } } = open
     open.lastTarget = choice.target.id
     const ticket = chooser.sent(choice, open.admitted)
-    const onFirst = (): void => {
-      chooser.begun(choice, ticket, true)
-      this.first(open)
+    const onFirstOutput = (): void => {
+      chooser.endPrefill(choice, ticket, true)
+      this.recordFirstOutput(open)
     }
-    const onReport = (said: TargetReport): void => {
-      this.deps.report.targetReported(open, choice, said)
-      chooser.reported(choice, said)
+    const onReport = (report: TargetReport): void => {
+      this.deps.report.targetReported(open, choice, report)
+      chooser.recordReport(choice, report)
     }
-    const end = await runAttempt({ client, sink, relay, streamed, repeatsFailures, onFirst, onReport }, this.requestFor(open, choice), open.stopSignal())
-    chooser.begun(choice, ticket, false)
-    const isEnded = await this.isTargetEnded(open, choice, end)
-    chooser.ended(choice, isEnded ? 'unreachable' : verdictOf(end, open))
-    return end
+    const outcome = await runAttempt({ client, sink, relay, streamed, retriesFailures: repeatsFailures, onFirstOutput, onReport }, this.requestFor(open, choice), open.stopSignal())
+    chooser.endPrefill(choice, ticket, false)
+    const isTerminated = await this.isTargetTerminated(open, choice, outcome)
+    chooser.ended(choice, isTerminated ? 'unreachable' : verdictOf(outcome, open))
+    return outcome
   }
 
   /** Checked before the next attempt, so that the suspicion that it may add counts in the next choice. */
-  private async isTargetEnded (open: OpenCall, choice: TargetChoice, end: AttemptEnd): Promise<boolean> {
+  private async isTargetTerminated (open: OpenCall, choice: TargetChoice, outcome: AttemptOutcome): Promise<boolean> {
     const { guard } = this.deps
-    if (open.wasAbsent(end)) guard?.unreached(choice)
-    if (guard === undefined || end.kind !== 'broken' || end.failure.code === 'answerMixed') return false
-    if (open.stopped === undefined) return await guard.broke(open, choice)
+    if (open.wasAbsent(outcome)) guard?.targetAbsent(choice)
+    if (guard === undefined || outcome.kind !== 'broken' || outcome.failure.code === 'answerMixed') return false
+    if (open.stopped === undefined) return await guard.handleBroken(open, choice)
     guard.left(open, choice)
     return false
   }
@@ -144,39 +144,39 @@
       timeoutMs: Math.max(1, Math.floor(open.leftMs)),
       team,
       priority,
-      resumeAfter: open.sink.begun ? open.relay.lastId : undefined
+      resumeAfter: open.sink.isStarted ? open.relay.lastId : undefined
     }
   }
 
-  private first (open: OpenCall): void {
+  private recordFirstOutput (open: OpenCall): void {
     open.firstMs ??= open.ageMs
     if (open.admitted.route.streamed) this.deps.metrics.record('first_token_ms', open.firstMs)
   }
 
-  private mayRetry (open: OpenCall, end: AttemptEnd): boolean {
-    if (end.kind === 'answered' || open.stopped !== undefined) return false
+  private mayRetry (open: OpenCall, outcome: AttemptOutcome): boolean {
+    if (outcome.kind === 'answered' || open.stopped !== undefined) return false
     const { route, service } = open.admitted
-    if (open.wasAbsent(end)) return open.absent <= Math.max(MAX_ABSENT, route.attempts) && this.mayPassOver(end, service)
+    if (open.wasAbsent(outcome)) return open.absentTargets <= Math.max(MAX_ABSENT_TARGETS, route.attempts) && this.mayRetryAbsent(outcome, service)
     if (open.attempts >= route.attempts) return false
-    if (end.kind !== 'notRun' && !this.isRepeatable(open)) return false
-    return this.deps.retries.take(service, this.deps.clock.now())
+    if (outcome.kind !== 'notRun' && !this.isRepeatable(open)) return false
+    return this.deps.retries.tryAcquire(service, this.deps.clock.now())
   }
 
   /** A request that reached a replaced process counts as a retry; one that reached no process does not. */
-  private mayPassOver (end: AttemptEnd, service: string): boolean {
-    const isArrived = end.kind === 'notRun' && end.failure.code === 'targetReplaced'
-    return !isArrived || this.deps.retries.take(service, this.deps.clock.now())
+  private mayRetryAbsent (outcome: AttemptOutcome, service: string): boolean {
+    const isArrived = outcome.kind === 'notRun' && outcome.failure.code === 'targetReplaced'
+    return !isArrived || this.deps.retries.tryAcquire(service, this.deps.clock.now())
   }
 
   private isRepeatable ({ admitted: { route: { repeat } }, sink, relay }: OpenCall): boolean {
-    if (repeat === 'resume') return !sink.begun || relay.lastId !== undefined
-    return repeat === 'always' && !sink.begun
+    if (repeat === 'resume') return !sink.isStarted || relay.lastId !== undefined
+    return repeat === 'always' && !sink.isStarted
   }
 
   /** Relays a server error of the target unchanged; any other failure becomes an answer of the gateway. */
-  private lastEnd (open: OpenCall, failure: Failure | undefined): Either<Failure, void> {
+  private concludeFailed (open: OpenCall, failure: Failure | undefined): Either<Failure, void> {
     const { failedAnswer, sink } = open
-    if (failedAnswer !== undefined && !sink.begun && open.stopped === undefined) {
+    if (failedAnswer !== undefined && !sink.isStarted && open.stopped === undefined) {
       sink.whole(failedAnswer.head, failedAnswer.body)
       return this.deps.report.answered(open, 'failed')
     }
@@ -209,9 +209,9 @@
 }
 
 /** What the outcome of an attempt says about the target. */
-function verdictOf (end: AttemptEnd, open: OpenCall): TargetVerdict {
-  if (end.kind === 'answered' || end.kind === 'failedAnswer') return 'good'
+function verdictOf (outcome: AttemptOutcome, open: OpenCall): TargetVerdict {
+  if (outcome.kind === 'answered' || outcome.kind === 'failedAnswer') return 'good'
   if (open.stopped !== undefined) return 'none'
-  if (end.kind === 'notRun') return open.wasAbsent(end) ? 'unreachable' : 'none'
+  if (outcome.kind === 'notRun') return open.wasAbsent(outcome) ? 'unreachable' : 'none'
   return 'failed'
 }
--- a/packages/rosemaryspread/src/gateway/callReport.ts
+++ b/packages/rosemaryspread/src/gateway/callReport.ts
@@ -5,8 +5,8 @@
 import type { TargetChoice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
-import type { AttemptEnd } from './callAttempt.js'
-import type { OpenCall } from './callOpen.js'
+import type { AttemptOutcome } from './callAttempt.js'
+import type { OpenCall } from './openCall.js'
 import type { OpaqueCall } from './callTypes.js'
 
 export class CallReport {
@@ -43,12 +43,12 @@
    * @param target - id of the target
    * @param retried - whether another target is tried
    */
-  attemptFailed (open: OpenCall, target: string, end: AttemptEnd, retried: boolean): void {
-    if (end.kind === 'answered') return
+  attemptFailed (open: OpenCall, target: string, outcome: AttemptOutcome, retried: boolean): void {
+    if (outcome.kind === 'answered') return
     const request = open.admitted.call.requestId
-    const cause = end.kind === 'failedAnswer'
-      ? { code: 'runnerRefused', ran: 'yes', detail: `status ${end.head.status}` }
-      : { code: end.failure.code, ran: end.failure.ran, detail: end.failure.message }
+    const cause = outcome.kind === 'failedAnswer'
+      ? { code: 'runnerRefused', ran: 'yes', detail: `status ${outcome.head.status}` }
+      : { code: outcome.failure.code, ran: outcome.failure.ran, detail: outcome.failure.message }
     this.metrics.count('attempts_failed')
     this.log.write('attemptFailed', { request, runner: target, ...cause, retried })
   }
--- a/packages/rosemaryspread/src/gateway/callTypes.ts
+++ b/packages/rosemaryspread/src/gateway/callTypes.ts
@@ -8,7 +8,7 @@
 import type { GatewayRoute } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
 import type { Suspicion, TargetChoice } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
 import type { TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
-import type { OpenCall } from './callOpen.js'
+import type { OpenCall } from './openCall.js'
 import type { TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
 
 /** A header as received; names may repeat. */
@@ -31,15 +31,15 @@
 }
 
 /** How a call may be dispatched; see the route of the gateway configuration. */
-export interface DispatchRule extends Pick<GatewayRoute, 'name' | 'repeat' | 'streamed' | 'objectiveMs' | 'attempts'> {
+export interface DispatchPolicy extends Pick<GatewayRoute, 'name' | 'repeat' | 'streamed' | 'objectiveMs' | 'attempts'> {
   /** Whether a server error of a target may be retried at another target; otherwise it is the answer. */
-  readonly repeatsFailures: boolean
+  readonly retriesFailures: boolean
 }
 
 /** A call that passed admission. */
 export interface AdmittedCall {
   readonly call: OpaqueCall
-  readonly route: DispatchRule
+  readonly route: DispatchPolicy
   readonly service: string
   /** Undefined on a route that needs no key. */
   readonly team: string | undefined
@@ -66,13 +66,13 @@
 /** Receives the answer of one call. Exactly one of `whole`, `end`, `cut` and `refuse` ends it. */
 export interface CallSink {
   /** Whether anything was sent. */
-  readonly begun: boolean
+  readonly isStarted: boolean
   /** Sends a complete answer. */
   whole (head: AnswerHead, body: Buffer): void
   /** Starts a streamed answer. */
   head (head: AnswerHead): void
   /** Sends a chunk; a returned promise resolves when the caller has read enough for the next (backpressure). */
-  piece (bytes: Buffer): Promise<void> | undefined
+  chunk (bytes: Buffer): Promise<void> | undefined
   /** Ends a complete stream. */
   end (): void
   /** Ends a stream such that the caller can detect that it is incomplete. */
@@ -146,9 +146,9 @@
    * Records that the target started its answer, or that the request ended without one.
    * @param ticket - returned by {@link sent}
    */
-  begun (choice: TargetChoice, ticket: number, isAnswered: boolean): void
+  endPrefill (choice: TargetChoice, ticket: number, isAnswered: boolean): void
   /** Records the state that the target sent with its answer. */
-  reported (choice: TargetChoice, report: TargetReport): void
+  recordReport (choice: TargetChoice, report: TargetReport): void
   ended (choice: TargetChoice, verdict: TargetVerdict): void
 }
 
@@ -163,11 +163,11 @@
   /** Suspicion against a call that may still be sent, if any. */
   suspicion (call: OpenCall): Suspicion | undefined
   /** Handles an attempt that broke off without an answer; resolves to whether the target terminated. */
-  broke (call: OpenCall, choice: TargetChoice): Promise<boolean>
+  handleBroken (call: OpenCall, choice: TargetChoice): Promise<boolean>
   /** Handles an attempt that this VM aborted without an answer, as the caller disconnected or the deadline passed. */
   left (call: OpenCall, choice: TargetChoice): void
   /** Called when a target was absent. */
-  unreached (choice: TargetChoice): void
+  targetAbsent (choice: TargetChoice): void
   /** Called when a target served the call. */
   answered (call: OpenCall): void
 }
@@ -175,7 +175,7 @@
 /** Limits retries. */
 export interface CallRetries {
   /** Counts a first attempt towards the retry budget of a service. */
-  requested (service: string, now: Instant): void
+  recordFirstAttempt (service: string, now: Instant): void
   /** Consumes one retry from the budget of a service; false if it is exhausted. */
-  take (service: string, now: Instant): boolean
+  tryAcquire (service: string, now: Instant): boolean
 }
--- a/packages/rosemaryspread/src/gateway/connectionRoom.ts
+++ b/packages/rosemaryspread/src/gateway/connectionRoom.ts
@@ -4,24 +4,24 @@
  */
 
 /** Share of the process's descriptors for callers; the rest is for targets, the store and other VMs. */
-const CALLERS_PART = 0.5
+const CALLERS_RATIO = 0.5
 /** Share of the limit above which idle connections are closed in favor of new ones. */
-const CROWDED_PART = 0.9
+const NEAR_LIMIT_RATIO = 0.9
 
-export class ConnectionRoom {
+export class ConnectionLimit {
   /** Open connections allowed; further ones are closed at once. */
-  readonly most: number
+  readonly maxOpen: number
 
   /** @param descriptors - descriptors that the process may open; absent for no limit */
   constructor (descriptors?: number) {
-    this.most = Math.floor((descriptors ?? Infinity) * CALLERS_PART)
+    this.maxOpen = Math.floor((descriptors ?? Infinity) * CALLERS_RATIO)
   }
 
   /**
    * Whether idle connections should be closed to make room for new ones.
    * @param open - number of open connections
    */
-  isCrowded (open: number): boolean {
-    return open >= this.most * CROWDED_PART
+  isNearLimit (open: number): boolean {
+    return open >= this.maxOpen * NEAR_LIMIT_RATIO
   }
 }
--- a/packages/rosemaryspread/src/gateway/connectionSilence.ts
+++ b/packages/rosemaryspread/src/gateway/connectionSilence.ts
@@ -12,18 +12,18 @@
 export type DropIdle = (since: number) => void
 
 /** Forwards each report of an unresponsive connection to all connection pools of the process. */
-export class ConnectionSilence {
-  private readonly keepers: DropIdle[] = []
+export class ConnectionLiveness {
+  private readonly pools: DropIdle[] = []
   private log: EventLog | undefined
 
   /** Sets the log, which is created after the clients. */
-  logTo (log: EventLog): void {
+  setLog (log: EventLog): void {
     this.log = log
   }
 
   /** Registers a connection pool. */
-  onNoticed (drop: DropIdle): void {
-    this.keepers.push(drop)
+  onUnresponsive (drop: DropIdle): void {
+    this.pools.push(drop)
   }
 
   /**
@@ -31,8 +31,8 @@
    * @param by - client that detected it
    * @param since - monotonic milliseconds after which the old connection received nothing
    */
-  noticed (by: ConnectionKind, since: number): void {
+  reportUnresponsive (by: ConnectionKind, since: number): void {
     this.log?.write('connectionsSilent', { by, since: Math.round(since) })
-    for (const drop of this.keepers) drop(since)
+    for (const drop of this.pools) drop(since)
   }
 }
--- a/packages/rosemaryspread/src/gateway/eventRelay.ts
+++ b/packages/rosemaryspread/src/gateway/eventRelay.ts
@@ -10,7 +10,7 @@
 
 /** Relays the events of one stream. */
 export class EventRelay {
-  private rest: Buffer = Buffer.alloc(0)
+  private partial: Buffer = Buffer.alloc(0)
   private count = 0
   private id: string | undefined
 
@@ -25,27 +25,27 @@
   }
 
   /** Whether bytes of an incomplete event are buffered. */
-  get hasRest (): boolean {
-    return this.rest.length > 0
+  get hasPartialEvent (): boolean {
+    return this.partial.length > 0
   }
 
   /** Buffers bytes and returns those that complete events. */
-  take (bytes: Buffer): Buffer {
-    const all = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes])
-    const end = endOfEvents(all)
-    this.rest = all.subarray(end)
-    if (this.rest.length > MAX_EVENT_BYTES) throw new RangeError(`an event exceeds the limit of ${MAX_EVENT_BYTES} bytes`)
-    const whole = all.subarray(0, end)
-    this.note(whole.toString('latin1'))
-    return whole
+  push (bytes: Buffer): Buffer {
+    const buffered = this.partial.length === 0 ? bytes : Buffer.concat([this.partial, bytes])
+    const end = endOfLastEvent(buffered)
+    this.partial = buffered.subarray(end)
+    if (this.partial.length > MAX_EVENT_BYTES) throw new RangeError(`an event exceeds the limit of ${MAX_EVENT_BYTES} bytes`)
+    const completeEvents = buffered.subarray(0, end)
+    this.countEvents(completeEvents.toString('latin1'))
+    return completeEvents
   }
 
   /** Discards the incomplete event after the stream broke. */
-  drop (): void {
-    this.rest = Buffer.alloc(0)
+  discardPartial (): void {
+    this.partial = Buffer.alloc(0)
   }
 
-  private note (text: string): void {
+  private countEvents (text: string): void {
     for (const [, id] of text.matchAll(idLine)) {
       this.id = id
       this.count += 1
@@ -54,7 +54,7 @@
 }
 
 /** Index after the last blank line, which ends the last complete event. */
-function endOfEvents (bytes: Buffer): number {
+function endOfLastEvent (bytes: Buffer): number {
   for (let i = bytes.length - 1; i > 0; i--) {
     if (bytes[i] !== LINE_FEED) continue
     if (bytes[i - 1] === LINE_FEED) return i + 1
--- a/packages/rosemaryspread/src/gateway/flawLog.ts
+++ b/packages/rosemaryspread/src/gateway/flawLog.ts
@@ -5,8 +5,8 @@
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 
 /** Malformed values of one source. */
-export class FlawLog {
-  private readonly noted = new Set<string>()
+export class MalformedValueLog {
+  private readonly loggedIds = new Set<string>()
 
   /** @param source - where the values come from, for the log */
   constructor (private readonly log: EventLog, private readonly source: string) {}
@@ -15,14 +15,14 @@
    * Logs a malformed value unless one of this target was logged.
    * @param id - id of the target
    */
-  note (id: string, detail: string): void {
-    if (this.noted.has(id)) return
-    this.noted.add(id)
+  logOnce (id: string, detail: string): void {
+    if (this.loggedIds.has(id)) return
+    this.loggedIds.add(id)
     this.log.write('platformFault', { service: this.source, operation: 'decode', code: id, detail })
   }
 
   /** Drops targets that are no longer listed. */
-  forget (isListed: (id: string) => boolean): void {
-    for (const id of this.noted) if (!isListed(id)) this.noted.delete(id)
+  forgetUnlisted (isListed: (id: string) => boolean): void {
+    for (const id of this.loggedIds) if (!isListed(id)) this.loggedIds.delete(id)
   }
 }
--- a/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
+++ b/packages/rosemaryspread/src/gateway/frontWatch.spec.ts
@@ -1,11 +1,11 @@
 /** When the ingress monitor logs overload and advertises it, and which counters it reports. */
 import { expect } from 'chai'
 import { MetricsRecorder } from '../metrics/metricsRecorder.js'
-import { FrontWatch } from './frontWatch.js'
+import { IngressMonitor } from './ingressMonitor.js'
 
 const TICK_MS = 50
 
-interface Second {
+interface SecondOfLoad {
   readonly name: string
   readonly taken?: number
   readonly dropped?: number
@@ -16,7 +16,7 @@
   readonly lines: number
 }
 
-const cases: readonly Second[] = [
+const cases: readonly SecondOfLoad[] = [
   { name: 'nothing for few connections per turn', taken: 100, turns: 900, lines: 0 },
   { name: 'a line for a connection in every other turn', taken: 100, turns: 200, lines: 1 },
   { name: 'nothing below the minimum number of connections', taken: 19, turns: 19, lines: 0 },
@@ -25,13 +25,13 @@
   { name: 'nothing for a slightly late tick', turns: 900, lateMs: 300, lines: 0 }
 ]
 
-class Watched {
+class MonitorHarness {
   readonly lines: Array<Readonly<Record<string, unknown>>> = []
   readonly metrics = new MetricsRecorder()
   mono = 0
   turns = 0
   busyMs = 0
-  readonly watch = new FrontWatch({
+  readonly monitor = new IngressMonitor({
     clock: { now: () => ({ mono: this.mono, wall: 0 }) },
     log: { write: (event, fields) => { this.lines.push({ event, ...fields }) } },
     metrics: this.metrics,
@@ -40,15 +40,15 @@
     busyMs: () => this.busyMs
   })
 
-  second ({ taken = 0, dropped = 0, turns, lateMs = 0, busyMs = 100 }: Omit<Second, 'name' | 'lines'>): void {
-    for (let i = 0; i < taken; i += 1) this.watch.taken()(i % 2 === 0)
-    for (let i = 0; i < dropped; i += 1) this.watch.dropped()
+  second ({ taken = 0, dropped = 0, turns, lateMs = 0, busyMs = 100 }: Omit<SecondOfLoad, 'name' | 'lines'>): void {
+    for (let i = 0; i < taken; i += 1) this.monitor.taken()(i % 2 === 0)
+    for (let i = 0; i < dropped; i += 1) this.monitor.dropped()
     this.turns += turns
     this.busyMs += busyMs
     this.mono += lateMs
     for (const end = this.mono + 1_000; this.mono < end;) {
       this.mono += TICK_MS
-      this.watch.tick()
+      this.monitor.tick()
     }
   }
 }
@@ -56,43 +56,43 @@
 describe('IngressMonitor', () => {
   for (const { name, lines, ...second } of cases) {
     it(`writes ${name}`, () => {
-      const watched = new Watched()
+      const watched = new MonitorHarness()
       watched.second(second)
       expect(watched.lines).to.have.length(lines)
     })
   }
 
   it('resets the counters for each window', () => {
-    const watched = new Watched()
+    const watched = new MonitorHarness()
     watched.second({ taken: 40, turns: 40 })
     watched.second({ turns: 800 })
     watched.second({ taken: 60, turns: 100 })
     expect(watched.lines.map(({ taken, unused, turns, open }) => [taken, unused, turns, open])).to.deep.equal([[40, 20, 40, 0], [60, 30, 100, 0]])
   })
 
-  const calm = { turns: 900 }
-  const pressures: ReadonlyArray<{ readonly name: string, readonly seconds: ReadonlyArray<Omit<Second, 'name' | 'lines'>>, readonly isPressed: boolean }> = [
+  const stable = { turns: 900 }
+  const overloadCases: ReadonlyArray<{ readonly name: string, readonly seconds: ReadonlyArray<Omit<SecondOfLoad, 'name' | 'lines'>>, readonly isPressed: boolean }> = [
     { name: 'capacity at the start', seconds: [], isPressed: false },
     { name: 'overload for many connections', seconds: [{ taken: 100, turns: 200 }], isPressed: true },
     { name: 'overload for connections closed at the limit', seconds: [{ dropped: 1, turns: 900 }], isPressed: true },
     { name: 'overload for a blocked event loop', seconds: [{ turns: 900, lateMs: 600 }], isPressed: true },
     { name: 'overload for a saturated event loop', seconds: [{ turns: 900, busyMs: 990 }], isPressed: true },
     { name: 'capacity for a busy event loop below saturation', seconds: [{ turns: 900, busyMs: 800 }], isPressed: false },
-    { name: 'overload two stable seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm], isPressed: true },
-    { name: 'capacity three stable seconds later', seconds: [{ dropped: 1, turns: 900 }, calm, calm, calm], isPressed: false }
+    { name: 'overload two stable seconds later', seconds: [{ dropped: 1, turns: 900 }, stable, stable], isPressed: true },
+    { name: 'capacity three stable seconds later', seconds: [{ dropped: 1, turns: 900 }, stable, stable, stable], isPressed: false }
   ]
-  for (const { name, seconds, isPressed } of pressures) {
+  for (const { name, seconds, isPressed } of overloadCases) {
     it(`advertises ${name}`, () => {
-      const watched = new Watched()
+      const watched = new MonitorHarness()
       for (const second of seconds) watched.second(second)
-      expect(watched.watch.isPressed).to.equal(isPressed)
+      expect(watched.monitor.isPressed).to.equal(isPressed)
     })
   }
 
   it('decrements the gauge of open connections when one closes', () => {
-    const watched = new Watched()
-    const closed = watched.watch.taken()
-    watched.watch.taken()
+    const watched = new MonitorHarness()
+    const closed = watched.monitor.taken()
+    watched.monitor.taken()
     expect(watched.metrics.render()).to.contain('front_connections_open 2')
     closed(true)
     expect(watched.metrics.render()).to.contain('front_connections_open 1')
--- a/packages/rosemaryspread/src/gateway/gatewayAdmission.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayAdmission.ts
@@ -32,19 +32,19 @@
   const { tokensPerEvent = 1, warmUpPerS } = config.services[service] ?? {}
   const teamConfig = team === undefined ? undefined : config.teams[team]
   // The last part is specific to the request.
-  const shared = route.hasAffinity ? call.promptParts.slice(0, -1) : []
+  const sharedPromptParts = route.hasAffinity ? call.promptParts.slice(0, -1) : []
   const waitMs = Math.min(call.timeoutMs ?? route.timeoutMs, route.timeoutMs)
   return Right({
     call,
-    route: { ...route, repeatsFailures: true },
+    route: { ...route, retriesFailures: true },
     service,
     team,
     isPrepaid: teamConfig?.prepaidTokens !== undefined && call.promptTokens + call.maxTokens > 0,
     priority: teamConfig?.priority ?? route.priority,
     tokensPerEvent,
     ...(warmUpPerS === undefined ? {} : { warmUpPerS }),
-    sharedParts: shared.map(({ id }) => id),
-    sharedTokens: shared.reduce((sum, { tokens }) => sum + tokens, 0),
+    sharedParts: sharedPromptParts.map(({ id }) => id),
+    sharedTokens: sharedPromptParts.reduce((sum, { tokens }) => sum + tokens, 0),
     deadline: call.receivedAt.mono + waitMs
   })
 }
--- a/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayBudgetPolicy.ts
@@ -15,7 +15,7 @@
  * Requests of all other VMs reach the owners equally, so these tokens do not lie idle and the first seconds of
  * traffic find no empty owner.
  */
-const OWNERS_EVEN_PART = 0.5
+const OWNERS_FAIR_SHARE_RATIO = 0.5
 const MS_PER_SECOND = 1_000
 
 /** Budget policy of the gateway; docs/design/platform.md compares the alternatives. */
@@ -59,7 +59,7 @@
 export function fleetBudgetPolicy (vms: () => number): BudgetPolicy {
   return {
     ...gatewayBudgetPolicy,
-    get fairShareRatio () { return vms() > MAX_VMS_ALL_OWN ? OWNERS_EVEN_PART : gatewayBudgetPolicy.fairShareRatio },
+    get fairShareRatio () { return vms() > MAX_VMS_ALL_OWN ? OWNERS_FAIR_SHARE_RATIO : gatewayBudgetPolicy.fairShareRatio },
     get flushMs () { return Math.max(FLUSH_MS, vms() * MS_PER_SECOND / FLEET_FLUSHES_PER_S) }
   }
 }
--- a/packages/rosemaryspread/src/gateway/gatewayChooser.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayChooser.ts
@@ -22,7 +22,7 @@
   /** Names of the VMs that share the load of targets that warm up; empty until they are known. */
   vms (): readonly string[]
   /** Notifies other VMs of a large request. */
-  tell (notice: WorkNotification): void
+  notifyPeers (notification: WorkNotification): void
 }
 
 /** Chooses by the balancer and notifies other VMs of large requests. */
@@ -33,42 +33,42 @@
     const { balancer, random } = this.parts
     const { service, call, sharedParts, sharedTokens } = admitted
     const available = this.parts.targets.available(service)
-    const refusal = this.refusalOf(service, available)
+    const refusal = this.refusalFor(service, available)
     if (refusal !== undefined) return Left(refusal)
     const demand: TargetDemand = {
       sharedParts,
       sharedTokens,
       unsharedTokens: Math.max(0, call.promptTokens - sharedTokens),
       exclude,
-      ...this.warmUpOf(admitted),
+      ...this.warmUpDemand(admitted),
       ...(suspicion === undefined ? {} : { suspicion })
     }
     return balancer.choose(available.targets, demand, this.mono, random.next()).map(choice => ({ ...choice, paused: available.pausesMs.length }))
   }
 
   refusal ({ service }: AdmittedCall): Failure | undefined {
-    return this.refusalOf(service, this.parts.targets.available(service))
+    return this.refusalFor(service, this.parts.targets.available(service))
   }
 
   sent (choice: TargetChoice, { sharedParts }: AdmittedCall): number {
-    const { ticket, notification: notice } = this.parts.balancer.sent(choice, sharedParts, this.mono)
-    if (notice !== undefined) this.parts.tell(notice)
+    const { ticket, notification } = this.parts.balancer.sent(choice, sharedParts, this.mono)
+    if (notification !== undefined) this.parts.notifyPeers(notification)
     return ticket
   }
 
-  begun ({ target }: TargetChoice, ticket: number, isAnswered: boolean): void {
+  endPrefill ({ target }: TargetChoice, ticket: number, isAnswered: boolean): void {
     this.parts.balancer.endPrefill(target.id, ticket, isAnswered, this.mono)
   }
 
-  reported ({ target }: TargetChoice, report: TargetReport): void {
-    this.parts.targets.reported(target, report)
+  recordReport ({ target }: TargetChoice, report: TargetReport): void {
+    this.parts.targets.recordReport(target, report)
   }
 
   ended ({ target }: TargetChoice, verdict: TargetVerdict): void {
     this.parts.balancer.ended(target.id, verdict, this.mono)
   }
 
-  private refusalOf (service: string, { targets, pausesMs }: AvailableTargets): Failure | undefined {
+  private refusalFor (service: string, { targets, pausesMs }: AvailableTargets): Failure | undefined {
     if (this.parts.targets.isEvacuated(service)) {
       return new Failure('domainsEvacuated', 'all targets of the service are in evacuated failure domains', { retryAfterMs: EVACUATED_RETRY_MS })
     }
@@ -78,7 +78,7 @@
     return new Failure('targetsPaused', 'all targets of the service have paused this VM', { retryAfterMs })
   }
 
-  private warmUpOf ({ warmUpPerS: perS }: AdmittedCall): Pick<TargetDemand, 'warmUp'> {
+  private warmUpDemand ({ warmUpPerS: perS }: AdmittedCall): Pick<TargetDemand, 'warmUp'> {
     return perS === undefined ? {} : { warmUp: { perS, vm: this.parts.vm, vms: () => this.parts.vms() } }
   }
 
--- a/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
@@ -30,13 +30,13 @@
 
   /** Applies a configuration unless its version is not newer than the current one. */
   apply (config: GatewayConfig): void {
-    const before = this.prepared?.config
-    if (before !== undefined && config.version <= before.version) return
+    const previous = this.prepared?.config
+    if (previous !== undefined && config.version <= previous.version) return
     const keys = new KeyDirectory()
     keys.replace(Object.entries(config.teams).map(([team, { keyHashes }]) => [team, keyHashes]))
     this.prepared = { config, keys, routes: new RouteTable(config) }
     this.log.write('configApplied', { version: config.version, source: 'feed', routes: config.routes.length })
-    this.tellPaid(before, config)
+    this.notifyPaidChanges(previous, config)
   }
 
   /** Total amount that a team paid according to the current configuration. */
@@ -46,11 +46,11 @@
     return config === undefined || tokens === undefined ? undefined : { tokens, version: config.version }
   }
 
-  private tellPaid (before: GatewayConfig | undefined, after: GatewayConfig): void {
-    for (const [team, { prepaidTokens: paid }] of Object.entries(after.teams)) {
-      const earlier = before?.teams[team]?.prepaidTokens
-      if (paid === undefined || earlier === undefined || paid === earlier) continue
-      for (const listener of this.listeners) listener(team, paid < earlier)
+  private notifyPaidChanges (previous: GatewayConfig | undefined, next: GatewayConfig): void {
+    for (const [team, { prepaidTokens: paid }] of Object.entries(next.teams)) {
+      const previousPaid = previous?.teams[team]?.prepaidTokens
+      if (paid === undefined || previousPaid === undefined || paid === previousPaid) continue
+      for (const listener of this.listeners) listener(team, paid < previousPaid)
     }
   }
 }
--- a/packages/rosemaryspread/src/gateway/gatewayIds.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayIds.ts
@@ -10,7 +10,7 @@
 import type { VmPresence } from '../presence/vmPresence.js'
 import type { CallQuarantine } from '../quarantine/callQuarantine.js'
 import type { QuarantineSync } from '../quarantine/quarantineSync.js'
-import type { FrontWatch } from './frontWatch.js'
+import type { IngressMonitor } from './ingressMonitor.js'
 import type { GatewayConfigHolder } from './gatewayConfigHolder.js'
 import type { GatewayPipeline } from './gatewayPipeline.js'
 import type { GatewayTargets } from './gatewayTargets.js'
@@ -34,7 +34,7 @@
   balancer: id<TargetBalancer>('TargetBalancer'),
   targets: id<GatewayTargets>('GatewayTargets'),
   quarantine: id<CallQuarantine>('CallQuarantine'),
-  quarantineShare: id<QuarantineSync>('QuarantineShare'),
-  frontWatch: id<FrontWatch>('FrontWatch'),
+  quarantineSync: id<QuarantineSync>('QuarantineSync'),
+  ingressMonitor: id<IngressMonitor>('IngressMonitor'),
   pipeline: id<GatewayPipeline>('GatewayPipeline')
 }
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
@@ -21,12 +21,12 @@
 
 const OK: AnswerHead = { status: 200, headers: [] }
 const FAILED: AnswerHead = { status: 500, headers: [] }
-const silent = { write: () => {} }
+const silentLog = { write: () => {} }
 
 /** Behavior of a fake target: chunks of an answer and an optional failure at its end, or a failure to answer. */
 type Script = Failure | { readonly head: AnswerHead, readonly pieces: readonly string[], readonly end?: Failure }
 
-class Client implements TargetClient {
+class FakeClient implements TargetClient {
   readonly sent: TargetRequest[] = []
 
   constructor (private readonly scripts: Script[]) {}
@@ -52,7 +52,7 @@
   return Left(new Failure('runnerUnreachable', 'stopped', { ran: 'unknown' }))
 }
 
-class Budgets implements BudgetPort {
+class FakeBudgets implements BudgetPort {
   readonly bills: Array<Bill | undefined> = []
   /** Results of the next confirmations; later ones succeed. */
   confirmations: Array<Either<Failure, void>> = []
@@ -68,20 +68,20 @@
   settle (_reservation: Reservation, bill?: Bill): void { this.bills.push(bill) }
 }
 
-class Sink implements CallSink {
-  begun = false
+class FakeSink implements CallSink {
+  isStarted = false
   text = ''
   readonly ends: string[] = []
 
   whole ({ status }: AnswerHead, body: Buffer): void {
-    this.begun = true
+    this.isStarted = true
     this.text += body.toString()
     this.ends.push(`whole ${status}`)
   }
 
-  head (): void { this.begun = true }
+  head (): void { this.isStarted = true }
 
-  piece (bytes: Buffer): undefined { this.text += bytes.toString() }
+  chunk (bytes: Buffer): undefined { this.text += bytes.toString() }
 
   end (): void { this.ends.push('end') }
 
@@ -106,7 +106,7 @@
 
 const event = (id: number): string => `id: ${id}\ndata: x\n\n`
 const notRun = new Failure('runnerRefused', 'full', { ran: 'no' })
-const unreached = new Failure('runnerUnreachable', 'no connection', { ran: 'no' })
+const unreachable = new Failure('runnerUnreachable', 'no connection', { ran: 'no' })
 const replaced = new Failure('targetReplaced', 'another process', { ran: 'no' })
 const lost = new Failure('runnerUnreachable', 'reset', { ran: 'unknown' })
 const cutShort = new Failure('answerCut', 'reset', { ran: 'yes' })
@@ -120,7 +120,7 @@
   { name: 'a target that proves that it did not run the request', scripts: [notRun, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 2, billed: 100 },
   { name: 'such proofs from all targets that may be tried', scripts: [notRun, notRun], end: 'runnerRefused no', sends: 2 },
   { name: 'such a proof where only one target may be tried', route: { attempts: 1 }, scripts: [notRun], end: 'runnerRefused no', sends: 1 },
-  { name: 'unreachable targets, which do not count as attempts', route: { attempts: 1 }, scripts: [unreached, unreached, { head: OK, pieces: [] }], end: 'whole 200', sends: 3, billed: 100 },
+  { name: 'unreachable targets, which do not count as attempts', route: { attempts: 1 }, scripts: [unreachable, unreachable, { head: OK, pieces: [] }], end: 'whole 200', sends: 3, billed: 100 },
   { name: 'replaced targets, which do not count as attempts', route: { attempts: 1 }, scripts: [replaced, replaced, { head: OK, pieces: ['a'] }], end: 'whole 200', sends: 3, billed: 100 },
   { name: 'replaced targets only', route: { attempts: 1 }, scripts: [replaced, replaced, replaced, replaced], end: 'targetReplaced no', sends: 4 },
   { name: 'a lost call that must not be repeated', scripts: [lost], end: 'runnerUnreachable unknown', sends: 1 },
@@ -144,8 +144,8 @@
   }
 }
 
-function pipelineOf (client: Client, budgets: Budgets, route: Partial<GatewayRoute>): { readonly pipeline: GatewayPipeline, readonly config: GatewayConfigHolder } {
-  const config = new GatewayConfigHolder(silent)
+function pipelineOf (client: FakeClient, budgets: FakeBudgets, route: Partial<GatewayRoute>): { readonly pipeline: GatewayPipeline, readonly config: GatewayConfigHolder } {
+  const config = new GatewayConfigHolder(silentLog)
   const whole = { name: 'p', host: 'h', prefix: '/p/', services: [{ service: 's', weight: 1 }], repeat: 'never', streamed: false, timeoutMs: 5_000, objectiveMs: 100, attempts: 2, priority: 0, isOpen: true, hasAffinity: false, ...route }
   config.apply(gatewayConfigSchema.parse({ version: 1, routes: [whole], services: { s: { tokensPerEvent: 3 } }, teams: { team: { keyHashes: [], prepaidTokens: 1 } } }))
   const metrics = new MetricsRecorder()
@@ -153,7 +153,7 @@
   const clock = { now: () => ({ mono: performance.now(), wall: 0 }) }
   const random = { next: () => 0, id: () => 'id' }
   const targets = ['a', 'b', 'c', 'd'].map(id => ({ id, service: 's', address: id, domain: 'd', slots: 1, isLeaving: false }))
-  const report = new CallReport(silent, metrics)
+  const report = new CallReport(silentLog, metrics)
   const pipeline = new GatewayPipeline({
     random,
     // Every key belongs to the one team.
@@ -163,14 +163,14 @@
       clock,
       budgets,
       chooser: new GatewayChooser({
-        targets: { available: () => ({ targets, pausesMs: [] }), isEvacuated: () => false, reported: () => {} }, balancer: new TargetBalancer(), clock, random, vm: 'v', vms: () => ['v'], tell: () => {}
+        targets: { available: () => ({ targets, pausesMs: [] }), isEvacuated: () => false, recordReport: () => {} }, balancer: new TargetBalancer(), clock, random, vm: 'v', vms: () => ['v'], notifyPeers: () => {}
       }),
       retries: new GatewayRetries({ ratio: 1, slack: 100, windowMs: 10_000 }, () => 1),
       client,
       metrics,
       report
     }),
-    log: silent,
+    log: silentLog,
     report
   })
   return { pipeline, config }
@@ -179,9 +179,9 @@
 describe('GatewayPipeline', () => {
   for (const test of cases) {
     it(`with ${test.name}: ${test.end}`, async () => {
-      const client = new Client([...test.scripts])
-      const budgets = new Budgets(test.refusal)
-      const sink = new Sink()
+      const client = new FakeClient([...test.scripts])
+      const budgets = new FakeBudgets(test.refusal)
+      const sink = new FakeSink()
       const gone = new AbortController()
       if (test.gone === true) gone.abort()
       await pipelineOf(client, budgets, test.route ?? {}).pipeline.serve({ ...callOf(gone.signal), key: 'k' }, sink)
@@ -194,34 +194,34 @@
   }
 
   it('does not try a target twice', async () => {
-    const client = new Client([lost, lost, lost, lost, lost])
-    await pipelineOf(client, new Budgets(), { repeat: 'always', attempts: 4 }).pipeline.serve(callOf(new AbortController().signal), new Sink())
+    const client = new FakeClient([lost, lost, lost, lost, lost])
+    await pipelineOf(client, new FakeBudgets(), { repeat: 'always', attempts: 4 }).pipeline.serve(callOf(new AbortController().signal), new FakeSink())
     expect(new Set(client.sent.map(({ target }) => target.id)).size).to.equal(4)
   })
 
   it('does not report a call as not run if the allotment closes after a lost attempt', async () => {
-    const client = new Client([lost])
-    const budgets = new Budgets()
-    const sink = new Sink()
+    const client = new FakeClient([lost])
+    const budgets = new FakeBudgets()
+    const sink = new FakeSink()
     budgets.confirmations = [Right(undefined), Left(new Failure('allotmentClosed', 'closed'))]
     await pipelineOf(client, budgets, { repeat: 'always' }).pipeline.serve({ ...callOf(new AbortController().signal), key: 'k' }, sink)
     expect([sink.ends, client.sent.length]).to.deep.equal([['runnerUnreachable unknown'], 1])
   })
 
   it('sends nothing if the allotment closed while the call waited', async () => {
-    const client = new Client([])
-    const budgets = new Budgets()
+    const client = new FakeClient([])
+    const budgets = new FakeBudgets()
     budgets.confirmations = [Left(new Failure('allotmentClosed', 'closed'))]
-    const sink = new Sink()
+    const sink = new FakeSink()
     await pipelineOf(client, budgets, {}).pipeline.serve({ ...callOf(new AbortController().signal), key: 'k' }, sink)
     expect([sink.ends, client.sent.length]).to.deep.equal([['allotmentClosed no'], 0])
   })
 
   it('aborts the run of a caller that disconnects', async () => {
-    const client = new Client([])
-    const sink = new Sink()
+    const client = new FakeClient([])
+    const sink = new FakeSink()
     const gone = new AbortController()
-    const served = pipelineOf(client, new Budgets(), stream).pipeline.serve(callOf(gone.signal), sink)
+    const served = pipelineOf(client, new FakeBudgets(), stream).pipeline.serve(callOf(gone.signal), sink)
     await new Promise(resolve => setTimeout(resolve, 10))
     gone.abort()
     await served
@@ -231,20 +231,20 @@
 
 describe('GatewayConfigHolder', () => {
   const paid = (version: number, prepaidTokens: number): unknown => ({ version, routes: [], services: {}, teams: { t: { keyHashes: [], prepaidTokens } } })
-  const changes: ReadonlyArray<{ readonly name: string, readonly configs: readonly unknown[], readonly version: number, readonly told: readonly (readonly [string, boolean])[] }> = [
-    { name: 'does not notify of the first configuration', configs: [paid(1, 10)], version: 1, told: [] },
-    { name: 'notifies of a higher amount', configs: [paid(1, 10), paid(2, 20)], version: 2, told: [['t', false]] },
-    { name: 'notifies of a lower amount', configs: [paid(1, 10), paid(2, 5)], version: 2, told: [['t', true]] },
-    { name: 'ignores an older version', configs: [paid(2, 10), paid(1, 5)], version: 2, told: [] },
-    { name: 'ignores the same version', configs: [paid(2, 10), paid(2, 5)], version: 2, told: [] }
+  const changes: ReadonlyArray<{ readonly name: string, readonly configs: readonly unknown[], readonly version: number, readonly notified: readonly (readonly [string, boolean])[] }> = [
+    { name: 'does not notify of the first configuration', configs: [paid(1, 10)], version: 1, notified: [] },
+    { name: 'notifies of a higher amount', configs: [paid(1, 10), paid(2, 20)], version: 2, notified: [['t', false]] },
+    { name: 'notifies of a lower amount', configs: [paid(1, 10), paid(2, 5)], version: 2, notified: [['t', true]] },
+    { name: 'ignores an older version', configs: [paid(2, 10), paid(1, 5)], version: 2, notified: [] },
+    { name: 'ignores the same version', configs: [paid(2, 10), paid(2, 5)], version: 2, notified: [] }
   ]
-  for (const { name, configs, version, told } of changes) {
+  for (const { name, configs, version, notified: told } of changes) {
     it(name, () => {
-      const holder = new GatewayConfigHolder(silent)
-      const heard: Array<readonly [string, boolean]> = []
-      holder.onPaidChanged((team, isLowered) => { heard.push([team, isLowered]) })
+      const holder = new GatewayConfigHolder(silentLog)
+      const notifications: Array<readonly [string, boolean]> = []
+      holder.onPaidChanged((team, isLowered) => { notifications.push([team, isLowered]) })
       for (const config of configs) holder.apply(gatewayConfigSchema.parse(config))
-      expect([holder.current()?.config.version, holder.declaredPaid('t')?.version, heard]).to.deep.equal([version, version, told])
+      expect([holder.current()?.config.version, holder.declaredPaid('t')?.version, notifications]).to.deep.equal([version, version, told])
     })
   }
 })
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.ts
@@ -55,7 +55,7 @@
 
   private fail (call: GatewayCall, sink: CallSink, failure: Failure): void {
     this.deps.report.failed(call, failure)
-    if (sink.begun) sink.cut()
+    if (sink.isStarted) sink.cut()
     else sink.refuse(failure)
   }
 }
--- a/packages/rosemaryspread/src/gateway/gatewayRetries.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayRetries.ts
@@ -16,13 +16,13 @@
 }
 
 /** Share of the allowance that is used: a VM may join before all others know of it. */
-const USED_PART = 0.8
+const USED_RATIO = 0.8
 /** Share of the fixed allowance that may be used at once; the rest accrues evenly over the window. */
-const BURST_PART = 0.5
+const BURST_RATIO = 0.5
 /** Another target serves the retry, so there is no need to back off. */
 const DELAY_MS = 1
 /** The route limits the attempts. */
-const NO_BOUND = Number.MAX_SAFE_INTEGER
+const UNLIMITED_ATTEMPTS = Number.MAX_SAFE_INTEGER
 const MS_PER_SECOND = 1_000
 
 export class GatewayRetries implements CallRetries {
@@ -35,32 +35,32 @@
   constructor (private readonly allowance: RetryAllowance, private readonly vms: () => number) {}
 
   /** Counts a first attempt towards the budget of a service. */
-  requested (service: string, now: Instant): void {
+  recordFirstAttempt (service: string, now: Instant): void {
     this.of(service).recordFirstAttempt(now)
   }
 
   /** Consumes one retry from the budget of a service; false if it is exhausted. */
-  take (service: string, now: Instant): boolean {
+  tryAcquire (service: string, now: Instant): boolean {
     const deadline = { mono: Infinity, wall: Infinity }
     return this.of(service).decide({ attempts: 1, repeatable: true, deadline, predictedMs: 0 }, now, () => 0).retry
   }
 
   private of (service: string): RetryBudget {
-    const known = this.budgets.get(service)
-    if (known !== undefined) return known
-    const fresh = new RetryBudget(() => this.policy())
-    this.budgets.set(service, fresh)
-    return fresh
+    const existing = this.budgets.get(service)
+    if (existing !== undefined) return existing
+    const created = new RetryBudget(() => this.policy())
+    this.budgets.set(service, created)
+    return created
   }
 
   private policy (): RetryPolicy {
     const { ratio, slack, windowMs } = this.allowance
-    const part = slack * USED_PART / Math.max(1, this.vms())
+    const slackPerVm = slack * USED_RATIO / Math.max(1, this.vms())
     return {
-      share: ratio * USED_PART,
-      perSecond: part * (1 - BURST_PART) * MS_PER_SECOND / windowMs,
-      burst: Math.max(1, part * BURST_PART),
-      attempts: NO_BOUND,
+      share: ratio * USED_RATIO,
+      perSecond: slackPerVm * (1 - BURST_RATIO) * MS_PER_SECOND / windowMs,
+      burst: Math.max(1, slackPerVm * BURST_RATIO),
+      attempts: UNLIMITED_ATTEMPTS,
       baseMs: DELAY_MS,
       maxMs: DELAY_MS
     }
--- a/packages/rosemaryspread/src/gateway/gatewayTargets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTargets.ts
@@ -6,7 +6,7 @@
 import { isPlausibleWarmUp } from '@rosemaryspread/decisions/gateway/warmUpShare.js'
 import type { TargetProcess, TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import { TargetSet, type AvailableTargets, type TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
-import { FlawLog } from './flawLog.js'
+import { MalformedValueLog } from './flawLog.js'
 import type { TargetDirectory } from './gatewayTypes.js'
 
 export interface TargetsParts {
@@ -22,12 +22,12 @@
 
 export class GatewayTargets implements TargetDirectory {
   private readonly set = new TargetSet()
-  private readonly entryFlaws: FlawLog
-  private readonly answerFlaws: FlawLog
+  private readonly malformedEntries: MalformedValueLog
+  private readonly malformedAnswers: MalformedValueLog
 
   constructor (private readonly parts: TargetsParts) {
-    this.entryFlaws = new FlawLog(parts.log, 'register')
-    this.answerFlaws = new FlawLog(parts.log, 'target')
+    this.malformedEntries = new MalformedValueLog(parts.log, 'register')
+    this.malformedAnswers = new MalformedValueLog(parts.log, 'target')
   }
 
   available (service: string): AvailableTargets {
@@ -57,29 +57,29 @@
    * Replaces all evacuation orders.
    * @param domains - the evacuated failure domains
    */
-  evacuationsRead (domains: ReadonlySet<string>): void {
-    this.noteEvacuations(this.set.replaceEvacuations(domains))
+  replaceEvacuations (domains: ReadonlySet<string>): void {
+    this.logEvacuations(this.set.replaceEvacuations(domains))
   }
 
   /** Sets or lifts one evacuation order. */
-  evacuationChanged (domain: string, isEvacuated: boolean): void {
-    this.noteEvacuations(this.set.setEvacuation(domain, isEvacuated))
+  setEvacuation (domain: string, isEvacuated: boolean): void {
+    this.logEvacuations(this.set.setEvacuation(domain, isEvacuated))
   }
 
   /** Replaces all targets after a full read of the register. */
-  replaced (views: readonly TargetView[]): void {
-    for (const view of views) this.noteState(view)
+  replaceAll (views: readonly TargetView[]): void {
+    for (const view of views) this.updateBalancer(view)
     this.set.replace(views, this.mono)
     this.parts.balancer.forgetUnlisted(id => this.set.has(id))
-    for (const flaws of [this.entryFlaws, this.answerFlaws]) flaws.forget(id => this.set.has(id))
+    for (const malformedLog of [this.malformedEntries, this.malformedAnswers]) malformedLog.forgetUnlisted(id => this.set.has(id))
     this.parts.log.write('targetsRead', { targets: views.length })
   }
 
   /** Adds or updates one target. */
-  changed (view: TargetView): void {
+  put (view: TargetView): void {
     const { id, isLeaving } = view
     if (this.set.isChange(view)) this.parts.log.write('runnerState', { runner: id, state: isLeaving ? 'leaving' : 'active', reason: 'listed in the register' })
-    this.noteState(view)
+    this.updateBalancer(view)
     this.set.put(view)
   }
 
@@ -87,7 +87,7 @@
    * Removes a target whose entry is malformed, also if an earlier entry was valid.
    * @param id - id of the entry
    */
-  unusable (id: string, detail: string): void {
+  handleMalformed (id: string, detail: string): void {
     if (this.set.has(id)) this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its register entry is malformed' })
     this.parts.log.write('platformFault', { service: 'register', operation: 'decode', code: id, detail })
     this.set.discard(id)
@@ -102,15 +102,15 @@
     this.parts.log.write('runnerState', { runner: id, state: 'leaving', reason: 'its register entry was removed' })
   }
 
-  reported (process: TargetProcess, report: TargetReport): void {
+  recordReport (process: TargetProcess, report: TargetReport): void {
     for (const state of this.set.recordReport(process, report, this.parts.clock.now())) {
       this.parts.log.write('runnerState', { runner: process.id, state, reason: 'reported with an answer', ...(state === 'paused' ? { pauseMs: report.pauseMs } : {}) })
     }
-    if (report.flaw !== undefined) this.answerFlaws.note(process.id, `malformed pause '${report.flaw}'`)
+    if (report.flaw !== undefined) this.malformedAnswers.logOnce(process.id, `malformed pause '${report.flaw}'`)
   }
 
   /** Records that a read of the register failed. */
-  unreadable (): void {
+  registerFailed (): void {
     this.set.registerFailed(this.mono)
   }
 
@@ -125,7 +125,7 @@
     return this.set.isPaused(view.id, this.mono) ? 'paused' : 'serving'
   }
 
-  private noteState (view: TargetView): void {
+  private updateBalancer (view: TargetView): void {
     const { balancer, log } = this.parts
     if (this.set.isRestarted(view)) {
       balancer.resetTarget(view.id)
@@ -133,10 +133,10 @@
     }
     const leftMs = view.warmUpMs ?? 0
     if (isPlausibleWarmUp(leftMs)) balancer.updateWarmUp(view.id, leftMs, this.mono)
-    else this.entryFlaws.note(view.id, `implausible warm-up time of ${leftMs} ms; keeping the previous value`)
+    else this.malformedEntries.logOnce(view.id, `implausible warm-up time of ${leftMs} ms; keeping the previous value`)
   }
 
-  private noteEvacuations (changes: readonly EvacuationChange[]): void {
+  private logEvacuations (changes: readonly EvacuationChange[]): void {
     for (const { domain, isEvacuated } of changes) this.parts.log.write('domainEvacuated', { domain, isEvacuated, targets: this.list().filter(target => target.domain === domain).length })
   }
 
--- a/packages/rosemaryspread/src/gateway/gatewayTypes.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTypes.ts
@@ -29,5 +29,5 @@
    * Records the state that a target sent with an answer.
    * @param process - the process that answered
    */
-  reported (process: TargetProcess, report: TargetReport): void
+  recordReport (process: TargetProcess, report: TargetReport): void
 }
--- a/packages/rosemaryspread/src/gateway/gatewayVm.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayVm.ts
@@ -11,11 +11,11 @@
 import { GRANT_METHOD, grantMethod, HANDOVER_METHOD, handoverMethod } from '../budget/budgetGrantCalls.js'
 import { QUARANTINE_METHOD } from '../quarantine/quarantineSync.js'
 import { gatewayIds as ids } from './gatewayIds.js'
-import { bindGateway, type GatewayEdge } from './bindGateway.js'
+import { bindGateway, type GatewayPorts } from './bindGateway.js'
 import { BudgetPreparation } from './budgetPreparation.js'
-import { FrontWatch, loopBusyMs, loopTurns } from './frontWatch.js'
+import { IngressMonitor, loopBusyMs, loopTurns } from './ingressMonitor.js'
 import { PacedTicks } from './pacedTicks.js'
-import { WORK_METHOD, workMethod } from './workNotices.js'
+import { WORK_METHOD, workMethod } from './workNotifications.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
 /** Interval between two ticks of budgets, presence and targets; each wakes the process. */
@@ -23,15 +23,15 @@
 /** Interval while a request waits for tokens, or while this VM is not ready. */
 const URGENT_TICK_MS = 50
 /** Interval between two recovery passes over the allotments of terminated holders. */
-const RECOVERY_MS = 4_000
+const RECOVERY_INTERVAL_MS = 4_000
 /** Delay before the recovery from earlier processes of this VM is retried: the store may be unreachable at startup. */
-const TAKE_OVER_RETRY_MS = 300
+const PREDECESSOR_RETRY_MS = 300
 /** Share of the grace time during which a stopping VM serves callers that do not know of it yet. */
-const LINGER_PART = 0.25
+const LINGER_RATIO = 0.25
 /** Time for the last bytes of answers to leave the process. */
-const FLUSH_MS = 50
+const ANSWER_FLUSH_MS = 50
 /** Share of the grace time after which open requests are abandoned. */
-const FINISH_PART = 0.85
+const FINISH_RATIO = 0.85
 
 export class GatewayVm {
   readonly container = new Container()
@@ -39,16 +39,16 @@
   private readonly timers: NodeJS.Timeout[] = []
   private ticks: PacedTicks | undefined
 
-  constructor (private readonly settings: GatewaySettings, edge: GatewayEdge) {
-    bindGateway(this.container, settings, edge)
+  constructor (private readonly settings: GatewaySettings, ports: GatewayPorts) {
+    bindGateway(this.container, settings, ports)
     this.log = this.container.get(ids.log)
-    this.container.bind(ids.frontWatch).toResolvedValue((clock, log, metrics) =>
-      new FrontWatch({ clock, log, metrics, turns: loopTurns, busyMs: loopBusyMs, isReady: () => this.isReady }), [ids.clock, ids.log, ids.metrics]).inSingletonScope()
+    this.container.bind(ids.ingressMonitor).toResolvedValue((clock, log, metrics) =>
+      new IngressMonitor({ clock, log, metrics, turns: loopTurns, busyMs: loopBusyMs, isReady: () => this.isReady }), [ids.clock, ids.log, ids.metrics]).inSingletonScope()
   }
 
   /** Whether callers may be sent here: configuration and quarantine are loaded and the VM is not draining. */
   get isReady (): boolean {
-    return this.container.get(ids.config).current() !== undefined && this.container.get(ids.quarantineShare).isLoaded && !this.container.get(ids.work).draining
+    return this.container.get(ids.config).current() !== undefined && this.container.get(ids.quarantineSync).isLoaded && !this.container.get(ids.work).draining
   }
 
   get clock (): Clock {
@@ -68,18 +68,18 @@
     metrics.gauge('targets_paused', () => targets.paused)
     metrics.gauge('memory_bytes', () => process.memoryUsage.rss())
     presence.start()
-    this.container.get(ids.quarantineShare).start()
+    this.container.get(ids.quarantineSync).start()
     const preparation = new BudgetPreparation(this.settings.vm, budgets)
-    const frontWatch = this.container.get(ids.frontWatch)
+    const ingressMonitor = this.container.get(ids.ingressMonitor)
     const tick = async (): Promise<void> => {
-      frontWatch.tick()
+      ingressMonitor.tick()
       const prepared = this.container.get(ids.config).current()
       if (prepared !== undefined && this.isReady && presence.isSettled) preparation.tick(prepared.config, this.clock.now().mono)
       budgets.tick()
       targets.tick()
       quarantine.tick()
       if (this.isReady) await presence.publishState('serving')
-      presence.setOverloaded(frontWatch.isPressed)
+      presence.setOverloaded(ingressMonitor.isPressed)
       presence.tick()
       digest.tick()
     }
@@ -90,11 +90,11 @@
       run: () => { this.inBackground(tick()) }
     })
     this.ticks = ticks
-    budgets.onWaiting(() => { ticks.hurry() })
+    budgets.onWaiting(() => { ticks.expedite() })
     ticks.start()
-    this.every(RECOVERY_MS, async () => { await budgets.recoverTerminated() })
+    this.repeatEvery(RECOVERY_INTERVAL_MS, async () => { await budgets.recoverTerminated() })
     this.openLinks()
-    this.inBackground(this.takeOver())
+    this.inBackground(this.recoverPredecessors())
     this.log.write('started', { ...this.settings })
   }
 
@@ -106,18 +106,18 @@
   async drain (stopAccepting: () => void): Promise<void> {
     const work = this.container.get(ids.work)
     const startedAt = this.clock.now().mono
-    const leftMs = (): number => Math.max(0, this.settings.graceMs * FINISH_PART - (this.clock.now().mono - startedAt))
+    const leftMs = (): number => Math.max(0, this.settings.graceMs * FINISH_RATIO - (this.clock.now().mono - startedAt))
     work.draining = true
     this.log.write('draining', { open: work.openCount() })
     this.inBackground(this.container.get(ids.presence).publishState('leaving'))
-    await pause(this.settings.graceMs * LINGER_PART)
+    await pause(this.settings.graceMs * LINGER_RATIO)
     stopAccepting()
     await work.waitUntilIdle(leftMs())
-    await Promise.race([this.handBack(), pause(leftMs())])
+    await Promise.race([this.returnState(), pause(leftMs())])
     // Requests that arrived on open connections meanwhile are finished as well, and their last bytes are sent.
     await work.waitUntilIdle(leftMs())
-    await pause(FLUSH_MS)
-    this.container.get(ids.quarantineShare).stop()
+    await pause(ANSWER_FLUSH_MS)
+    this.container.get(ids.quarantineSync).stop()
     await this.container.get(ids.links).close()
     this.ticks?.stop()
     this.timers.forEach(timer => { clearInterval(timer) })
@@ -128,26 +128,26 @@
     const links = this.container.get(ids.links)
     const budgets = this.container.get(ids.budgets)
     const balancer = this.container.get(ids.balancer)
-    links.serve(GRANT_METHOD, grantMethod(ask => budgets.onGrantRequest(ask)))
+    links.serve(GRANT_METHOD, grantMethod(request => budgets.onGrantRequest(request)))
     links.serve(HANDOVER_METHOD, handoverMethod((budget, tokens) => { budgets.onHandover(budget, tokens) }))
-    links.serve(WORK_METHOD, workMethod(notice => { balancer.recordPeerWork(notice, this.clock.now().mono) }))
-    links.serve(QUARANTINE_METHOD, this.container.get(ids.quarantineShare).method())
+    links.serve(WORK_METHOD, workMethod(notification => { balancer.recordPeerWork(notification, this.clock.now().mono) }))
+    links.serve(QUARANTINE_METHOD, this.container.get(ids.quarantineSync).method())
     this.inBackground(links.open())
   }
 
   /** Retries until the tokens of earlier processes of this VM are recovered; no VM can use them before. */
-  private async takeOver (): Promise<void> {
+  private async recoverPredecessors (): Promise<void> {
     const budgets = this.container.get(ids.budgets)
-    while (!this.container.get(ids.work).draining && !await budgets.recoverPredecessors()) await pause(TAKE_OVER_RETRY_MS)
+    while (!this.container.get(ids.work).draining && !await budgets.recoverPredecessors()) await pause(PREDECESSOR_RETRY_MS)
   }
 
-  private async handBack (): Promise<void> {
+  private async returnState (): Promise<void> {
     await this.container.get(ids.budgets).drain()
     this.container.get(ids.digest).stop()
     await this.container.get(ids.presence).leave()
   }
 
-  private every (ms: number, work: () => Promise<void>): void {
+  private repeatEvery (ms: number, work: () => Promise<void>): void {
     this.timers.push(setInterval(() => { this.inBackground(work()) }, ms))
   }
 
--- a/packages/rosemaryspread/src/gateway/frontWatch.ts
+++ b/packages/rosemaryspread/src/gateway/ingressMonitor.ts
@@ -9,20 +9,20 @@
 import type { Metrics } from '../metrics/metricsTypes.js'
 
 /** Length of a measurement window, and so the minimum interval between two log lines. */
-const SPAN_MS = 1_000
+const WINDOW_MS = 1_000
 /** Interval between two ticks from which the event loop counts as blocked. */
-const HELD_UP_MS = 600
+const BLOCKED_LOOP_MS = 600
 /** Accepted connections per turn from which further ones are assumed to wait. */
-const PRESSED_PART = 0.5
+const BACKLOG_RATIO = 0.5
 /** With fewer accepted connections a window says nothing about a backlog. */
-const LEAST_TAKEN = 20
+const MIN_ACCEPTED = 20
 
 /** Share of busy time of the event loop from which the VM counts as overloaded. */
-const BUSY_PART = 0.9
+const BUSY_RATIO = 0.9
 /** Consecutive windows without overload before the VM advertises capacity again. */
-const CALM_SPANS = 3
+const STABLE_WINDOWS = 3
 
-export interface FrontWatchDeps {
+export interface IngressMonitorDeps {
   readonly clock: Clock
   readonly log: EventLog
   readonly metrics: Metrics
@@ -35,7 +35,7 @@
 }
 
 /** Counters of one measurement window. */
-interface FrontSpan {
+interface IngressWindow {
   readonly startedAt: number
   readonly turnsBefore: number
   readonly busyBeforeMs: number
@@ -56,20 +56,20 @@
   return performance.eventLoopUtilization().active
 }
 
-export class FrontWatch {
+export class IngressMonitor {
   private open = 0
-  private tickedAt: number
-  private span: FrontSpan
-  private last: FrontSpan
-  private calmSpans = CALM_SPANS
-
-  constructor (private readonly deps: FrontWatchDeps) {
-    this.tickedAt = deps.clock.now().mono
-    this.span = this.begin()
-    this.last = this.span
+  private lastTickAt: number
+  private currentWindow: IngressWindow
+  private previousWindow: IngressWindow
+  private stableWindows = STABLE_WINDOWS
+
+  constructor (private readonly deps: IngressMonitorDeps) {
+    this.lastTickAt = deps.clock.now().mono
+    this.currentWindow = this.startWindow()
+    this.previousWindow = this.currentWindow
     deps.metrics.gauge('front_connections_open', () => this.open)
     deps.metrics.gauge('loop_turns', () => deps.turns())
-    deps.metrics.gauge('loop_longest_ms', () => Math.max(this.span.longestMs, this.last.longestMs))
+    deps.metrics.gauge('loop_longest_ms', () => Math.max(this.currentWindow.longestMs, this.previousWindow.longestMs))
   }
 
   /** Open connections of callers. */
@@ -79,59 +79,59 @@
 
   /** Whether callers should prefer other VMs. Clears only after several windows without overload, so that callers do not oscillate between VMs. */
   get isPressed (): boolean {
-    return this.calmSpans < CALM_SPANS
+    return this.stableWindows < STABLE_WINDOWS
   }
 
   /** Counts an accepted connection; returns the function to call when it closes, with whether it carried a request. */
   taken (): (isUsed: boolean) => void {
     this.open += 1
-    this.span.taken += 1
+    this.currentWindow.taken += 1
     this.deps.metrics.count('front_connections_taken')
     return isUsed => {
       this.open -= 1
       if (isUsed) return
-      this.span.unused += 1
+      this.currentWindow.unused += 1
       this.deps.metrics.count('front_connections_unused')
     }
   }
 
   /** Counts a connection that was closed at once, as the limit of open connections is reached. */
   dropped (): void {
-    this.span.dropped += 1
+    this.currentWindow.dropped += 1
     this.deps.metrics.count('front_connections_dropped')
   }
 
   /** Counts a request whose headers were read. */
   requested (): void {
-    this.span.requests += 1
+    this.currentWindow.requests += 1
   }
 
   /** To be called at a steady interval: a longer gap between two calls means that the event loop was blocked. */
   tick (): void {
     const { mono } = this.deps.clock.now()
-    this.span.longestMs = Math.max(this.span.longestMs, mono - this.tickedAt)
-    this.tickedAt = mono
-    if (mono - this.span.startedAt < SPAN_MS) return
+    this.currentWindow.longestMs = Math.max(this.currentWindow.longestMs, mono - this.lastTickAt)
+    this.lastTickAt = mono
+    if (mono - this.currentWindow.startedAt < WINDOW_MS) return
     this.report(mono)
-    this.last = this.span
-    this.span = this.begin()
+    this.previousWindow = this.currentWindow
+    this.currentWindow = this.startWindow()
   }
 
   private report (mono: number): void {
-    const { taken, dropped, unused, requests, longestMs, startedAt, turnsBefore, busyBeforeMs } = this.span
+    const { taken, dropped, unused, requests, longestMs, startedAt, turnsBefore, busyBeforeMs } = this.currentWindow
     const turns = this.deps.turns() - turnsBefore
     const spanMs = Math.round(mono - startedAt)
-    const isCrowded = (taken >= LEAST_TAKEN && taken >= turns * PRESSED_PART) || dropped > 0
-    const isHeldUp = longestMs >= HELD_UP_MS
-    const isBusy = this.deps.busyMs() - busyBeforeMs >= spanMs * BUSY_PART
-    this.calmSpans = isCrowded || isHeldUp || isBusy ? 0 : this.calmSpans + 1
-    if (!isCrowded && !isHeldUp) return
+    const hasBacklog = (taken >= MIN_ACCEPTED && taken >= turns * BACKLOG_RATIO) || dropped > 0
+    const isBlocked = longestMs >= BLOCKED_LOOP_MS
+    const isBusy = this.deps.busyMs() - busyBeforeMs >= spanMs * BUSY_RATIO
+    this.stableWindows = hasBacklog || isBlocked || isBusy ? 0 : this.stableWindows + 1
+    if (!hasBacklog && !isBlocked) return
     this.deps.log.write('frontPressed', {
       spanMs, taken, dropped, unused, requests, turns, longestMs: Math.round(longestMs), open: this.open, isReady: this.deps.isReady()
     })
   }
 
-  private begin (): FrontSpan {
+  private startWindow (): IngressWindow {
     const { deps } = this
     return { startedAt: deps.clock.now().mono, turnsBefore: deps.turns(), busyBeforeMs: deps.busyMs(), taken: 0, dropped: 0, unused: 0, requests: 0, longestMs: 0 }
   }
--- a/packages/rosemaryspread/src/gateway/callOpen.ts
+++ b/packages/rosemaryspread/src/gateway/openCall.ts
@@ -7,13 +7,13 @@
 import type { Reservation } from '../budget/budgetPort.js'
 import { requestDigest } from '../quarantine/requestDigest.js'
 import { EventRelay } from './eventRelay.js'
-import type { AttemptEnd } from './callAttempt.js'
+import type { AttemptOutcome } from './callAttempt.js'
 import type { AdmittedCall, CallSink } from './callTypes.js'
 
-type FailedAnswer = Extract<AttemptEnd, { kind: 'failedAnswer' }>
+type FailedAnswer = Extract<AttemptOutcome, { kind: 'failedAnswer' }>
 
 /** Retry-After of a call that passed its deadline before anything ran. */
-const LATE_RETRY_MS = 100
+const DEADLINE_RETRY_MS = 100
 
 export class OpenCall {
   readonly relay = new EventRelay()
@@ -34,22 +34,22 @@
   /** Targets that received the request. */
   attempts = 0
   /** Targets that accepted no connection, or whose address belongs to another process. */
-  absent = 0
+  absentTargets = 0
   private ran = false
-  private knownDigest: string | undefined
+  private cachedDigest: string | undefined
   private readonly stop = new AbortController()
   private readonly timer: NodeJS.Timeout
 
   constructor (readonly admitted: AdmittedCall, readonly sink: CallSink, private readonly clock: Clock) {
     this.timer = setTimeout(() => { this.timeOut() }, Math.max(0, this.leftMs))
-    admitted.call.gone.addEventListener('abort', this.onGone)
-    if (admitted.call.gone.aborted) this.onGone()
+    admitted.call.gone.addEventListener('abort', this.onCallerDisconnected)
+    if (admitted.call.gone.aborted) this.onCallerDisconnected()
   }
 
   /** Identifies repeats of the same request, see requestDigest; computed on first use. */
   get digest (): string {
-    this.knownDigest ??= requestDigest(this.admitted.call, this.admitted.team)
-    return this.knownDigest
+    this.cachedDigest ??= requestDigest(this.admitted.call, this.admitted.team)
+    return this.cachedDigest
   }
 
   /** Milliseconds until the deadline; negative after it. */
@@ -77,12 +77,12 @@
   }
 
   /** Ends the call early, also where it must run at most once. */
-  breakOff (failure: Failure): void {
+  abort (failure: Failure): void {
     this.stopped ??= failure
     this.stop.abort()
   }
 
-  pay (reservation: Reservation): void {
+  setReservation (reservation: Reservation): void {
     this.reservation = reservation
   }
 
@@ -90,39 +90,39 @@
    * Records an attempt that did not complete the call.
    * @param target - id of the target
    */
-  tried (target: string, end: AttemptEnd): void {
+  recordAttempt (target: string, outcome: AttemptOutcome): void {
     this.excluded.add(target)
-    if (this.wasAbsent(end)) this.absent += 1
+    if (this.wasAbsent(outcome)) this.absentTargets += 1
     else this.attempts += 1
-    if (end.kind !== 'notRun') this.ran = true
+    if (outcome.kind !== 'notRun') this.ran = true
     this.mayHaveRun = this.ran
-    if (end.kind === 'failedAnswer') this.failedAnswer = end
-    if (end.kind === 'notRun' || end.kind === 'broken') this.lastFailure = this.worse(end.failure)
+    if (outcome.kind === 'failedAnswer') this.failedAnswer = outcome
+    if (outcome.kind === 'notRun' || outcome.kind === 'broken') this.lastFailure = this.combineFailures(outcome.failure)
   }
 
   /** Whether the target was absent, so that the outcome says nothing about other targets. */
-  wasAbsent (end: AttemptEnd): boolean {
-    return end.kind === 'notRun' && (end.failure.code === 'runnerUnreachable' || end.failure.code === 'targetReplaced')
+  wasAbsent (outcome: AttemptOutcome): boolean {
+    return outcome.kind === 'notRun' && (outcome.failure.code === 'runnerUnreachable' || outcome.failure.code === 'targetReplaced')
   }
 
   /** Ends the call if its deadline has passed. The timer fires late after a suspension of the VM. */
-  checkTime (): void {
+  checkDeadline (): void {
     if (this.leftMs <= 0) this.timeOut()
   }
 
   /** Releases the timer and the listener of the call. */
   close (): void {
     clearTimeout(this.timer)
-    this.admitted.call.gone.removeEventListener('abort', this.onGone)
+    this.admitted.call.gone.removeEventListener('abort', this.onCallerDisconnected)
   }
 
   /** Once a request may have run, a later failure must not say that nothing ran. */
-  private worse (failure: Failure): Failure {
-    const known = this.lastFailure
-    return known === undefined || known.ran === 'no' ? failure : known
+  private combineFailures (failure: Failure): Failure {
+    const previous = this.lastFailure
+    return previous === undefined || previous.ran === 'no' ? failure : previous
   }
 
-  private readonly onGone = (): void => {
+  private readonly onCallerDisconnected = (): void => {
     const { route } = this.admitted
     this.stopped ??= new Failure('callerGone', 'the caller closed the connection', { ran: 'unknown' })
     // A call that must run at most once continues at its target: aborting it could leave it half done.
@@ -131,7 +131,7 @@
 
   private timeOut (): void {
     const ran = this.mayHaveRun ? 'unknown' : 'no'
-    this.stopped ??= new Failure('deadlineExceeded', 'the deadline of the call has passed', { ran, retryAfterMs: LATE_RETRY_MS })
+    this.stopped ??= new Failure('deadlineExceeded', 'the deadline of the call has passed', { ran, retryAfterMs: DEADLINE_RETRY_MS })
     this.stop.abort()
   }
 }
--- a/packages/rosemaryspread/src/gateway/pacedTicks.spec.ts
+++ b/packages/rosemaryspread/src/gateway/pacedTicks.spec.ts
@@ -11,9 +11,9 @@
 
 const cases: ReadonlyArray<{ readonly name: string, readonly after: (ticks: PacedTicks) => void, readonly count: number }> = [
   { name: 'no second tick before the interval', after: () => {}, count: 1 },
-  { name: 'an early tick for urgent work', after: ticks => { ticks.hurry() }, count: 2 },
-  { name: 'a single early tick for several urgent requests', after: ticks => { for (let i = 0; i < 5; i += 1) ticks.hurry() }, count: 2 },
-  { name: 'no tick after a stop', after: ticks => { ticks.stop(); ticks.hurry() }, count: 1 }
+  { name: 'an early tick for urgent work', after: ticks => { ticks.expedite() }, count: 2 },
+  { name: 'a single early tick for several urgent requests', after: ticks => { for (let i = 0; i < 5; i += 1) ticks.expedite() }, count: 2 },
+  { name: 'no tick after a stop', after: ticks => { ticks.stop(); ticks.expedite() }, count: 1 }
 ]
 
 describe('PacedTicks', () => {
--- a/packages/rosemaryspread/src/gateway/pacedTicks.ts
+++ b/packages/rosemaryspread/src/gateway/pacedTicks.ts
@@ -19,14 +19,14 @@
   constructor (private readonly parts: PacedTicksParts) {}
 
   start (): void {
-    this.plan(this.parts.urgentMs)
+    this.schedule(this.parts.urgentMs)
   }
 
   /** Schedules the next tick as an urgent one, unless it is due earlier. */
-  hurry (): void {
+  expedite (): void {
     if (this.timer === undefined || this.dueAt - this.mono <= this.parts.urgentMs) return
     clearTimeout(this.timer)
-    this.plan(this.parts.urgentMs)
+    this.schedule(this.parts.urgentMs)
   }
 
   stop (): void {
@@ -34,11 +34,11 @@
     this.timer = undefined
   }
 
-  private plan (ms: number): void {
+  private schedule (ms: number): void {
     this.dueAt = this.mono + ms
     this.timer = setTimeout(() => {
       this.parts.run()
-      this.plan(this.parts.paceMs())
+      this.schedule(this.parts.paceMs())
     }, ms)
   }
 
--- a/packages/rosemaryspread/src/gateway/workNotices.spec.ts
+++ b/packages/rosemaryspread/src/gateway/workNotices.spec.ts
@@ -1,19 +1,19 @@
 /** Notifications of large requests must stay within the rate limit, whatever the size of the fleet. */
 import { expect } from 'chai'
-import { WorkNotices, workMethod } from './workNotices.js'
+import { WorkNotifications, workMethod } from './workNotifications.js'
 
-const notice = { target: 't', work: 5_000, parts: 'p' }
+const notification = { target: 't', work: 5_000, parts: 'p' }
 
-function told (vms: number, times: number, everyMs: number): number {
+function messagesSent (vms: number, times: number, everyMs: number): number {
   let mono = 0
   let sent = 0
-  const notices = new WorkNotices({
+  const notifications = new WorkNotifications({
     clock: { now: () => ({ mono, wall: 0 }) },
     peers: () => Array.from({ length: vms - 1 }, (_, i) => ({ holder: `v${i}`, address: `v${i}:1` })),
     notify: () => { sent += 1 }
   })
   for (let i = 0; i < times; i += 1) {
-    notices.tell(notice)
+    notifications.notifyPeers(notification)
     mono += everyMs
   }
   return sent
@@ -30,13 +30,13 @@
 
 describe('WorkNotifications', () => {
   for (const { name, vms, times, everyMs, sent } of cases) {
-    it(`reach ${name}`, () => { expect(told(vms, times, everyMs)).to.equal(sent) })
+    it(`reach ${name}`, () => { expect(messagesSent(vms, times, everyMs)).to.equal(sent) })
   }
 
   it('are rejected if malformed', async () => {
-    let taken = 0
-    const serve = workMethod(() => { taken += 1 })
+    let received = 0
+    const serve = workMethod(() => { received += 1 })
     const failed = await serve({ target: 't', work: -1, parts: 'p' }, 'v').then(() => false, () => true)
-    expect([failed, taken]).to.deep.equal([true, 0])
+    expect([failed, received]).to.deep.equal([true, 0])
   })
 })
--- a/packages/rosemaryspread/src/gateway/workNotices.ts
+++ b/packages/rosemaryspread/src/gateway/workNotifications.ts
@@ -11,39 +11,39 @@
 /** Method name on the links between VMs. */
 export const WORK_METHOD = 'targets.work'
 /** Messages per second of one VM. A fleet of seven needs about forty; a higher limit costs large fleets much processor time. */
-const MOST_PER_S = 60
+const MAX_MESSAGES_PER_S = 60
 const MS_PER_SECOND = 1_000
 
-export interface WorkNoticesParts {
+export interface WorkNotificationsParts {
   readonly clock: Clock
   peers (): readonly PeerVm[]
   notify (address: string, method: string, params: unknown): void
 }
 
-export class WorkNotices {
+export class WorkNotifications {
   /** Messages that may be sent now (token bucket). */
-  private allowance = MOST_PER_S
-  private allowedAt = 0
+  private allowance = MAX_MESSAGES_PER_S
+  private lastRefillAt = 0
 
-  constructor (private readonly parts: WorkNoticesParts) {}
+  constructor (private readonly parts: WorkNotificationsParts) {}
 
   /** Notifies all other VMs of a request, or none if they are too many or the rate limit is reached. */
-  tell (notice: WorkNotification): void {
+  notifyPeers (notification: WorkNotification): void {
     const peers = this.parts.peers()
     this.refill()
     if (peers.length > MAX_NOTIFIED_PEERS || peers.length > this.allowance) return
     this.allowance -= peers.length
-    for (const { address } of peers) this.parts.notify(address, WORK_METHOD, notice)
+    for (const { address } of peers) this.parts.notify(address, WORK_METHOD, notification)
   }
 
   private refill (): void {
     const { mono } = this.parts.clock.now()
-    this.allowance = Math.min(MOST_PER_S, this.allowance + (mono - this.allowedAt) * MOST_PER_S / MS_PER_SECOND)
-    this.allowedAt = mono
+    this.allowance = Math.min(MAX_MESSAGES_PER_S, this.allowance + (mono - this.lastRefillAt) * MAX_MESSAGES_PER_S / MS_PER_SECOND)
+    this.lastRefillAt = mono
   }
 }
 
 /** Link method that receives notifications of other VMs. */
-export function workMethod (told: (notice: WorkNotification) => void): PeerMethod {
-  return async params => { told(workNotificationSchema.parse(params)) }
+export function workMethod (onNotification: (notification: WorkNotification) => void): PeerMethod {
+  return async params => { onNotification(workNotificationSchema.parse(params)) }
 }
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -9,7 +9,7 @@
 import type { QuarantineUpdate, SuspectView, TargetEnd, Verdict } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import { RequestQuarantine } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
 import type { CallGuard } from '../gateway/callTypes.js'
-import type { OpenCall } from '../gateway/callOpen.js'
+import type { OpenCall } from '../gateway/openCall.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 import { AnsweredRequests } from './answeredRequests.js'
 import { AbandonedCalls, type CallIdentity } from './abandonedCalls.js'
@@ -51,7 +51,7 @@
     return { digest: call.digest, domains: this.requests.domainsOf(call.digest) }
   }
 
-  async broke (call: OpenCall, { target }: TargetChoice): Promise<boolean> {
+  async handleBroken (call: OpenCall, { target }: TargetChoice): Promise<boolean> {
     const isEnded = await this.isEnded(target)
     if (isEnded) this.suspect(identityOf(call), target)
     return isEnded
@@ -61,7 +61,7 @@
     this.abandonedCalls.add(identityOf(call), target, this.mono)
   }
 
-  unreached ({ target }: TargetChoice): void {
+  targetAbsent ({ target }: TargetChoice): void {
     if (this.abandonedCalls.has(target)) this.inBackground(this.isEnded(target))
   }
 
@@ -123,7 +123,7 @@
     for (const { digest, ends, level } of verdicts) {
       this.parts.metrics.count('requests_quarantined')
       this.parts.log.write('requestQuarantined', { digest, runners: ends.map(({ target }) => target), level, by })
-      for (const call of this.open) if (call.digest === digest) call.breakOff(refusalFor(call))
+      for (const call of this.open) if (call.digest === digest) call.abort(refusalFor(call))
     }
   }
 
--- a/packages/rosemaryspread/src/routing/routingPoller.ts
+++ b/packages/rosemaryspread/src/routing/routingPoller.ts
@@ -7,7 +7,7 @@
 import type { RouteDecider, RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import type { EngineClient, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
 
-export interface PollerDeps {
+export interface RunnerPollerDeps {
   readonly decider: RouteDecider
   readonly schedule: PollSchedule
   readonly engines: Pick<EngineClient, 'load' | 'cacheEvents'>
@@ -21,7 +21,7 @@
 export class RunnerPoller {
   private readonly nextCacheEvent = new Map<string, number>()
 
-  constructor (private readonly deps: PollerDeps) {}
+  constructor (private readonly deps: RunnerPollerDeps) {}
 
   /** Polls the runners that are due; to be called several times a second. */
   async poll (): Promise<void> {
@@ -29,17 +29,17 @@
     const due = this.deps.schedule.due([...watched.keys()], this.deps.vms(), this.deps.clock.now().mono)
     await Promise.all(due.map(async ({ runner, isUsed }) => {
       const address = watched.get(runner) ?? ''
-      await this.askLoad(runner, address)
-      if (isUsed) await this.askCache(runner, address)
+      await this.pollLoad(runner, address)
+      if (isUsed) await this.pollCacheEvents(runner, address)
     }))
   }
 
-  private async askLoad (runner: string, address: string): Promise<void> {
+  private async pollLoad (runner: string, address: string): Promise<void> {
     const load = await this.deps.engines.load(address)
-    load.ifRight(report => { this.tellLoad(runner, report) })
+    load.ifRight(report => { this.observeLoad(runner, report) })
   }
 
-  private async askCache (runner: string, address: string): Promise<void> {
+  private async pollCacheEvents (runner: string, address: string): Promise<void> {
     const cache = await this.deps.engines.cacheEvents(address, this.nextCacheEvent.get(runner) ?? 0)
     cache.ifRight(({ next, events }) => {
       this.nextCacheEvent.set(runner, next)
@@ -49,7 +49,7 @@
     })
   }
 
-  private tellLoad (runner: string, report: LoadReport): void {
+  private observeLoad (runner: string, report: LoadReport): void {
     const now = this.deps.clock.now()
     const { running, waiting, leaving } = report
     const models = report.models.map(({ model }) => model)
--- a/packages/rosemaryspread/src/routing/routingPort.ts
+++ b/packages/rosemaryspread/src/routing/routingPort.ts
@@ -9,7 +9,7 @@
 export interface RoutedRunner {
   readonly choice: RunnerAddress
   /** For a keyed request: preferred runners that were skipped, where the request must be sealed first. */
-  readonly before: readonly RunnerAddress[]
+  readonly runnersToSeal: readonly RunnerAddress[]
   /** Already counted at the runner; must be ended even if nothing is dispatched. */
   readonly run: DispatchedRun
 }
@@ -18,17 +18,17 @@
 export interface RouteRefusal {
   readonly failure: Failure
   /** For a keyed request: runners that may have run an earlier attempt, in lookup order. */
-  readonly lookIn: readonly RunnerAddress[]
+  readonly lookupRunners: readonly RunnerAddress[]
 }
 
 /** Progress of one dispatched request, as reported by its sender. */
 export interface DispatchedRun {
   /** The stream was opened; `load` is what the engine reported with it. */
-  opened (load: StreamLoad | undefined): void
+  streamOpened (load: StreamLoad | undefined): void
   /** The engine refused the run because it is leaving. */
   leaving (): void
   firstToken (afterMs: number): void
-  ended (ok: boolean, tokens: number): void
+  ended (isSuccessful: boolean, tokens: number): void
 }
 
 export interface RoutingPort {
@@ -36,9 +36,9 @@
    * Chooses a runner and logs the decision. A first attempt waits in the queue; a further attempt is routed or
    * refused at once.
    * @param exclude - runners tried already
-   * @param gone - aborted when the caller disconnects
+   * @param callerGone - aborted when the caller disconnects
    */
-  route (admitted: AdmittedCompletion, exclude: readonly string[], gone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>>
+  route (admitted: AdmittedCompletion, exclude: readonly string[], callerGone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>>
   /**
    * Reports that a request ended, which frees its place in the queue.
    * @param usedTokens - 0 when nothing ran
--- a/packages/rosemaryspread/src/routing/routingQueue.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.spec.ts
@@ -6,16 +6,16 @@
 import { Failure, failureOf } from '@rosemaryspread/decisions/codes/failure.js'
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 import { admittedCompletion } from './admittedCompletion.fixture.js'
-import { RouteQueues, type RouteTry } from './routingQueue.js'
+import { RouteQueues, type RouteAttempt } from './routingQueue.js'
 
-const FREE: RouteTry = { kind: 'routed', routed: { choice: { runner: 'r', address: 'r' }, before: [], run: { opened: () => {}, leaving: () => {}, firstToken: () => {}, ended: () => {} } } }
-const FULL: RouteTry = { kind: 'full', refusal: { failure: new Failure('overloaded', 'full'), lookIn: [] } }
-const NONE: RouteTry = { kind: 'refused', refusal: { failure: new Failure('noRunner', 'none'), lookIn: [] } }
+const FREE: RouteAttempt = { kind: 'routed', routed: { choice: { runner: 'r', address: 'r' }, runnersToSeal: [], run: { streamOpened: () => {}, leaving: () => {}, firstToken: () => {}, ended: () => {} } } }
+const FULL: RouteAttempt = { kind: 'full', refusal: { failure: new Failure('overloaded', 'full'), lookupRunners: [] } }
+const NONE: RouteAttempt = { kind: 'refused', refusal: { failure: new Failure('noRunner', 'none'), lookupRunners: [] } }
 
 /** Queues in front of one model with a scripted runner. */
 class QueueUnderTest {
   now: Instant = { mono: 0, wall: 0 }
-  runner: RouteTry = FREE
+  runner: RouteAttempt = FREE
   readonly ended: string[] = []
   readonly queues = new RouteQueues({
     clock: { now: () => this.now },
@@ -35,7 +35,7 @@
   }
 
   /** Lets pending promises resolve. */
-  async settle (): Promise<void> {
+  async flushPromises (): Promise<void> {
     await new Promise(resolve => setImmediate(resolve))
   }
 }
@@ -113,7 +113,7 @@
     it(name, async () => {
       const test = new QueueUnderTest()
       act(test)
-      await test.settle()
+      await test.flushPromises()
       expect(test.ended).to.have.members(ended)
       expect(test.queues.waiting).to.equal(0)
     })
@@ -123,11 +123,11 @@
     const test = new QueueUnderTest()
     const all = Array.from({ length: 200 }, (_, index) => admittedCompletion(`r${index}`, { maxInFlight: 500 }))
     all.forEach(admitted => { test.ask(admitted) })
-    await test.settle()
+    await test.flushPromises()
     const atOnce = test.ended.length
     expect(test.queues.waiting).to.equal(all.length - atOnce)
     all.slice(0, 50).forEach(admitted => { test.queues.finish(admitted, 20) })
-    await test.settle()
+    await test.flushPromises()
     expect(test.ended).to.have.length(Math.min(all.length, atOnce + 50))
   })
 })
--- a/packages/rosemaryspread/src/routing/routingQueue.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.ts
@@ -14,14 +14,14 @@
 const CONCURRENCY_HEADROOM = 3
 
 /** Outcome of a routing attempt; `full` means that the request should wait. */
-export type RouteTry =
+export type RouteAttempt =
   | { readonly kind: 'routed', readonly routed: RoutedRunner }
   | { readonly kind: 'refused' | 'full', readonly refusal: RouteRefusal }
 
 export interface RouteQueuesParts {
   readonly clock: Clock
   /** Routes a request without waiting. */
-  readonly tryRoute: (admitted: AdmittedCompletion) => RouteTry
+  readonly tryRoute: (admitted: AdmittedCompletion) => RouteAttempt
   /** Predicted milliseconds from start to end of a request. */
   readonly serviceMs: (admitted: AdmittedCompletion) => number
   /** Slots of all runners of a model. */
@@ -32,15 +32,15 @@
 
 type Routed = Either<RouteRefusal, RoutedRunner>
 
-interface Waiting {
+interface WaitingRequest {
   readonly admitted: AdmittedCompletion
   readonly resolve: (routed: Routed) => void
   startedAt: number
 }
 
 export class RouteQueues {
-  private readonly queues = new Map<string, FairQueue<Waiting>>()
-  private readonly started = new Map<string, QueueItem<Waiting>>()
+  private readonly queues = new Map<string, FairQueue<WaitingRequest>>()
+  private readonly started = new Map<string, QueueItem<WaitingRequest>>()
 
   constructor (private readonly parts: RouteQueuesParts) {}
 
@@ -51,25 +51,25 @@
 
   /**
    * Waits until a request is routed or refused.
-   * @param gone - aborted when the caller disconnects
+   * @param callerGone - aborted when the caller disconnects
    */
-  async route (admitted: AdmittedCompletion, gone: AbortSignal): Promise<Routed> {
-    const queue = this.queueOf(admitted.model)
+  async route (admitted: AdmittedCompletion, callerGone: AbortSignal): Promise<Routed> {
+    const queue = this.queueFor(admitted.model)
     return await new Promise(resolve => {
-      const item = this.itemOf(admitted, resolve)
+      const item = this.createItem(admitted, resolve)
       const offered = queue.offer(item, this.parts.clock.now())
       if (offered.isLeft()) {
-        resolve(Left(refusalOf(admitted, offered.extract())))
+        resolve(Left(refusalFor(admitted, offered.extract())))
         return
       }
-      gone.addEventListener('abort', () => { this.withdraw(queue, item) }, { once: true })
-      this.startWaiting(admitted.model)
+      callerGone.addEventListener('abort', () => { this.withdraw(queue, item) }, { once: true })
+      this.dispatchWaiting(admitted.model)
     })
   }
 
   /** Expires and routes waiting requests; to be called several times a second. */
   tick (): void {
-    for (const model of this.queues.keys()) this.startWaiting(model)
+    for (const model of this.queues.keys()) this.dispatchWaiting(model)
   }
 
   /**
@@ -80,57 +80,57 @@
     const item = this.started.get(admitted.requestId)
     if (item?.value.admitted !== admitted) return
     this.started.delete(admitted.requestId)
-    const queue = this.queueOf(admitted.model)
+    const queue = this.queueFor(admitted.model)
     if (usedTokens === 0) queue.abandoned(item)
     else queue.done(item, usedTokens, this.parts.clock.now().mono - item.value.startedAt)
-    this.startWaiting(admitted.model)
+    this.dispatchWaiting(admitted.model)
   }
 
-  private startWaiting (model: string): void {
-    const queue = this.queueOf(model)
+  private dispatchWaiting (model: string): void {
+    const queue = this.queueFor(model)
     const now = this.parts.clock.now()
     for (const { item, failure } of queue.expire(now)) {
-      item.value.resolve(Left(refusalOf(item.value.admitted, failure)))
+      item.value.resolve(Left(refusalFor(item.value.admitted, failure)))
     }
     for (let item = queue.pop(); item !== undefined; item = queue.pop()) {
-      const tried = this.parts.tryRoute(item.value.admitted)
-      if (tried.kind === 'full') {
+      const attempt = this.parts.tryRoute(item.value.admitted)
+      if (attempt.kind === 'full') {
         queue.putBack(item)
         return
       }
-      this.conclude(queue, item, tried)
+      this.conclude(queue, item, attempt)
     }
   }
 
-  private conclude (queue: FairQueue<Waiting>, item: QueueItem<Waiting>, tried: RouteTry): void {
-    if (tried.kind !== 'routed') {
+  private conclude (queue: FairQueue<WaitingRequest>, item: QueueItem<WaitingRequest>, attempt: RouteAttempt): void {
+    if (attempt.kind !== 'routed') {
       queue.abandoned(item)
-      item.value.resolve(Left(tried.refusal))
+      item.value.resolve(Left(attempt.refusal))
       return
     }
     item.value.startedAt = this.parts.clock.now().mono
     this.started.set(item.id, item)
-    item.value.resolve(Right(tried.routed))
+    item.value.resolve(Right(attempt.routed))
   }
 
-  private withdraw (queue: FairQueue<Waiting>, item: QueueItem<Waiting>): void {
+  private withdraw (queue: FairQueue<WaitingRequest>, item: QueueItem<WaitingRequest>): void {
     if (!queue.remove(item.id)) return
-    item.value.resolve(Left(refusalOf(item.value.admitted, new Failure('callerGone', 'the caller closed the connection while the request was queued'))))
+    item.value.resolve(Left(refusalFor(item.value.admitted, new Failure('callerGone', 'the caller closed the connection while the request was queued'))))
   }
 
-  private queueOf (model: string): FairQueue<Waiting> {
+  private queueFor (model: string): FairQueue<WaitingRequest> {
     const concurrency = Math.ceil(this.parts.slotsOf(model) * CONCURRENCY_HEADROOM / Math.max(1, this.parts.vms()))
-    const known = this.queues.get(model)
-    if (known !== undefined) {
-      known.setConcurrency(concurrency)
-      return known
+    const existing = this.queues.get(model)
+    if (existing !== undefined) {
+      existing.setConcurrency(concurrency)
+      return existing
     }
-    const queue = new FairQueue<Waiting>(Math.max(1, concurrency))
+    const queue = new FairQueue<WaitingRequest>(Math.max(1, concurrency))
     this.queues.set(model, queue)
     return queue
   }
 
-  private itemOf (admitted: AdmittedCompletion, resolve: Waiting['resolve']): QueueItem<Waiting> {
+  private createItem (admitted: AdmittedCompletion, resolve: WaitingRequest['resolve']): QueueItem<WaitingRequest> {
     const { requestId, team, teamConfig, promptTokens, maxTokens, deadline } = admitted
     return {
       id: requestId,
@@ -147,7 +147,7 @@
 }
 
 /** A queued request was not run, but an earlier attempt of a keyed one may have been. */
-function refusalOf (admitted: AdmittedCompletion, { code, message, retryAfterMs }: Failure): RouteRefusal {
+function refusalFor (admitted: AdmittedCompletion, { code, message, retryAfterMs }: Failure): RouteRefusal {
   const ran = admitted.keyed ? 'unknown' : 'no'
-  return { failure: new Failure(code, message, { ran, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) }), lookIn: [] }
+  return { failure: new Failure(code, message, { ran, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) }), lookupRunners: [] }
 }
--- a/packages/rosemaryspread/src/routing/routingService.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingService.spec.ts
@@ -14,8 +14,8 @@
 const now = { mono: 0, wall: 0 }
 
 describe('RoutingService', () => {
-  for (const isTold of [false, true]) {
-    it(`${isTold ? 'avoids' : 'uses'} a runner that ${isTold ? 'reported' : 'did not report'} that it is leaving`, async () => {
+  for (const isReported of [false, true]) {
+    it(`${isReported ? 'avoids' : 'uses'} a runner that ${isReported ? 'reported' : 'did not report'} that it is leaving`, async () => {
       let draw = 0
       const routing = new RoutingService({
         decider: new RunnerRouter('v', 'd'),
@@ -31,18 +31,18 @@
       for (let i = 0; i < 12; i += 1) {
         const { run, choice } = (await routing.route(admittedCompletion(`q${i}`), [], new AbortController().signal)).unsafeCoerce()
         used.add(choice.runner)
-        if (isTold && choice.runner === 'r1') run.leaving()
+        if (isReported && choice.runner === 'r1') run.leaving()
         run.ended(true, 0)
       }
-      const standing = routing.states().find(({ runner }) => runner === 'r1')?.state
-      expect(standing).to.equal(isTold ? 'leaving' : 'active')
+      const state = routing.states().find(({ runner }) => runner === 'r1')?.state
+      expect(state).to.equal(isReported ? 'leaving' : 'active')
       used.clear()
       for (let i = 0; i < 12; i += 1) {
         const { run, choice } = (await routing.route(admittedCompletion(`p${i}`), [], new AbortController().signal)).unsafeCoerce()
         used.add(choice.runner)
         run.ended(true, 0)
       }
-      expect([...used].sort()).to.deep.equal(isTold ? ['r2'] : ['r1', 'r2'])
+      expect([...used].sort()).to.deep.equal(isReported ? ['r2'] : ['r1', 'r2'])
     })
   }
 })
--- a/packages/rosemaryspread/src/routing/routingService.ts
+++ b/packages/rosemaryspread/src/routing/routingService.ts
@@ -10,7 +10,7 @@
 import type { StreamLoad } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 import type { RandomSource } from '../completion/completionPorts.js'
-import { RouteQueues, type RouteTry } from './routingQueue.js'
+import { RouteQueues, type RouteAttempt } from './routingQueue.js'
 import { prefixHashes } from './routingPrefix.js'
 import type { DispatchedRun, RoutedRunner, RouteRefusal, RoutingPort } from './routingPort.js'
 import { RunnerStateLog } from './runnerStateLog.js'
@@ -50,15 +50,15 @@
     this.slots = new Map([...byModel].map(([model, runners]) => [model, runners.reduce((sum, { slots }) => sum + slots, 0)]))
   }
 
-  async route (admitted: AdmittedCompletion, exclude: readonly string[], gone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>> {
+  async route (admitted: AdmittedCompletion, exclude: readonly string[], callerGone: AbortSignal): Promise<Either<RouteRefusal, RoutedRunner>> {
     if (exclude.length === 0) {
       this.deps.retries.recordFirstAttempt(this.deps.clock.now())
-      return await this.queues.route(admitted, gone)
+      return await this.queues.route(admitted, callerGone)
     }
-    const tried = this.tryRoute(admitted, exclude)
-    if (tried.kind === 'routed') return Right(tried.routed)
-    if (tried.kind === 'full') this.logRefusal(admitted, tried.refusal)
-    return Left(tried.refusal)
+    const attempt = this.tryRoute(admitted, exclude)
+    if (attempt.kind === 'routed') return Right(attempt.routed)
+    if (attempt.kind === 'full') this.logRefusal(admitted, attempt.refusal)
+    return Left(attempt.refusal)
   }
 
   finish (admitted: AdmittedCompletion, usedTokens: number): void {
@@ -72,18 +72,18 @@
   }
 
   /** Routes without waiting. A refusal for lack of capacity is not logged, as the request may wait. */
-  private tryRoute (admitted: AdmittedCompletion, exclude: readonly string[]): RouteTry {
+  private tryRoute (admitted: AdmittedCompletion, exclude: readonly string[]): RouteAttempt {
     const decision = this.decide(admitted, exclude)
     if (decision.kind === 'refused') {
-      const refusal = { failure: decision.failure, lookIn: decision.lookupRunners ?? [] }
+      const refusal = { failure: decision.failure, lookupRunners: decision.lookupRunners ?? [] }
       if (decision.failure.code === 'overloaded') return { kind: 'full', refusal }
       this.logRefusal(admitted, refusal)
       return { kind: 'refused', refusal }
     }
     const { choice, candidates, reason } = decision
     this.deps.log.write('routed', { request: admitted.requestId, model: admitted.model, candidates, choice: choice.runner, reason })
-    const before = decision.runnersToSeal.filter(({ runner }) => !exclude.includes(runner))
-    return { kind: 'routed', routed: { choice, before, run: this.dispatched(choice.runner, admitted) } }
+    const runnersToSeal = decision.runnersToSeal.filter(({ runner }) => !exclude.includes(runner))
+    return { kind: 'routed', routed: { choice, runnersToSeal, run: this.recordDispatch(choice.runner, admitted) } }
   }
 
   private decide (admitted: AdmittedCompletion, exclude: readonly string[]): RouteDecision {
@@ -106,14 +106,14 @@
     this.deps.log.write('routeRefused', { request: admitted.requestId, model: admitted.model, code, reason: message, retryAfterMs })
   }
 
-  private dispatched (runner: string, admitted: AdmittedCompletion): DispatchedRun {
+  private recordDispatch (runner: string, admitted: AdmittedCompletion): DispatchedRun {
     const { requestId } = admitted
     const startedAt = this.deps.clock.now()
     this.deps.polls.markUsed(runner)
     const tokens = admitted.promptTokens + admitted.maxTokens
     this.deps.decider.observe({ kind: 'dispatched', runner, requestId, tokens }, startedAt)
     return {
-      opened: load => { this.tellLoad(runner, load) },
+      streamOpened: load => { this.observeLoad(runner, load) },
       leaving: () => {
         this.deps.decider.observe({ kind: 'leaving', runner, source: 'runner' }, this.deps.clock.now())
       },
@@ -135,7 +135,7 @@
   }
 
   /** Load that an engine reports with an answer saves a poll. */
-  private tellLoad (runner: string, load: StreamLoad | undefined): void {
+  private observeLoad (runner: string, load: StreamLoad | undefined): void {
     if (load === undefined) return
     this.deps.decider.observe({ kind: 'loadReported', runner, ...load, reportAgeMs: 0, leaving: false }, this.deps.clock.now())
   }
--- a/packages/rosemaryspread/src/routing/runnerStateLog.ts
+++ b/packages/rosemaryspread/src/routing/runnerStateLog.ts
@@ -9,12 +9,12 @@
 
   /**
    * Logs the changes since the previous call; a new runner counts as active before.
-   * @param standings - all runners
+   * @param statuses - all runners
    */
-  check (standings: readonly RunnerStatus[]): void {
-    for (const { runner, state, reason } of standings) {
+  check (statuses: readonly RunnerStatus[]): void {
+    for (const { runner, state, reason } of statuses) {
       if (state !== (this.logged.get(runner) ?? 'active')) this.log.write('runnerState', { runner, state, reason })
     }
-    this.logged = new Map(standings.map(({ runner, state }) => [runner, state]))
+    this.logged = new Map(statuses.map(({ runner, state }) => [runner, state]))
   }
 }
--- a/packages/rosemaryspread/src/service/serviceCalls.ts
+++ b/packages/rosemaryspread/src/service/serviceCalls.ts
@@ -16,12 +16,12 @@
 import type { AdmittedCall } from '../gateway/callTypes.js'
 import type { Metrics } from '../metrics/metricsTypes.js'
 import type { BackgroundWrites } from './serviceBackground.js'
-import type { ClaimRow, ClaimStore, HeldClaim } from './serviceClaim.js'
-import { AnswerKeeper, ApplicationTargets, ServiceChooser, unboundedRetries } from './serviceDispatch.js'
+import type { ClaimRow, ClaimStore, AcquiredClaim } from './serviceClaim.js'
+import { AnswerCollector, ApplicationTargets, ServiceChooser, unboundedRetries } from './serviceDispatch.js'
 import { isRepeatable, ServiceLoad } from './serviceRoute.js'
 
 /** A claim older than this before dispatch is abandoned: its holder was suspended meanwhile. */
-const CLAIM_FRESH_MS = 5_000
+const MAX_CLAIM_AGE_MS = 5_000
 /** Retry-After while an earlier attempt is in progress. */
 const IN_PROGRESS_RETRY_MS = 1_000
 /** Retry-After while the VM drains or has no configuration. */
@@ -63,7 +63,7 @@
       const answer = checked.isLeft()
         ? Left(checked.extract())
         : await this.serve(checked.unsafeCoerce())
-      const requestId = checked.map(known => known.requestId).orDefault(call.requestId ?? '-')
+      const requestId = checked.map(checkedCall => checkedCall.requestId).orDefault(call.requestId ?? '-')
       return answer.ifLeft(failure => { this.refused(requestId, call.caller.team, failure) })
     } finally {
       close()
@@ -102,10 +102,10 @@
   }
 
   private async serve (checked: CheckedCall): Promise<Either<Failure, ServiceAnswer>> {
-    return checked.repeatable ? await this.dispatch(checked) : await this.serveOnce(checked)
+    return checked.repeatable ? await this.dispatch(checked) : await this.serveClaimed(checked)
   }
 
-  private async serveOnce (checked: CheckedCall): Promise<Either<Failure, ServiceAnswer>> {
+  private async serveClaimed (checked: CheckedCall): Promise<Either<Failure, ServiceAnswer>> {
     const { call, requestId } = checked
     const row: ClaimRow = {
       requestId,
@@ -120,19 +120,19 @@
     const claimed = await this.deps.claims.claim(row)
     if (claimed.isLeft()) return this.claimFailed(row, claimed.extract())
     const outcome = claimed.unsafeCoerce()
-    if (outcome.kind === 'found') return repeatOf(outcome.row)
+    if (outcome.kind === 'found') return answerRepeat(outcome.row)
     this.deps.log.write('callClaimed', { request: requestId, service: call.service })
     return await this.dispatchClaimed(checked, outcome.claim, sentAt)
   }
 
   /** A claim whose write may have taken effect is abandoned in the background, so that a repeat can run. */
   private claimFailed (row: ClaimRow, failure: Failure): Either<Failure, ServiceAnswer> {
-    if (failure.code === 'notClaimed') this.deps.background.abandonIfOurs(row)
+    if (failure.code === 'notClaimed') this.deps.background.abandonIfWritten(row)
     return Left(failure)
   }
 
-  private async dispatchClaimed (checked: CheckedCall, claim: HeldClaim, sentAt: Instant): Promise<Either<Failure, ServiceAnswer>> {
-    if (elapsedMs(sentAt, this.deps.clock.now()) > CLAIM_FRESH_MS) {
+  private async dispatchClaimed (checked: CheckedCall, claim: AcquiredClaim, sentAt: Instant): Promise<Either<Failure, ServiceAnswer>> {
+    if (elapsedMs(sentAt, this.deps.clock.now()) > MAX_CLAIM_AGE_MS) {
       this.deps.background.abandon(claim)
       return Left(new Failure('notClaimed', 'the claim took too long and was abandoned', { retryAfterMs: IN_PROGRESS_RETRY_MS }))
     }
@@ -147,7 +147,7 @@
   private async dispatch (checked: CheckedCall): Promise<Either<Failure, ServiceAnswer>> {
     const { requestId, startedAt } = checked
     const { clock, metrics, log, runners, domain } = this.deps
-    const keeper = new AnswerKeeper()
+    const collector = new AnswerCollector()
     const dispatch = new CallDispatch({
       clock,
       chooser: new ServiceChooser(checked.service, domain, this.load, clock),
@@ -156,9 +156,9 @@
       metrics,
       report: new CallReport(log, metrics)
     })
-    const served = await dispatch.serve(admittedOf(checked), keeper)
+    const served = await dispatch.serve(admittedOf(checked), collector)
     metrics.record('service_call_ms', elapsedMs(startedAt, clock.now()))
-    return served.map(() => ({ ...keeper.answer as ApplicationAnswer, requestId, repeated: false }))
+    return served.map(() => ({ ...collector.answer as ApplicationAnswer, requestId, repeated: false }))
   }
 
   private refused (request: string, team: string, failure: Failure): void {
@@ -176,12 +176,12 @@
 /** Converts the call for dispatch: it continues when the caller disconnects, and tokens are not counted. */
 function admittedOf ({ call, service, requestId, startedAt, timeoutMs, repeatable }: CheckedCall): AdmittedCall {
   const { method, path, body, contentType, caller } = call
-  const rule = { name: call.service, repeat: repeatable ? 'always' : 'never', streamed: false, objectiveMs: timeoutMs, attempts: Object.keys(service.runners).length, repeatsFailures: false } as const
+  const policy = { name: call.service, repeat: repeatable ? 'always' : 'never', streamed: false, objectiveMs: timeoutMs, attempts: Object.keys(service.runners).length, retriesFailures: false } as const
   return {
     call: {
       requestId, method, path, headers: contentType === undefined ? [] : [['content-type', contentType]], body, promptTokens: 0, maxTokens: 0, receivedAt: startedAt, gone: new AbortController().signal
     },
-    route: rule,
+    route: policy,
     service: call.service,
     team: caller.team,
     isPrepaid: false,
@@ -194,7 +194,7 @@
 }
 
 /** Answer to a repeat of a call that another attempt claimed. */
-function repeatOf (row: ClaimRow): Either<Failure, ServiceAnswer> {
+function answerRepeat (row: ClaimRow): Either<Failure, ServiceAnswer> {
   if (row.state === 'done' && row.answer !== undefined) {
     const { status, contentType, body } = row.answer
     return Right({ status, contentType, body: Buffer.from(body, 'base64'), requestId: row.requestId, repeated: true })
--- a/packages/rosemaryspread/src/service/serviceClaim.ts
+++ b/packages/rosemaryspread/src/service/serviceClaim.ts
@@ -9,7 +9,7 @@
 
 const CLAIMS_TABLE = 'claims'
 /** Largest answer that is stored for repeats. */
-const MAX_KEPT_ANSWER_BYTES = 65_536
+const MAX_STORED_ANSWER_BYTES = 65_536
 /** Retry-After while the table is unreachable. */
 const TABLE_RETRY_MS = 2_000
 
@@ -29,13 +29,13 @@
 export type ClaimRow = z.infer<typeof claimRowSchema>
 
 /** A claim of this process, with the version of its row. */
-export interface HeldClaim {
+export interface AcquiredClaim {
   readonly row: ClaimRow
   readonly version: number
 }
 
 export type ClaimOutcome =
-  | { readonly kind: 'held', readonly claim: HeldClaim }
+  | { readonly kind: 'held', readonly claim: AcquiredClaim }
   | { readonly kind: 'found', readonly row: ClaimRow }
 
 /** Claims in the table service. */
@@ -44,52 +44,52 @@
 
   /**
    * Claims a request unless it is claimed already.
-   * @param wanted - the row to insert
+   * @param newRow - the row to insert
    */
-  async claim (wanted: ClaimRow): Promise<Either<Failure, ClaimOutcome>> {
-    const first = await this.write(wanted, null)
-    if (failureOf(first)?.code !== 'platformConflict') return first.map(version => held(wanted, version))
-    const found = await this.read(wanted.requestId)
+  async claim (newRow: ClaimRow): Promise<Either<Failure, ClaimOutcome>> {
+    const first = await this.write(newRow, null)
+    if (failureOf(first)?.code !== 'platformConflict') return first.map(version => acquired(newRow, version))
+    const found = await this.read(newRow.requestId)
     if (found.isLeft()) return Left(notClaimed('the claim could not be read'))
     const row = found.unsafeCoerce()
     if (row === undefined) return Left(notClaimed('the claim changed while it was read'))
-    return await this.takeOver(wanted, row)
+    return await this.claimExisting(newRow, row)
   }
 
   /**
    * Finds a claim that this process may have written.
    * @param row - the row as sent
    */
-  async find (row: ClaimRow): Promise<Either<Failure, HeldClaim | undefined>> {
+  async find (row: ClaimRow): Promise<Either<Failure, AcquiredClaim | undefined>> {
     const found = await this.read(row.requestId)
     return found.map(stored => {
       const parsed = claimRowSchema.safeParse(stored?.value)
-      const ours = parsed.success && parsed.data.nonce === row.nonce && parsed.data.state === 'claimed'
-      return ours && stored !== undefined ? { row, version: stored.version } : undefined
+      const isOurs = parsed.success && parsed.data.nonce === row.nonce && parsed.data.state === 'claimed'
+      return isOurs && stored !== undefined ? { row, version: stored.version } : undefined
     })
   }
 
   /** Marks a claim as certainly not dispatched. */
-  async abandon (claim: HeldClaim): Promise<Either<Failure, number>> {
+  async abandon (claim: AcquiredClaim): Promise<Either<Failure, number>> {
     return await this.write({ ...claim.row, state: 'abandoned' }, claim.version)
   }
 
   /** Stores the answer of a claim for repeats; a body over the limit is not stored. */
-  async finish (claim: HeldClaim, answer: { status: number, contentType: string, body: Buffer }): Promise<Either<Failure, number>> {
-    const kept = answer.body.byteLength <= MAX_KEPT_ANSWER_BYTES
+  async finish (claim: AcquiredClaim, answer: { status: number, contentType: string, body: Buffer }): Promise<Either<Failure, number>> {
+    const storedAnswer = answer.body.byteLength <= MAX_STORED_ANSWER_BYTES
       ? { answer: { ...answer, body: answer.body.toString('base64') } }
       : {}
-    return await this.write({ ...claim.row, state: 'done', ...kept }, claim.version)
+    return await this.write({ ...claim.row, state: 'done', ...storedAnswer }, claim.version)
   }
 
-  private async takeOver (wanted: ClaimRow, row: Row): Promise<Either<Failure, ClaimOutcome>> {
+  private async claimExisting (newRow: ClaimRow, row: Row): Promise<Either<Failure, ClaimOutcome>> {
     const parsed = claimRowSchema.safeParse(row.value)
     if (!parsed.success) return Left(notClaimed('the claim row is malformed'))
-    if (parsed.data.digest !== wanted.digest) return Left(new Failure('keyReused', 'the Idempotency-Key was used with another body'))
-    if (parsed.data.nonce === wanted.nonce) return Right(held(wanted, row.version))
+    if (parsed.data.digest !== newRow.digest) return Left(new Failure('keyReused', 'the Idempotency-Key was used with another body'))
+    if (parsed.data.nonce === newRow.nonce) return Right(acquired(newRow, row.version))
     if (parsed.data.state !== 'abandoned') return Right({ kind: 'found', row: parsed.data })
-    const again = await this.write(wanted, row.version)
-    return again.map(version => held(wanted, version)).mapLeft(() => notClaimed('another attempt claimed the request'))
+    const rewritten = await this.write(newRow, row.version)
+    return rewritten.map(version => acquired(newRow, version)).mapLeft(() => notClaimed('another attempt claimed the request'))
   }
 
   /** Writes the row. An unknown outcome is resolved by reading it back, and is reported as `notClaimed` if that fails too. */
@@ -109,8 +109,8 @@
       .mapLeft(() => notClaimed('the outcome of the claim is unknown'))
       .chain(stored => {
         const parsed = claimRowSchema.safeParse(stored?.value)
-        const ours = parsed.success && parsed.data.nonce === row.nonce && parsed.data.state === row.state
-        if (ours && stored !== undefined) return Right(stored.version)
+        const isOurs = parsed.success && parsed.data.nonce === row.nonce && parsed.data.state === row.state
+        if (isOurs && stored !== undefined) return Right(stored.version)
         return Left(stored === undefined ? notClaimed('the claim was not written') : new Failure('platformConflict', 'another attempt claimed the request'))
       })
   }
@@ -121,7 +121,7 @@
   }
 }
 
-function held (row: ClaimRow, version: number): ClaimOutcome {
+function acquired (row: ClaimRow, version: number): ClaimOutcome {
   return { kind: 'held', claim: { row, version } }
 }
 
--- a/packages/rosemaryspread/src/service/serviceDispatch.ts
+++ b/packages/rosemaryspread/src/service/serviceDispatch.ts
@@ -37,9 +37,9 @@
     return 0
   }
 
-  begun (): void {}
+  endPrefill (): void {}
 
-  reported ({ target }: TargetChoice, { pauseMs }: TargetReport): void {
+  recordReport ({ target }: TargetChoice, { pauseMs }: TargetReport): void {
     if (pauseMs !== undefined) this.load.pause(target.id, this.clock.now().mono + Math.min(pauseMs, MAX_PAUSE_MS))
   }
 
@@ -51,8 +51,8 @@
 
 /** A service call may be tried at each runner in turn. */
 export const unboundedRetries: CallRetries = {
-  requested: () => {},
-  take: () => true
+  recordFirstAttempt: () => {},
+  tryAcquire: () => true
 }
 
 /** Application runners as targets. A call is never aborted: it runs to its end or its time limit. */
@@ -84,10 +84,10 @@
 }
 
 /** Stores the answer of a call for the service API. */
-export class AnswerKeeper implements CallSink {
+export class AnswerCollector implements CallSink {
   answer: ApplicationAnswer | undefined
 
-  get begun (): boolean {
+  get isStarted (): boolean {
     return this.answer !== undefined
   }
 
@@ -96,7 +96,7 @@
   }
 
   head (): void {}
-  piece (): undefined {}
+  chunk (): undefined {}
   end (): void {}
   cut (): void {}
   refuse (): void {}
--- a/packages/rosemaryspread/src/service/serviceRoute.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.ts
@@ -8,9 +8,9 @@
 import type { ServiceConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 
 /** Retry-After when every runner is full. */
-const FULL_RETRY_MS = 500
+const ALL_FULL_RETRY_MS = 500
 /** Retry-After when no runner is declared or left to try. */
-const NONE_RETRY_MS = 5_000
+const NO_RUNNER_RETRY_MS = 5_000
 
 /** An application runner chosen for a call. */
 export interface ServiceChoice {
@@ -83,17 +83,17 @@
 export function chooseServiceRunner (service: ServiceConfig, domain: string, load: ServiceLoad, exclude: readonly string[], mono: number): Either<Failure, ServiceChoice> {
   const active = Object.entries(service.runners)
     .filter(([runner, { state }]) => state === 'active' && !exclude.includes(runner))
-  if (active.length === 0) return Left(new Failure('noRunner', 'no application runner is left to try', { retryAfterMs: NONE_RETRY_MS }))
-  const backMs = Math.min(...active.map(([runner]) => load.pauseMs(runner, mono)))
-  if (backMs > 0) return Left(new Failure('targetsPaused', 'every application runner has paused this VM', { retryAfterMs: backMs }))
+  if (active.length === 0) return Left(new Failure('noRunner', 'no application runner is left to try', { retryAfterMs: NO_RUNNER_RETRY_MS }))
+  const pauseMs = Math.min(...active.map(([runner]) => load.pauseMs(runner, mono)))
+  if (pauseMs > 0) return Left(new Failure('targetsPaused', 'every application runner has paused this VM', { retryAfterMs: pauseMs }))
   const free = active.filter(([runner]) => load.pauseMs(runner, mono) === 0).filter(([runner, { maxInFlight }]) => load.of(runner) < maxInFlight)
-  if (free.length === 0) return Left(new Failure('overloaded', 'every application runner is full', { retryAfterMs: FULL_RETRY_MS }))
-  const distance = (other: string): number => other === domain ? 0 : 1
+  if (free.length === 0) return Left(new Failure('overloaded', 'every application runner is full', { retryAfterMs: ALL_FULL_RETRY_MS }))
+  const domainRank = (other: string): number => other === domain ? 0 : 1
   const usable = free.filter(([runner]) => load.isUsable(runner, mono))
-  const [best] = (usable.length > 0 ? usable : free).sort(([a, left], [b, right]) =>
-    load.of(a) - load.of(b) || distance(left.domain) - distance(right.domain) || a.localeCompare(b))
-  const [runner, { address, domain: itsDomain }] = best as NonNullable<typeof best>
-  return Right({ runner, address, domain: itsDomain, candidates: (usable.length > 0 ? usable : free).map(([name]) => name) })
+  const [chosen] = (usable.length > 0 ? usable : free).sort(([a, left], [b, right]) =>
+    load.of(a) - load.of(b) || domainRank(left.domain) - domainRank(right.domain) || a.localeCompare(b))
+  const [runner, { address, domain: runnerDomain }] = chosen as NonNullable<typeof chosen>
+  return Right({ runner, address, domain: runnerDomain, candidates: (usable.length > 0 ? usable : free).map(([name]) => name) })
 }
 
 /**
@@ -102,7 +102,7 @@
  */
 export function isRepeatable (service: ServiceConfig, method: string, path: string): boolean {
   if (method === 'GET') return true
-  const bare = path.split('?')[0] ?? path
+  const pathWithoutQuery = path.split('?')[0] ?? path
   return !service.notRepeatable.some(pattern =>
-    pattern.endsWith('*') ? bare.startsWith(pattern.slice(0, -1)) : bare === pattern)
+    pattern.endsWith('*') ? pathWithoutQuery.startsWith(pattern.slice(0, -1)) : pathWithoutQuery === pattern)
 }
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -10,7 +10,7 @@
 import type { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
 import { GRANT_METHOD, type GrantRequest, type Handover } from 'rosemaryspread/budget/budgetGrantCalls.js'
 import { BudgetPreparation } from 'rosemaryspread/gateway/budgetPreparation.js'
-import { gatewayBudgets } from 'rosemaryspread/gateway/gatewayBudgets.js'
+import { createBudgetDriver } from 'rosemaryspread/gateway/budgetDriverFactory.js'
 import { gatewayConfigSchema, type GatewayConfig } from '@rosemaryspread/decisions/gateway/gatewayConfig.js'
 import { TableState } from '../../table/tableState.js'
 import { VirtualTime } from '../../time/virtualTime.js'
@@ -196,7 +196,7 @@
     const holder = `${name}~${this.life}`
     const bornAt = this.time.mono
     const others = (): readonly FleetVm[] => this.vms.filter(vm => vm.holder !== holder)
-    const budgets = gatewayBudgets({
+    const budgets = createBudgetDriver({
       holder,
       domain: `domain${this.vms.length % 3}`,
       place: name,
