--- a/packages/rosemaryspread/src/gateway/gatewayTargets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTargets.ts
@@ -6,7 +6,7 @@
 import { isPlausibleWarmUp } from '@rosemaryspread/decisions/gateway/warmUpShare.js'
 import type { TargetProcess, TargetReport } from '@rosemaryspread/decisions/gateway/targetReports.js'
 import { TargetSet, type AvailableTargets, type TargetView } from '@rosemaryspread/decisions/gateway/targetSet.js'
-import { MalformedValueLog } from './flawLog.js'
+import { MalformedValueLog } from './malformedValueLog.js'
 import type { TargetDirectory } from './gatewayTypes.js'
 
 export interface TargetsParts {
