--- a/packages/http/src/auth/bearerKey.ts
+++ b/packages/http/src/auth/bearerKey.ts
@@ -1,5 +1,5 @@
 /**
- * Takes the bearer key out of a request.
+ * Reads the bearer key of a request.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { Left, Right, type Either } from 'purify-ts'
@@ -7,10 +7,7 @@
 
 const bearerPattern = /^Bearer +([A-Za-z0-9._~+/=-]{1,512})$/i
 
-/**
- * The key after `Authorization: Bearer`. Failure: `unauthorized`.
- * @param headers - headers of the request
- */
+/** Returns the key after `Authorization: Bearer`. Failure: `unauthorized`. */
 export function bearerKey (headers: IncomingHttpHeaders): Either<Failure, string> {
   const key = bearerPattern.exec(headers.authorization ?? '')?.[1]
   if (key === undefined) return Left(new Failure('unauthorized', 'send the header Authorization: Bearer KEY'))
--- a/packages/http/src/body/bodyReader.ts
+++ b/packages/http/src/body/bodyReader.ts
@@ -1,24 +1,22 @@
 /**
- * Reads the raw bytes of a request body up to a limit. A body over the limit is discarded while
- * it comes in, up to a multiple of the limit, because a client that still sends when its
- * connection closes often never sees the answer. The time is limited here too, because Node
- * stops watching its own limit when the server closes.
+ * Reads a request body with limits on size and time. A body over the size limit is read and discarded, up to a multiple of the
+ * limit, because a client that is still sending when the connection closes often does not receive the response. The time limit is
+ * enforced here because Node stops enforcing its own once the server is closing.
  */
 import type { IncomingMessage } from 'node:http'
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** How many times the limit is read and discarded before the connection is given up. */
+/** Multiple of the limit up to which a body is read and discarded. */
 const discardFactor = 4
 
 function tooLarge (maxBytes: number): Failure {
   return new Failure('bodyTooLarge', `the limit is ${maxBytes} bytes`)
 }
 
-/** Limits of reading one body. */
 export interface BodyLimits {
   readonly bodyBytes: number
-  /** Milliseconds until the body must be whole. */
+  /** Time limit in milliseconds for the whole body. */
   readonly requestMs: number
 }
 
@@ -26,11 +24,7 @@
   return Number(req.headers['content-length'] ?? 0)
 }
 
-/**
- * Reads a whole body. Failures: `bodyTooLarge`, `callerGone`, `badRequest` when it takes too long.
- * @param req - the request
- * @param limits - how much and how long
- */
+/** Reads a whole body. Failures: `bodyTooLarge`, `callerGone`, and `badRequest` on timeout. */
 export function readBody (req: IncomingMessage, limits: BodyLimits): Promise<Either<Failure, Buffer>> {
   const maxBytes = limits.bodyBytes
   if (declaredBytes(req) > maxBytes * discardFactor) return Promise.resolve(Left(tooLarge(maxBytes)))
@@ -44,8 +38,8 @@
       if (bytes > maxBytes * discardFactor) settle(Left(tooLarge(maxBytes)))
     }
     const onEnd = (): void => settle(bytes > maxBytes ? Left(tooLarge(maxBytes)) : Right(Buffer.concat(chunks)))
-    const onGone = (): void => settle(Left(new Failure('callerGone', 'the body did not arrive whole')))
-    const onLate = (): void => settle(Left(new Failure('badRequest', 'the body did not arrive in time')))
+    const onGone = (): void => settle(Left(new Failure('callerGone', 'the connection closed before the whole body arrived')))
+    const onLate = (): void => settle(Left(new Failure('badRequest', 'the body did not arrive within the time limit')))
     const timer = setTimeout(onLate, limits.requestMs)
     const settle = (outcome: Either<Failure, Buffer>): void => {
       clearTimeout(timer)
--- a/packages/http/src/input/callHeaders.ts
+++ b/packages/http/src/input/callHeaders.ts
@@ -1,6 +1,5 @@
 /**
- * The headers by which a caller marks a call as the same as an earlier one, says how long it is
- * ready to wait, and names the budget that pays.
+ * Validates the request headers of a call: idempotency key, timeout and budget.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import * as z from 'zod'
@@ -9,7 +8,7 @@
 const maxTimeoutMs = 3_600_000
 const timeoutRule = `use a whole number of milliseconds from 1 to ${maxTimeoutMs}`
 
-/** Header values as they are checked; keys are what a mistake names. */
+/** The keys appear in error messages. */
 const callHeadersSchema = z.object({
   'header Idempotency-Key': z.string()
     .regex(/^[\x20-\x7e]{1,256}$/, 'use 1 to 256 printable ASCII characters')
@@ -20,23 +19,17 @@
     .refine((ms) => ms >= 1 && ms <= maxTimeoutMs, timeoutRule)
     .optional(),
   'header X-Budget': z.string()
-    .regex(/^[a-z0-9][a-z0-9._-]{0,62}(:[a-z0-9][a-z0-9._-]{0,62})?$/, 'use the budget of the team, or that and a part: budget:part')
+    .regex(/^[a-z0-9][a-z0-9._-]{0,62}(:[a-z0-9][a-z0-9._-]{0,62})?$/, 'use the budget of the team, or a part of it as budget:part')
     .optional()
 })
 
-/** What the headers say. */
 export interface CallHeaders {
   readonly idempotencyKey?: string
-  /** Milliseconds. */
   readonly timeoutMs?: number
-  /** The team's budget or a part of it, `budget:part`. */
+  /** Budget of the team, or a part of it as `budget:part`. */
   readonly budget?: string
 }
 
-/**
- * Checks the headers of a call.
- * @param headers - headers of the request
- */
 export function callHeaders (headers: IncomingHttpHeaders): Checked<CallHeaders> {
   const raw = {
     'header Idempotency-Key': headers['idempotency-key'],
--- a/packages/http/src/input/inputChecks.ts
+++ b/packages/http/src/input/inputChecks.ts
@@ -1,12 +1,12 @@
 /**
- * Checks of what comes from outside. Each check gives either the typed value or every mistake
- * it found, named by path; `together` joins checks so that a caller learns all mistakes at once.
+ * Validation of external input. Each check returns either the typed value or all errors with their paths; `combineChecks`
+ * joins checks, so that a caller receives all errors at once.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** Every mistake found, or the checked value. */
+/** All errors found, or the validated value. */
 export type Checked<T> = Either<readonly string[], T>
 
 function pathText (path: readonly PropertyKey[]): string {
@@ -23,10 +23,8 @@
 }
 
 /**
- * Checks a value by a schema.
- * @param schema - what is allowed
- * @param value - what came
- * @param subject - what to call the value itself in a mistake
+ * Validates a value against a schema.
+ * @param subject - name of the value itself in error messages
  */
 export function checkBy<S extends z.ZodType> (schema: S, value: unknown, subject: string): Checked<z.output<S>> {
   const result = schema.safeParse(value)
@@ -34,21 +32,14 @@
   return Left(result.error.issues.flatMap((issue) => issueTexts(issue, subject)))
 }
 
-/**
- * Joins two checks; the mistakes of both are kept.
- * @param first - one check
- * @param second - another check
- */
+/** Combines two checks; fails with the errors of both. */
 export function together<A, B> (first: Checked<A>, second: Checked<B>): Checked<readonly [A, B]> {
   const mistakes = [...first.swap().orDefault([]), ...second.swap().orDefault([])]
   if (mistakes.length > 0) return Left(mistakes)
   return first.chain((a) => second.map((b) => [a, b] as const))
 }
 
-/**
- * The failure for mistakes in the input.
- * @param mistakes - each mistake with its path
- */
+/** Creates the failure for invalid input. */
 export function badRequest (mistakes: readonly string[]): Failure {
   const detail = mistakes.length === 1 ? String(mistakes[0]) : `${mistakes.length} mistakes, see errors`
   return new Failure('badRequest', detail, { errors: mistakes })
--- a/packages/http/src/input/jsonBody.ts
+++ b/packages/http/src/input/jsonBody.ts
@@ -1,6 +1,5 @@
 /**
- * Turns the raw bytes of a request body into a JSON value, strictly: content type, encoding,
- * UTF-8 and JSON itself are each checked.
+ * Parses and validates a JSON request body; checks content type, content encoding, UTF-8 and JSON syntax strictly.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { Left, Right } from 'purify-ts'
@@ -30,12 +29,7 @@
   }
 }
 
-/**
- * Reads a JSON body by a schema.
- * @param schema - what the body must be
- * @param headers - headers of the request
- * @param bytes - the body as received
- */
+/** Parses a JSON body and validates it against a schema. */
 export function jsonBody<S extends z.ZodType> (schema: S, headers: IncomingHttpHeaders, bytes: Buffer): Checked<z.output<S>> {
   const mistakes = headerMistakes(headers)
   if (mistakes.length > 0) return Left(mistakes)
--- a/packages/http/src/problem/problemHeaders.ts
+++ b/packages/http/src/problem/problemHeaders.ts
@@ -1,25 +1,17 @@
 /**
- * How a failure looks on the wire: an RFC 9457 problem body, and the headers that go with it.
+ * Renders a failure as an RFC 9457 problem body with its headers.
  */
 import { toProblem, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** Content type of a problem body. */
 export const problemType = 'application/problem+json'
 
 const msPerSecond = 1000
 
-/**
- * `Retry-After` in whole seconds, rounded up and at least 1.
- * @param retryAfterMs - milliseconds after which the caller should come back
- */
+/** Value of `Retry-After`: whole seconds, rounded up and at least 1. */
 export function retryAfterSeconds (retryAfterMs: number): number {
   return Math.max(1, Math.ceil(retryAfterMs / msPerSecond))
 }
 
-/**
- * Headers of the answer to a refused request.
- * @param failure - why it is refused
- */
 export function problemHeaders (failure: Failure): Record<string, string> {
   const headers: Record<string, string> = { 'Content-Type': problemType, 'Cache-Control': 'no-store' }
   if (failure.retryAfterMs !== undefined) headers['Retry-After'] = String(retryAfterSeconds(failure.retryAfterMs))
@@ -27,10 +19,7 @@
   return headers
 }
 
-/**
- * The problem body as text.
- * @param failure - why the request is refused
- */
+/** Serializes the problem body. */
 export function problemText (failure: Failure): string {
   return JSON.stringify(toProblem(failure))
 }
--- a/packages/http/src/server/httpExchange.ts
+++ b/packages/http/src/server/httpExchange.ts
@@ -1,7 +1,6 @@
 /**
- * One request and its answer. The first answer given counts, later ones are ignored, so that a
- * timeout and a handler may both end an exchange without harm. `gone` fires when the caller
- * closes the connection before the answer ended.
+ * One HTTP request and its response. Only the first response is sent, so a timeout and a handler may both end the exchange.
+ * The signal `gone` aborts when the caller closes the connection before the response ended.
  */
 import { randomBytes } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -9,30 +8,23 @@
 import { problemHeaders, problemText } from '../problem/problemHeaders.js'
 import type { HttpLimits } from './httpLimits.js'
 
-/** Header fields of an answer. */
 export type HeaderFields = Readonly<Record<string, string>>
 
-/** A request after restify's router saw it. */
+/** Request with the path parameters that the router adds. */
 interface RoutedRequest extends IncomingMessage {
   readonly params?: Readonly<Record<string, unknown>>
 }
 
 const requestIdBytes = 16
 
-/** One request and its answer. */
 export class HttpExchange {
   /** Sent as `X-Request-Id`; may be changed until the headers are sent. */
   requestId = randomBytes(requestIdBytes).toString('hex')
-  /** The team or operator, once known; for the log. */
+  /** Team or operator for the log, once authenticated. */
   client: string | undefined
   private readonly goneControl = new AbortController()
   private ended = false
 
-  /**
-   * @param req - the request
-   * @param res - its answer
-   * @param limits - limits of the server
-   */
   constructor (readonly req: IncomingMessage, readonly res: ServerResponse, readonly limits: HttpLimits) {
     res.on('error', () => this.abandon())
     res.once('close', () => {
@@ -40,94 +32,70 @@
     })
   }
 
-  /** Aborted when the caller goes away before the end. */
+  /** Aborts when the caller disconnects before the response ended. */
   get gone (): AbortSignal {
     return this.goneControl.signal
   }
 
-  /** Whether an answer can no longer be given. */
+  /** Whether a response can no longer be sent. */
   get closed (): boolean {
     return this.ended || this.gone.aborted
   }
 
-  /** Parameters of the path, decoded. */
+  /** Decoded path parameters. */
   get params (): Readonly<Record<string, unknown>> {
     return (this.req as RoutedRequest).params ?? {}
   }
 
-  /** Bytes of the answer that the caller has not taken yet. */
+  /** Bytes of the response that wait for the caller to read. */
   get bufferedBytes (): number {
     return this.res.writableLength
   }
 
   /**
-   * Fires `gone`: whoever works for this exchange should stop.
-   * @param reason - why, when it was not the caller who closed the connection
+   * Aborts `gone`, so that all work for this exchange stops.
+   * @param reason - given when the caller did not close the connection
    */
   abandon (reason?: Failure): void {
     this.goneControl.abort(reason)
   }
 
-  /**
-   * Answers with a whole JSON value.
-   * @param status - HTTP status
-   * @param body - any JSON value
-   * @param headers - further header fields
-   */
+  /** Sends a complete JSON response. */
   sendJson (status: number, body: unknown, headers: HeaderFields = {}): void {
     this.sendBytes(status, Buffer.from(JSON.stringify(body)), { 'Content-Type': 'application/json', ...headers })
   }
 
-  /**
-   * Answers with a problem body, or closes the connection if part of an answer was sent already.
-   * @param failure - why the request is refused
-   */
+  /** Sends a problem body, or closes the connection if the response has already started. */
   refuse (failure: Failure): void {
     if (this.res.headersSent && !this.ended) this.req.socket.destroy()
     if (this.leavesBody(failure) && !this.closed && !this.res.headersSent) this.res.setHeader('Connection', 'close')
     this.sendBytes(failure.entry.status, Buffer.from(problemText(failure)), problemHeaders(failure))
   }
 
-  /** Whether a body was given up half-read. One that nobody began to read is discarded by Node, so that its sender sees the answer. */
+  /** Whether reading the request body stopped early. Node discards a body that was not read at all, so its sender receives the response. */
   private leavesBody (failure: Failure): boolean {
     return !this.req.complete && (this.req.readableDidRead || failure.code === 'bodyTooLarge')
   }
 
-  /**
-   * Answers with whole bytes.
-   * @param status - HTTP status
-   * @param body - the bytes
-   * @param headers - header fields, among them the content type
-   */
+  /** Sends a complete response; `headers` must include the content type. */
   sendBytes (status: number, body: Buffer, headers: HeaderFields): void {
     if (this.closed || this.res.headersSent) return
     this.startHeaders(status, { ...headers, 'Content-Length': String(body.length) })
     this.end(body)
   }
 
-  /**
-   * Sends the headers of an answer that is written in parts.
-   * @param status - HTTP status
-   * @param headers - header fields
-   */
+  /** Sends the headers of a streamed response. */
   startHeaders (status: number, headers: HeaderFields): void {
     if (this.closed || this.res.headersSent) return
     this.res.setHeader('X-Request-Id', this.requestId)
     this.res.writeHead(status, headers)
   }
 
-  /**
-   * Writes a part of the answer.
-   * @param text - the part
-   */
   write (text: string): void {
     if (!this.closed) this.res.write(text)
   }
 
-  /**
-   * Ends the answer. A caller that does not read it in time loses the connection.
-   * @param body - the last part
-   */
+  /** Ends the response, and closes the connection if the caller does not read it within `finishMs`. */
   end (body?: Buffer): void {
     if (this.closed) return
     this.ended = true
@@ -137,7 +105,7 @@
     this.res.end(body)
   }
 
-  /** Ends the answer and closes the connection after it. */
+  /** Ends the response, then closes the connection. */
   endAndClose (): void {
     const { socket } = this.req
     this.res.once('finish', () => socket.destroySoon())
--- a/packages/http/src/server/httpLimits.ts
+++ b/packages/http/src/server/httpLimits.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of one HTTP server against clients that send too much, too slowly, or do not read.
+ * Limits of an HTTP server that protect it from clients that send too much, send too slowly or do not read.
  */
 import * as z from 'zod'
 
@@ -7,23 +7,23 @@
 const whole = z.number().int().positive()
 
 /**
- * Connections that may wait to be taken. One is taken in each turn of the event loop, in the order in which they came: behind a long queue a
- * loaded server takes only those whose clients have left. Beyond it clients learn while they connect that they had better go elsewhere.
+ * Maximum number of connections that wait to be accepted. One is accepted per event loop turn, in order of arrival, so with a long
+ * backlog a loaded server accepts only connections whose clients have already left. Beyond it the connection attempt fails, and
+ * clients can try another server.
  */
 export const WAITING_CONNECTIONS = 16
 
-/** The limits with their defaults; bytes and milliseconds as the names say. */
 export const httpLimitsSchema = z.strictObject({
   bodyBytes: whole.default(4 * mebibyte),
-  /** Bytes of a streamed answer that may wait for a caller who reads slowly. */
+  /** Maximum unread bytes of a streamed response to a slow caller. */
   bufferedBytes: whole.default(4 * mebibyte),
-  /** Time for the headers of a request to arrive. */
+  /** Time limit for receiving the headers of a request. */
   headersMs: whole.default(10_000),
-  /** Time for a whole request to arrive. */
+  /** Time limit for receiving a whole request. */
   requestMs: whole.default(30_000),
-  /** Time that a connection is kept without a request. */
+  /** Keep-alive time of a connection without a request. */
   idleMs: whole.default(15_000),
-  /** Time for an ended answer to be read before the connection is closed. */
+  /** Time limit for the caller to read an ended response before the connection is closed. */
   finishMs: whole.default(30_000),
   headerCount: whole.default(100),
   connections: whole.default(4096)
--- a/packages/http/src/server/httpRouter.ts
+++ b/packages/http/src/server/httpRouter.ts
@@ -1,43 +1,37 @@
 /**
- * What leads a request to its handler. Servers with many routes use restify's router; one with a
- * few fixed paths, whose process must start quickly, uses `PathRouter` and loads nothing else.
+ * Router interface. Servers with many routes use `RestifyRouter`; servers with a few fixed paths, whose process must start
+ * quickly, use `PathRouter`, which loads no library.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** Methods that routes are made for. */
 export type RouteMethod = 'GET' | 'POST'
 
-/** Answers a request; resolves once it was answered or refused. */
+/** Handles a request; resolves once it was answered or refused. */
 export type RouteHandler = (req: IncomingMessage, res: ServerResponse) => Promise<void>
 
-/** Takes a request that no route fits. */
+/** Handles a request that matches no route. */
 export type UnroutedHandler = (req: IncomingMessage, res: ServerResponse, failure: Failure) => void
 
-/** Finds the route of a request. */
+/** Dispatches requests to their handlers. */
 export interface HttpRouter {
-  /** Node's server; it has no listeners of its own for `clientError` and `upgrade`. */
+  /** The underlying Node server; the router adds no listeners for `clientError` and `upgrade`. */
   readonly node: Server
 
   /**
    * Adds a route.
-   * @param method - HTTP method
-   * @param path - path; a segment `:name` takes any text, which the handler finds in `params` of the request
-   * @param handler - answers the requests
+   * @param path - a segment `:name` matches any text, available to the handler as a member of the request's `params`
    */
   route (method: RouteMethod, path: string, handler: RouteHandler): void
 
-  /**
-   * Says who takes requests that no route fits.
-   * @param handler - refuses them
-   */
+  /** Sets the handler of requests that match no route. */
   onUnrouted (handler: UnroutedHandler): void
 
   /**
-   * Listens; rejects when the address cannot be had.
+   * Starts listening; rejects when the address cannot be bound.
    * @param host - IPv4 address
-   * @param port - port; 0 takes any free one
-   * @param waiting - connections that may wait to be taken
+   * @param port - 0 selects any free port
+   * @param waiting - maximum number of connections that wait to be accepted
    */
   listen (host: string, port: number, waiting: number): Promise<void>
 }
--- a/packages/http/src/server/httpServer.spec.ts
+++ b/packages/http/src/server/httpServer.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Servers over each router: the address in use is told, one that is taken is a rejection and not a fault of
- * the process, and a request reaches its handler or a numbered problem.
+ * Behaviour that must be the same with each router: `listen` returns the bound address, an address in use rejects instead of
+ * crashing the process, and each request reaches its handler or is answered with a numbered problem.
  */
 import { once } from 'node:events'
 import { createServer, type AddressInfo } from 'node:net'
@@ -24,20 +24,20 @@
   readonly method: RouteMethod | 'DELETE'
   readonly path: string
   readonly status: number
-  /** What the body holds. */
+  /** Members that the response body must include. */
   readonly body: object
 }
 
 const requests: readonly RequestCase[] = [
   { says: 'a plain path', method: 'GET', path: '/plain', status: 200, body: { route: 'plain' } },
-  { says: 'a query, which is no part of the path', method: 'GET', path: '/plain?name=a&zone=b', status: 200, body: { route: 'plain' } },
+  { says: 'a path with a query', method: 'GET', path: '/plain?name=a&zone=b', status: 200, body: { route: 'plain' } },
   { says: 'a named segment', method: 'POST', path: '/things/a%20b/lift', status: 200, body: { name: 'a b' } },
-  { says: 'a failure of the handler', method: 'GET', path: '/refused', status: 404, body: { code: 'RS-104' } },
-  { says: 'an error of the handler', method: 'GET', path: '/faulty', status: 500, body: { code: 'RS-799' } },
+  { says: 'a failure returned by the handler', method: 'GET', path: '/refused', status: 404, body: { code: 'RS-104' } },
+  { says: 'an error thrown by the handler', method: 'GET', path: '/faulty', status: 500, body: { code: 'RS-799' } },
   { says: 'an unknown path', method: 'GET', path: '/unknown', status: 404, body: { code: 'RS-104' } },
   { says: 'a longer path', method: 'GET', path: '/plain/more', status: 404, body: { code: 'RS-104' } },
-  { says: 'another method', method: 'DELETE', path: '/plain', status: 405, body: { code: 'RS-106' } },
-  { says: 'escapes that stand for nothing', method: 'POST', path: '/things/%E0%A4%A/lift', status: 404, body: {} }
+  { says: 'a method without a route', method: 'DELETE', path: '/plain', status: 405, body: { code: 'RS-106' } },
+  { says: 'invalid percent-encoding', method: 'POST', path: '/things/%E0%A4%A/lift', status: 404, body: {} }
 ]
 
 function newServer (router: HttpRouter): HttpServer {
@@ -51,13 +51,13 @@
 
 for (const { name, make } of routers) {
   describe(`an HTTP server over ${name}`, () => {
-    it('tells the address in use', async () => {
+    it('returns the bound address', async () => {
       const server = newServer(make())
       expect(await server.listen('127.0.0.1:0')).to.match(/^127\.0\.0\.1:[1-9]\d*$/)
       await server.close()
     })
 
-    it('is rejected when the address is taken', async () => {
+    it('rejects when the address is in use', async () => {
       const taken = createServer().listen(0, '127.0.0.1')
       await once(taken, 'listening')
       const { port } = taken.address() as AddressInfo
--- a/packages/http/src/server/httpServer.ts
+++ b/packages/http/src/server/httpServer.ts
@@ -1,7 +1,6 @@
 /**
- * An HTTP server with this project's rules: every failure is answered with a
- * numbered problem, a fault in a handler included; limits on what clients send; and a graceful
- * close that finishes the open requests.
+ * HTTP server with limits on clients and a graceful close. Every failure, also an unexpected error of a handler, is answered
+ * with a numbered problem.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
@@ -13,10 +12,9 @@
 import type { HttpRouter, RouteMethod } from './httpRouter.js'
 import { parserFailure, refuseSocket } from './protocolFailures.js'
 
-/** Answers an exchange, or says why it is refused. */
+/** Answers an exchange, or returns the failure with which it is refused. */
 export type ExchangeHandler = (exchange: HttpExchange) => Promise<Either<Failure, void>>
 
-/** What a server needs. */
 export interface HttpServerDeps {
   readonly log: EventLog
   readonly limits: HttpLimits
@@ -24,17 +22,13 @@
 
 const keepAliveProbeMs = 30_000
 
-/** The server. */
 export class HttpServer {
   private readonly open = new Set<HttpExchange>()
   private readonly sockets = new Set<Socket>()
   private lingering = false
   private closing = false
 
-  /**
-   * @param deps - log and limits
-   * @param router - leads requests to their handlers; it has no routes yet
-   */
+  /** @param router - a router without routes */
   constructor (private readonly deps: HttpServerDeps, private readonly router: HttpRouter) {
     this.node.headersTimeout = deps.limits.headersMs
     this.node.requestTimeout = deps.limits.requestMs
@@ -48,16 +42,14 @@
 
   /**
    * Adds a route.
-   * @param method - HTTP method
    * @param path - path in the notation of the router
-   * @param handler - answers the requests
    */
   route (method: RouteMethod, path: string, handler: ExchangeHandler): void {
     this.router.route(method, path, async (req, res) => { await this.serve(this.exchangeOf(req, res), handler) })
   }
 
   /**
-   * Listens; resolves to the address in use, which tells the port when 0 was asked.
+   * Starts listening; resolves to the bound address, with the actual port if port 0 was requested.
    * @param address - IPv4:port
    */
   async listen (address: string): Promise<string> {
@@ -68,16 +60,16 @@
   }
 
   /**
-   * Goes on serving, and asks clients with each answer to close their connection and use another
-   * server: a request that is on its way when a stop begins still gets an answer.
+   * Continues serving, but sends `Connection: close` with each response so that clients move to another server. Requests that
+   * are in transit when a shutdown begins are still answered.
    */
   linger (): void {
     this.lingering = true
   }
 
   /**
-   * Stops accepting connections; resolves when all open requests are answered. A connection on
-   * which no request has come is closed after the time for headers; Node would wait for it.
+   * Stops accepting connections; resolves when all open requests are answered. A connection without a request is closed after
+   * `headersMs`, because Node would wait for it indefinitely.
    */
   close (): Promise<void> {
     this.closing = true
@@ -90,7 +82,7 @@
     })
   }
 
-  /** Requests that are not answered yet. */
+  /** Number of requests that are not answered yet. */
   openRequests (): number {
     return this.open.size
   }
@@ -132,7 +124,7 @@
     }
   }
 
-  /** `EitherAsync` also puts what was thrown on the left side, whatever its type says. */
+  /** `EitherAsync` also puts thrown errors on the left side, regardless of its type. */
   private fail (exchange: HttpExchange, left: unknown): void {
     if (left instanceof Failure) this.refuse(exchange, left)
     else this.fault(exchange, left)
--- a/packages/http/src/server/pathRouter.ts
+++ b/packages/http/src/server/pathRouter.ts
@@ -1,12 +1,11 @@
 /**
- * Routes by a list of paths, for servers with a few of them. It loads no library, so a process that
- * serves only these starts in less time.
+ * Router with a linear list of paths, for servers with few routes. It loads no library, so its process starts faster.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { HttpRouter, RouteHandler, RouteMethod, UnroutedHandler } from './httpRouter.js'
 
-/** Values of the segments of a path that have a name. */
+/** Values of the named path segments. */
 type PathParams = Readonly<Record<string, string>>
 
 interface PathRoute {
@@ -15,18 +14,17 @@
   readonly handler: RouteHandler
 }
 
-/** A route that fits a path, whatever its method. */
+/** A route that matches a path, regardless of the method. */
 interface PathMatch {
   readonly route: PathRoute
   readonly params: PathParams
 }
 
-/** A request with what its path holds. */
+/** A request with its path parameters. */
 interface RoutedRequest extends IncomingMessage {
   params?: PathParams
 }
 
-/** Router without a library. */
 export class PathRouter implements HttpRouter {
   readonly node: Server = createServer((req, res) => { this.serve(req, res) })
   private readonly routes: PathRoute[] = []
@@ -96,7 +94,7 @@
   return params
 }
 
-/** Undefined for text with escapes that stand for nothing. */
+/** Returns undefined for invalid percent-encoding. */
 function decoded (text: string): string | undefined {
   try {
     return decodeURIComponent(text)
--- a/packages/http/src/server/protocolFailures.ts
+++ b/packages/http/src/server/protocolFailures.ts
@@ -1,6 +1,5 @@
 /**
- * Failures for what is wrong below the routes: unknown paths, methods, and requests that are
- * not valid HTTP.
+ * Failures for requests that reach no handler: unknown paths, methods that are not allowed, and invalid HTTP.
  */
 import type { Socket } from 'node:net'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -10,16 +9,13 @@
 const methodStatus = 405
 const serverErrorStatus = 500
 
-/** An error with a status, as restify passes it to its listeners. */
+/** Error with an HTTP status, as restify emits it. */
 export interface StatusError {
   readonly statusCode?: number
   readonly message: string
 }
 
-/**
- * The failure for an error of restify's router.
- * @param err - restify's error
- */
+/** Maps an error of restify's router to a failure. */
 export function routerFailure (err: StatusError): Failure {
   const status = err.statusCode ?? serverErrorStatus
   if (status === notFoundStatus) return new Failure('notFound', err.message)
@@ -28,21 +24,14 @@
   return new Failure('internal', 'the request could not be routed', { ran: 'unknown' })
 }
 
-/**
- * The failure for a request that Node's parser gave up.
- * @param errCode - code of the parser's error
- */
+/** Maps an error code of Node's HTTP parser to a failure. */
 export function parserFailure (errCode: string | undefined): Failure {
   if (errCode === 'HPE_HEADER_OVERFLOW') return new Failure('badRequest', 'the headers are too large')
   if (errCode === 'ERR_HTTP_REQUEST_TIMEOUT') return new Failure('badRequest', 'the request did not arrive in time')
   return new Failure('badRequest', 'the request is not valid HTTP')
 }
 
-/**
- * Answers on a connection where no request could be read, and closes it.
- * @param socket - the connection
- * @param failure - what is wrong
- */
+/** Writes a problem response to a connection on which no request could be parsed, and closes it. */
 export function refuseSocket (socket: Socket, failure: Failure): void {
   const body = problemText(failure)
   const fields = { ...problemHeaders(failure), 'Content-Length': Buffer.byteLength(body), Connection: 'close' }
--- a/packages/http/src/server/restifyRouter.ts
+++ b/packages/http/src/server/restifyRouter.ts
@@ -1,5 +1,5 @@
 /**
- * Routes by restify.
+ * Router based on restify.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import restify from 'restify'
@@ -7,12 +7,12 @@
 import { routerFailure, type StatusError } from './protocolFailures.js'
 import { silentLog } from './silentLog.js'
 
-/** Restify's router; paths are in its notation. */
+/** Paths are in restify's notation. */
 export class RestifyRouter implements HttpRouter {
   private readonly app = restify.createServer({ name: '', log: silentLog as never })
 
   constructor () {
-    // Restify would take the connection of a request with `Upgrade` and never answer it; without it Node serves the request.
+    // Restify's `upgrade` listener never answers a request with `Upgrade`; without a listener Node serves it as a plain request.
     this.node.removeAllListeners('upgrade')
   }
 
@@ -30,7 +30,7 @@
     else this.app.post(path, serve)
   }
 
-  /** Restify's own answer is left out by not calling its callback. */
+  /** Not calling restify's callback suppresses its own response. */
   onUnrouted (handler: UnroutedHandler): void {
     this.app.on('restifyError', (req: IncomingMessage, res: ServerResponse, err: StatusError) => {
       handler(req, res, routerFailure(err))
@@ -39,7 +39,7 @@
 
   listen (host: string, port: number, waiting: number): Promise<void> {
     return new Promise((resolve, reject) => {
-      // Restify passes the errors of its server on and throws where nobody listens to them.
+      // Restify re-emits errors of its server and throws when there is no listener.
       this.app.once('error', reject)
       this.app.listen(port, host, waiting, () => {
         this.app.off('error', reject)
--- a/packages/http/src/server/silentLog.ts
+++ b/packages/http/src/server/silentLog.ts
@@ -1,10 +1,8 @@
 /**
- * The logger that restify demands. The server writes its own numbered events, so this one
- * discards everything.
+ * Logger that discards everything. Restify requires a logger, but the server writes its own numbered events.
  */
 const discard = (): boolean => false
 
-/** A logger without output. */
 export const silentLog = {
   level: 'silent',
   trace: discard,
--- a/packages/http/src/sse/eventStream.ts
+++ b/packages/http/src/sse/eventStream.ts
@@ -1,6 +1,5 @@
 /**
- * An answer as server-sent events. The headers go out with the first event, so that a failure
- * before it can still be answered with its own status.
+ * Response of server-sent events. The headers are sent with the first event, so that an earlier failure can still set the status.
  */
 import { toProblem, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { HttpExchange } from '../server/httpExchange.js'
@@ -11,11 +10,9 @@
   'X-Accel-Buffering': 'no'
 }
 
-/** Server-sent events on one exchange. */
 export class EventStream {
   private begun = false
 
-  /** @param exchange - where the events go */
   constructor (private readonly exchange: HttpExchange) {}
 
   /** Whether an event was sent. */
@@ -23,14 +20,14 @@
     return this.begun
   }
 
-  /** Whether the caller reads so slowly that more than the limit waits for it. */
+  /** Whether a slow caller has more unread bytes than the limit. */
   get overfull (): boolean {
     return this.exchange.bufferedBytes > this.exchange.limits.bufferedBytes
   }
 
   /**
    * Sends one event.
-   * @param data - text without line breaks
+   * @param data - must not contain line breaks
    */
   send (data: string): void {
     this.start()
@@ -43,10 +40,7 @@
     this.exchange.end()
   }
 
-  /**
-   * Tells of a failure and closes the connection.
-   * @param failure - why the stream is cut
-   */
+  /** Sends the failure as an `error` event and closes the connection. */
   fail (failure: Failure): void {
     this.start()
     this.exchange.write(`event: error\ndata: ${JSON.stringify(toProblem(failure))}\n\n`)
--- a/packages/peers/src/link/address.ts
+++ b/packages/peers/src/link/address.ts
@@ -1,21 +1,19 @@
 /**
- * Addresses of VMs as settings and rows write them.
+ * Parses VM addresses of the form `IPv4:port`, as used in settings and stored rows.
  */
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
 const ADDRESS = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/
 const MAX_PORT = 65_535
 
-/** Host and port of an address. */
 export interface HostPort {
   readonly host: string
   readonly port: number
 }
 
 /**
- * Splits `IPv4:port`.
- * @param address - the text
- * @throws Failure `badRequest` when it has another form
+ * Parses `IPv4:port`.
+ * @throws Failure `badRequest` when the text has another form
  */
 export function parseAddress (address: string): HostPort {
   const match = ADDRESS.exec(address)
--- a/packages/peers/src/link/failureCodec.ts
+++ b/packages/peers/src/link/failureCodec.ts
@@ -1,13 +1,12 @@
 /**
- * Failures as JSON-RPC errors and back: a numbered failure of the called VM arrives as the same
- * numbered failure at the caller.
+ * Converts failures to JSON-RPC errors and back, so that a caller receives the same numbered failure that the called VM raised.
  */
 import { createJSONRPCErrorResponse, JSONRPCErrorCode, type JSONRPCError, type JSONRPCErrorResponse, type JSONRPCID } from 'json-rpc-2.0'
 import * as z from 'zod'
 import { Failure, toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import { ranSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
-/** Code that json-rpc-2.0 itself gives to calls that it fails locally. */
+/** Error code that json-rpc-2.0 uses for calls that it fails locally. */
 export const LOCAL_ERROR_CODE = 0
 
 const failureDataSchema = z.object({
@@ -17,11 +16,7 @@
   errors: z.array(z.string()).optional()
 })
 
-/**
- * Renders anything thrown by a handler.
- * @param id - id of the call
- * @param err - what was thrown
- */
+/** Converts any value thrown by a method handler to an error response. */
 export function toErrorResponse (id: JSONRPCID, err: unknown): JSONRPCErrorResponse {
   const failure = toFailure(err)
   const data = {
@@ -33,10 +28,7 @@
   return createJSONRPCErrorResponse(id, failure.entry.number, failure.message, data)
 }
 
-/**
- * Reads the error of an answer.
- * @param error - the error member of the answer
- */
+/** Restores the failure; an error without valid failure data becomes `peerUnreachable` or `peerRefused`. */
 export function fromErrorResponse (error: JSONRPCError): Failure {
   const data = failureDataSchema.safeParse(error.data)
   if (data.success) {
--- a/packages/peers/src/link/frameChannel.ts
+++ b/packages/peers/src/link/frameChannel.ts
@@ -1,7 +1,6 @@
 /**
- * A socket as a channel of msgpackr frames. Record shapes are sent once for each connection.
- * Until the peer has proved itself only a few bytes are taken from it, and none of them in a
- * chunk that exceeds that allowance reaches the decoder.
+ * Channel of msgpackr frames over a socket; record shapes are sent once per connection.
+ * Until the peer is authenticated the channel accepts only `handshakeBytes`; a chunk that exceeds them never reaches the decoder.
  */
 import type { Socket } from 'node:net'
 import { Packr, UnpackrStream } from 'msgpackr'
@@ -9,10 +8,9 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { LinkLimits } from './linkTypes.js'
 
-/** Takes one decoded frame. */
+/** Receives one decoded frame. */
 export type FrameHandler = (frame: unknown) => void
 
-/** Frames over one socket. */
 export class FrameChannel {
   private readonly packr = new Packr({ sequential: true })
   private readonly unpackr: UnpackrStream
@@ -22,8 +20,7 @@
 
   /**
    * @param socket - a connected or connecting socket
-   * @param limits - bounds of sizes
-   * @param onFrame - takes each frame, in order
+   * @param onFrame - receives the frames in order
    */
   constructor (readonly socket: Socket, private readonly limits: LinkLimits, onFrame: FrameHandler) {
     this.unpackr = new UnpackrStream({ maxIncompleteBufferSize: limits.frameBytes })
@@ -35,27 +32,27 @@
     socket.on('end', () => socket.destroy())
   }
 
-  /** Lifts the allowance of the handshake. */
+  /** Lifts the byte limit of the handshake, once the peer is authenticated. */
   trust (): void {
     this.trusted = true
   }
 
-  /** Bytes written that the kernel has not taken yet. */
+  /** Bytes written to the socket that are not yet passed to the kernel. */
   get waitingBytes (): number {
     return this.socket.writableLength
   }
 
   /**
    * Sends one frame; fails with `bodyTooLarge` (`ran: no`) when it exceeds the limit.
-   * @param value - a value that msgpackr can carry
+   * @param value - any value that msgpackr can serialize
    */
   send (value: unknown): Either<Failure, void> {
     if (this.socket.destroyed) return Left(new Failure('peerUnreachable', 'the link is closed'))
     const frame = this.packr.pack(value)
     if (frame.length > this.limits.frameBytes) {
-      // The peer will never see the shapes defined in this frame, so they must be defined again.
+      // The record shapes defined in this frame never reach the peer, so they must be defined again.
       this.packr.clearSharedData()
-      return Left(new Failure('bodyTooLarge', `a frame of ${frame.length} bytes exceeds ${this.limits.frameBytes}`))
+      return Left(new Failure('bodyTooLarge', `frame of ${frame.length} bytes exceeds the limit of ${this.limits.frameBytes} bytes`))
     }
     this.socket.write(frame)
     return Right(undefined)
--- a/packages/peers/src/link/linkTypes.ts
+++ b/packages/peers/src/link/linkTypes.ts
@@ -1,18 +1,15 @@
 /**
- * Calls between VMs: JSON-RPC 2.0 over one TCP connection for each caller and callee, framed by
- * msgpackr. Each end proves that it knows a fleet key before anything else is accepted.
+ * Types and limits of calls between VMs: JSON-RPC 2.0 in msgpackr frames over one TCP connection per client and server.
+ * Both ends authenticate with a fleet key before any call.
  */
 import type { Socket } from 'node:net'
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/**
- * Serves one method; the argument comes checked by nobody, so it is `unknown`. `from` is the
- * holder id that the caller gave in the handshake.
- */
+/** Handles calls of one method. `params` is not validated; `from` is the holder id that the caller sent in the handshake. */
 export type PeerMethod = (params: unknown, from: string) => Promise<unknown>
 
-/** Takes the result of a call that was given up before it came. */
+/** Receives the result of a call that had already timed out. */
 export type LateAnswer = (result: unknown) => void
 
 /** Calls other VMs. Failures: `peerUnreachable` (`ran: unknown` once sent), `peerRefused`. */
@@ -20,70 +17,64 @@
   /**
    * Calls a method of a VM.
    * @param address - IPv4:port of the peer
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
-   * @param timeoutMs - milliseconds until the call is given up
-   * @param onLate - takes a result that comes up to a second after that
+   * @param params - any value that msgpackr can serialize
+   * @param onLate - receives a result that arrives up to one second after the timeout
    */
   call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
   close (): void
 }
 
-/** Sends messages that nobody answers. */
+/** Sends one-way messages. */
 export interface PeerNotifier {
   /**
-   * Sends a notification; it is dropped silently when the peer cannot be reached or is too slow.
+   * Sends a notification; drops it without an error when the peer is unreachable or too slow.
    * @param address - IPv4:port of the peer
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
+   * @param params - any value that msgpackr can serialize
    */
   notify (address: string, method: string, params: unknown): void
 }
 
-/** Serves calls of other VMs. */
 export interface PeerServer {
   register (method: string, handler: PeerMethod): void
   listen (address: string): Promise<void>
   close (): Promise<void>
 }
 
-/** Who this process is to its peers. */
+/** Identity and credentials of this process in the handshake. */
 export interface PeerIdentity {
-  /** Holder id of this process. */
   readonly holder: string
-  /** Fleet keys: the first one signs, every one is accepted. */
+  /** Fleet keys: the first one signs, all of them are accepted. */
   readonly keys: readonly string[]
 }
 
-/** Opens a connection to `IPv4:port`; tests give one that can be cut. */
+/** Opens a connection to `IPv4:port`; replaceable in tests. */
 export type Dial = (address: string) => Socket
 
-/** Bounds of a link; times in milliseconds, sizes in bytes. */
+/** Limits of a link; times in milliseconds, sizes in bytes. */
 export interface LinkLimits {
   /** Time from connecting to the end of the handshake. */
   readonly handshakeMs: number
-  /** Bytes taken from a peer that has not proved itself. */
+  /** Bytes accepted from a peer before it is authenticated. */
   readonly handshakeBytes: number
-  /** Largest frame. */
+  /** Maximum size of one frame. */
   readonly frameBytes: number
-  /** Calls open at once with one peer, and handlers running at once for one. */
+  /** Maximum concurrent calls to one peer, and maximum concurrent handlers per connection. */
   readonly openCalls: number
-  /** Bytes waiting for a slow peer beyond which notifications are dropped. */
+  /** Unsent bytes to a slow peer beyond which notifications are dropped. */
   readonly waitingBytes: number
-  /** A client closes a link on which nothing moved for so long. */
+  /** A client closes a link after this time without traffic. */
   readonly idleMs: number
-  /** A link on which nothing was heard for so long is probed at the next send. */
+  /** A link that received no frame for this time is probed at the next send. */
   readonly probeAfterMs: number
-  /** A probe without answer after this time means that the link is dead. */
+  /** A link is closed when a probe gets no answer within this time. */
   readonly probeTimeoutMs: number
-  /** Shortest and longest wait before a new attempt to connect. */
+  /** Minimum and maximum delay before the next connection attempt. */
   readonly backoffMinMs: number
   readonly backoffMaxMs: number
-  /** Connections that a server holds at once. */
+  /** Maximum concurrent connections of a server. */
   readonly connections: number
 }
 
-/** Limits of the daemon. */
 export const defaultLinkLimits: LinkLimits = {
   handshakeMs: 2_000,
   handshakeBytes: 4_096,
@@ -98,5 +89,5 @@
   connections: 1_024
 }
 
-/** Method by which a client probes a silent link; every server has it. */
+/** Method that probes an unresponsive link; every server provides it. */
 export const PROBE_METHOD = 'link.probe'
--- a/packages/peers/src/link/peerClient.ts
+++ b/packages/peers/src/link/peerClient.ts
@@ -1,7 +1,6 @@
 /**
- * Calls other VMs over TCP. A link is opened when a call asks for it and opened again after a
- * loss only by the next call; after a failed attempt calls fail at once until a jittered
- * backoff has passed.
+ * Calls other VMs over TCP. Links are opened on demand, also after a connection loss; after a failed attempt calls fail
+ * immediately until a jittered exponential backoff has passed.
  */
 import { connect } from 'node:net'
 import { Either, Left } from 'purify-ts'
@@ -12,25 +11,23 @@
 import { defaultLinkLimits, type Dial, type LateAnswer, type LinkLimits, type PeerClient, type PeerIdentity, type PeerNotifier } from './linkTypes.js'
 import { PeerLink, type LinkContext } from './peerLink.js'
 
-/** Addresses whose state is kept at most; the longest unused goes first. */
+/** Maximum number of addresses with cached state; the least recently used is evicted. */
 const MAX_PEERS = 1_024
 const MAX_BACKOFF_DOUBLINGS = 10
 
-/** Connects over TCP. */
 export const dialTcp: Dial = address => connect(parseAddress(address))
 
-/** What is kept for one address. */
+/** State of one address. */
 interface PeerState {
   link: PeerLink | undefined
   openCalls: number
   failures: number
-  /** Monotonic milliseconds before which no new attempt is made. */
+  /** Monotonic milliseconds before which no connection attempt is made. */
   notBefore: number
-  /** When the call was sent whose link nobody answered on; cleared once another link to the peer opened. */
+  /** Monotonic start time of the call that found the link unresponsive; cleared when a new link opens. */
   unansweredAt?: number
 }
 
-/** One call. */
 interface OpenCall {
   readonly method: string
   readonly params: unknown
@@ -38,7 +35,6 @@
   readonly onLate: LateAnswer | undefined
 }
 
-/** Everything a client needs; only `identity`, `clock` and `random` have no default. */
 export interface PeerClientOptions {
   readonly identity: PeerIdentity
   readonly clock: Clock
@@ -47,8 +43,8 @@
   readonly dial?: Dial
   readonly limits?: LinkLimits
   /**
-   * Told when a peer answered on a new connection but not on an old one: connections that were open then may be silent.
-   * Gets the monotonic milliseconds after which nothing was heard on the old one.
+   * Called when a peer answered on a new connection but not on an old one, so other old connections may be dead too.
+   * Receives the monotonic milliseconds since which the old connection received nothing.
    */
   readonly onSilence?: (since: number) => void
 }
@@ -65,7 +61,6 @@
   private isClosed = false
 
   /**
-   * @param options - identity, clock, randomness and limits
    * @throws Failure `settingsInvalid` when there is no usable key
    */
   constructor (options: PeerClientOptions) {
@@ -83,14 +78,13 @@
   }
 
   /**
-   * Calls a method of a VM. Failures besides the peer's own: `peerUnreachable` (`ran: no` when no
-   * connection was made, `unknown` once the call was sent), `peerRefused` (wrong key or no such
-   * method), `overloaded` (too many open calls), `bodyTooLarge`.
+   * Calls a method of a VM. Besides failures of the method: `peerUnreachable` (`ran: no` without a connection, `unknown` once
+   * the call was sent), `peerRefused` (wrong key or no such method), `overloaded` (too many open calls), `bodyTooLarge`.
    */
   async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>> {
     const peer = this.peerAt(address)
     if (peer.openCalls >= this.limits.openCalls) {
-      return Left(new Failure('overloaded', `${peer.openCalls} calls to ${address} are open`, { retryAfterMs: this.limits.backoffMinMs }))
+      return Left(new Failure('overloaded', `${peer.openCalls} calls to ${address} are open, which is the limit`, { retryAfterMs: this.limits.backoffMinMs }))
     }
     peer.openCalls += 1
     try {
@@ -107,7 +101,7 @@
     })
   }
 
-  /** Drops every link; open calls fail, later ones too. */
+  /** Closes all links; open and later calls fail. */
   close (): void {
     this.isClosed = true
     for (const peer of this.peers.values()) peer.link?.close()
@@ -135,7 +129,7 @@
     if (this.isClosed) return Left(new Failure('peerUnreachable', 'the client is closed'))
     const waitMs = peer.notBefore - this.clock.now().mono
     if (waitMs > 0) {
-      return Left(new Failure('peerUnreachable', `${address} failed recently`, { retryAfterMs: Math.ceil(waitMs) }))
+      return Left(new Failure('peerUnreachable', `the last connection attempt to ${address} failed; no new attempt before the backoff ends`, { retryAfterMs: Math.ceil(waitMs) }))
     }
     return Either.encase(() => this.openLink(address, peer)).mapLeft(err => new Failure('peerUnreachable', err.message))
   }
@@ -154,7 +148,7 @@
     if (unansweredAt !== undefined) this.dropSilent(peer, unansweredAt)
   }
 
-  /** Connections mostly go silent together, and each would cost its next call the whole time limit. */
+  /** Connections usually become unresponsive together, and each would cost its next call the full timeout. */
   private dropSilent (answering: PeerState, since: number): void {
     for (const peer of this.peers.values()) {
       const { link } = peer
@@ -173,7 +167,7 @@
   private peerAt (address: string): PeerState {
     const known = this.peers.get(address)
     const peer = known ?? { link: undefined, openCalls: 0, failures: 0, notBefore: 0 }
-    // Moves the address to the end, so that the first one is the longest unused.
+    // Moves the address to the end, so that the first entry is the least recently used.
     this.peers.delete(address)
     this.peers.set(address, peer)
     if (this.peers.size > MAX_PEERS) this.forgetOldest()
--- a/packages/peers/src/link/peerLink.spec.ts
+++ b/packages/peers/src/link/peerLink.spec.ts
@@ -21,7 +21,7 @@
   }
 }
 
-/** `ok`, or the code of a failure and whether the call ran. */
+/** `ok`, or the code of the failure and whether the call ran. */
 function outcomeOf (answer: Either<Failure, unknown>): string {
   return answer.caseOf({ Left: err => `${err.code} ${err.ran}`, Right: () => 'ok' })
 }
@@ -61,11 +61,11 @@
 
   const keyCases = [
     { title: 'same key', client: ['new'], server: ['new'], expected: 'ok' },
-    { title: 'rotation, client signs with the new key', client: ['new', 'old'], server: ['old', 'new'], expected: 'ok' },
-    { title: 'rotation, server signs with the new key', client: ['old', 'new'], server: ['new', 'old'], expected: 'ok' },
-    { title: 'old key withdrawn at the server', client: ['old'], server: ['new'], expected: 'peerRefused no' },
-    { title: 'server accepts the client, which knows only another key', client: ['wrong'], server: ['new', 'wrong'], expected: 'peerRefused no' },
-    { title: 'client accepts the server, which does not know the first key', client: ['wrong', 'new'], server: ['new'], expected: 'peerRefused no' }
+    { title: 'key rotation, client signs with the new key', client: ['new', 'old'], server: ['old', 'new'], expected: 'ok' },
+    { title: 'key rotation, server signs with the new key', client: ['old', 'new'], server: ['new', 'old'], expected: 'ok' },
+    { title: 'old key removed from the server', client: ['old'], server: ['new'], expected: 'peerRefused no' },
+    { title: 'the server accepts the key of the client, but signs with another one', client: ['wrong'], server: ['new', 'wrong'], expected: 'peerRefused no' },
+    { title: 'the client accepts the key of the server, but signs with another one', client: ['wrong', 'new'], server: ['new'], expected: 'peerRefused no' }
   ]
   for (const { title, client, server, expected } of keyCases) {
     it(`${expected}: ${title}`, async () => {
@@ -74,11 +74,11 @@
     })
   }
 
-  it('refuses to work without keys', () => {
+  it('rejects a missing or empty key', () => {
     for (const keys of [[], ['']]) expect(() => new KeyRing(keys)).throw(Failure)
   })
 
-  it('accepts no proof sent back to its author and none of another exchange', () => {
+  it('accepts neither a reflected proof nor a proof of another handshake', () => {
     const ring = new KeyRing(['k'])
     const transcript = { clientHolder: 'a~1', serverHolder: 'b~1', clientNonce: makeNonce(), serverNonce: makeNonce() }
     const proof = ring.prove('server', transcript)
@@ -98,7 +98,7 @@
     { method: 'never', expected: 'peerUnreachable unknown', timeoutMs: 30 }
   ]
   for (const { method, expected, timeoutMs = CALL_MS } of callCases) {
-    it(`a call of '${method}' ends with ${expected}, and the link goes on`, async () => {
+    it(`a call of '${method}' ends with ${expected}, and the link stays usable`, async () => {
       const { address } = await serverWith(['k'])
       const client = clientWith(['k'])
       expect(outcomeOf(await client.call(address, method, { a: 1 }, timeoutMs))).equal(expected)
@@ -106,7 +106,7 @@
     })
   }
 
-  it('carries many record shapes over one link, and goes on after a frame that was too large to send', async () => {
+  it('sends many record shapes over one link, also after a frame that was too large to send', async () => {
     const { address } = await serverWith(['k'])
     const client = clientWith(['k'])
     for (let i = 0; i < 200; i += 1) {
@@ -118,7 +118,7 @@
     }
   })
 
-  it('drops a connection whose frame exceeds the limit, and fails its open calls', async () => {
+  it('closes a connection whose frame exceeds the limit, and fails its open calls', async () => {
     const { address } = await serverWith(['k'], { frameBytes: 100_000 })
     const client = clientWith(['k'])
     const large = 'x'.repeat(1_000_000)
@@ -127,13 +127,13 @@
   })
 
   const strangers = [
-    { title: 'says nothing', bytes: Buffer.alloc(0) },
+    { title: 'sends nothing', bytes: Buffer.alloc(0) },
     { title: 'sends no hello', bytes: Buffer.from(new Packr().pack({ jsonrpc: '2.0', id: 1, method: 'echo' })) },
-    { title: 'sends too much before its proof', bytes: Buffer.alloc(defaultLinkLimits.handshakeBytes + 1, 0xc0) },
-    { title: 'sends a huge length', bytes: Buffer.from([0xdd, 0xff, 0xff, 0xff, 0xff]) }
+    { title: 'exceeds the handshake limit before its proof', bytes: Buffer.alloc(defaultLinkLimits.handshakeBytes + 1, 0xc0) },
+    { title: 'announces a huge length', bytes: Buffer.from([0xdd, 0xff, 0xff, 0xff, 0xff]) }
   ]
   for (const { title, bytes } of strangers) {
-    it(`drops a stranger that ${title}`, async () => {
+    it(`drops an unauthenticated client that ${title}`, async () => {
       const { address } = await serverWith(['k'], { handshakeMs: 50 })
       const socket = connect(parseAddress(address))
       closers.push(() => socket.destroy())
@@ -143,7 +143,7 @@
     })
   }
 
-  it('tells a call that was never sent from one whose connection was cut', async () => {
+  it('reports unknown for a call whose connection was lost, and connects again for the next one', async () => {
     const { address } = await serverWith(['k'])
     const sockets: Socket[] = []
     const dial = (to: string): Socket => {
@@ -156,11 +156,11 @@
     const open = client.call(address, 'never', null, CALL_MS)
     sockets[0]!.destroy()
     expect(outcomeOf(await open)).equal('peerUnreachable unknown')
-    expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS)), 'connects again on demand').equal('ok')
+    expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS)), 'reconnects on demand').equal('ok')
     expect(sockets.length).equal(2)
   })
 
-  it('fails at once within the backoff and connects again after it', async () => {
+  it('fails immediately during the backoff and reconnects after it', async () => {
     const gone = createServer()
     gone.listen(0, '127.0.0.1')
     await once(gone, 'listening')
@@ -177,7 +177,7 @@
     }
   })
 
-  it('bounds the calls open with one peer', async () => {
+  it('limits the concurrent calls to one peer', async () => {
     const { address } = await serverWith(['k'])
     const client = clientWith(['k'], {}, { openCalls: 2 })
     const open = [client.call(address, 'never', null, 50), client.call(address, 'never', null, 50)]
@@ -186,7 +186,7 @@
     expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS))).equal('ok')
   })
 
-  it('drops a link whose peer does not answer a probe', async () => {
+  it('closes a link whose peer does not answer a probe', async () => {
     const { address } = await serverWith(['k'])
     const clock = new ManualClock()
     const sockets: Socket[] = []
@@ -201,7 +201,7 @@
     expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS))).equal('ok')
   })
 
-  it('opens another link after a call that nobody answered, and drops the others that were silent since', async () => {
+  it('opens a new link after a call without response, and retires other links that received nothing since', async () => {
     const servers = [await serverWith(['k']), await serverWith(['k'])]
     const clock = new ManualClock()
     const sockets: Socket[] = []
@@ -218,7 +218,7 @@
     expect(sockets.length).equal(4)
   })
 
-  it('takes an answer that comes after the call was given up, also on a link that is not used any more', async () => {
+  it('delivers a response that arrives after the timeout, also on a retired link', async () => {
     const server = await serverWith(['k'])
     server.register('slow', async params => {
       await pause(120)
@@ -233,18 +233,18 @@
     expect(late).deep.equal([7])
   })
 
-  it('gives no call up whose answer came while the process stood still', async () => {
+  it('does not time out a call whose response arrived while the process was blocked', async () => {
     const { address } = await serverWith(['k'])
     const client = clientWith(['k'])
     await client.call(address, 'echo', 1, CALL_MS)
     const answer = client.call(address, 'echo', 1, 60)
     await pause(0)
-    // The request is out; what follows keeps this process from reading the answer in time.
+    // The request is sent; blocking the process keeps it from reading the response in time.
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 100)
     expect(outcomeOf(await answer)).equal('ok')
   })
 
-  it('keeps a link on which a slow call got no answer in time, but others did', async () => {
+  it('does not retire a link on which one call timed out but others were answered', async () => {
     const { address } = await serverWith(['k'])
     const clock = new ManualClock()
     let dials = 0
@@ -258,7 +258,7 @@
     expect(dials).equal(1)
   })
 
-  it('delivers notifications in order, the first ones after the handshake', async () => {
+  it('delivers notifications in order, also those sent during the handshake', async () => {
     const server = await serverWith(['k'])
     const seen: unknown[] = []
     server.register('note', async params => { seen.push(params) })
--- a/packages/peers/src/link/peerLink.ts
+++ b/packages/peers/src/link/peerLink.ts
@@ -1,6 +1,6 @@
 /**
- * The connecting end of one link: handshake, open calls, and the watch over a silent peer. A
- * link that closed is never used again; the client opens another when a call asks for it.
+ * Client end of one link: handshake, open calls, and probing of an unresponsive peer.
+ * A closed link is not reused; the client opens a new one on demand.
  */
 import type { Socket } from 'node:net'
 import { setImmediate as nextTurn, setTimeout as pause } from 'node:timers/promises'
@@ -13,14 +13,13 @@
 import { challengeSchema, makeNonce, welcomeSchema, type KeyRing, type Transcript } from './handshake.js'
 import { PROBE_METHOD, type LateAnswer, type LinkLimits } from './linkTypes.js'
 
-/** Milliseconds beyond its time limit for which an answer is still taken: a VM short of processor time answers and reads late. */
+/** Time after a timeout within which a response is still accepted: VMs with little CPU time send and read responses late. */
 const LATE_MS = 1_000
-/** Turns of the event loop in which answers are read that had come while this process stood still: a timer is run first. */
+/** Event loop turns that read responses which arrived while the process was blocked; the timer of the timeout runs first. */
 const TURNS_TO_READ = 2
 
 type LinkState = 'greeting' | 'proving' | 'open' | 'closed'
 
-/** What a link needs of its client. */
 export interface LinkContext {
   readonly holder: string
   readonly keys: KeyRing
@@ -28,9 +27,8 @@
   readonly clock: Clock
 }
 
-/** One connection to a peer. */
 export class PeerLink {
-  /** Settles when the handshake ended, with the failure (`ran: no`) if it did not succeed. */
+  /** Resolves when the handshake ends, with a failure (`ran: no`) if it did not succeed. */
   readonly ready: Promise<Either<Failure, void>>
   private readonly channel: FrameChannel
   private readonly rpc: JSONRPCClient
@@ -44,13 +42,10 @@
   private heardAt: number
   private probedAt: number | undefined
   private nextId = 0
-  /** Why a call was not sent, by its id, until the call is answered. */
+  /** Send failures by call id, until the call returns. */
   private readonly unsent = new Map<number, Failure>()
 
-  /**
-   * @param socket - a connecting socket
-   * @param context - identity, limits and clock of the client
-   */
+  /** @param socket - a connecting socket */
   constructor (private readonly socket: Socket, private readonly context: LinkContext) {
     const { limits, clock, holder } = context
     this.heardAt = clock.now().mono
@@ -62,27 +57,25 @@
     socket.once('close', () => this.closed())
   }
 
-  /** Whether the link may be used or will be soon. */
+  /** Whether calls can use the link, possibly after its handshake. */
   get usable (): boolean {
     return this.state !== 'closed' && !this.retired && !this.socket.destroyed
   }
 
-  /** Whether the handshake succeeded at some time. */
+  /** Whether the handshake has succeeded; stays true after the link is closed. */
   get wasOpen (): boolean {
     return this.opened
   }
 
-  /** Whether it was retired because nobody answered on it. */
+  /** Whether the link was retired because a call got no response and nothing else arrived since. */
   get wentSilent (): boolean {
     return this.silent
   }
 
   /**
    * Calls a method; the handshake must have succeeded.
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
-   * @param timeoutMs - milliseconds until the call is given up
-   * @param onLate - takes an answer that comes after that
+   * @param params - any value that msgpackr can serialize
+   * @param onLate - receives a result that arrives after the timeout
    */
   async request (method: string, params: unknown, timeoutMs: number, onLate: LateAnswer = () => {}): Promise<Either<Failure, unknown>> {
     this.watch()
@@ -91,9 +84,9 @@
     const id = this.nextId
     const sentAt = this.context.clock.now().mono
     const req = createJSONRPCRequest(id, method, params)
-    const timed = this.rpc.timeout(timeoutMs + LATE_MS, lateId => createJSONRPCErrorResponse(lateId, LOCAL_ERROR_CODE, `no answer to ${method}`))
+    const timed = this.rpc.timeout(timeoutMs + LATE_MS, lateId => createJSONRPCErrorResponse(lateId, LOCAL_ERROR_CODE, `no response to ${method}`))
     const pending = timed.requestAdvanced(req)
-    const answer = await inTime(pending, timeoutMs) ?? this.givenUp(pending, id, `no answer to ${method} within ${timeoutMs} ms`, onLate)
+    const answer = await inTime(pending, timeoutMs) ?? this.givenUp(pending, id, `no response to ${method} within ${timeoutMs} ms`, onLate)
     if (answer.error === undefined) return Right(answer.result)
     const unsent = this.unsent.get(id)
     this.unsent.delete(id)
@@ -101,18 +94,14 @@
     return Left(unsent ?? fromErrorResponse(answer.error))
   }
 
-  /**
-   * Whether anything was heard on the link after a time.
-   * @param mono - monotonic milliseconds
-   */
+  /** Whether a frame was received after a time, in monotonic milliseconds. */
   heardAfter (mono: number): boolean {
     return this.heardAt > mono
   }
 
   /**
-   * Sends a notification, unless the peer is too slow to take it.
-   * @param method - method name
-   * @param params - a value that msgpackr can carry
+   * Sends a notification; drops it when the peer is too slow.
+   * @param params - any value that msgpackr can serialize
    */
   notify (method: string, params: unknown): void {
     this.watch()
@@ -120,14 +109,14 @@
     this.channel.send(createJSONRPCNotification(method, params))
   }
 
-  /** Takes no further calls; answers that come late are still taken. */
+  /** Stops accepting calls; late responses are still accepted. */
   retire (): void {
     if (this.retired) return
     this.retired = true
     setTimeout(() => { this.socket.destroy() }, LATE_MS).unref()
   }
 
-  /** Drops the connection; open calls fail. */
+  /** Closes the connection; open calls fail. */
   close (): void {
     this.socket.destroy()
   }
@@ -151,7 +140,7 @@
 
   private prove (frame: unknown): void {
     const challenge = challengeSchema.safeParse(frame)
-    if (!challenge.success) return this.refuse('the peer speaks another protocol')
+    if (!challenge.success) return this.refuse('the peer sent no valid challenge; its protocol may differ')
     const { holder, keys } = this.context
     const transcript: Transcript = {
       clientHolder: holder,
@@ -159,13 +148,13 @@
       clientNonce: this.nonce,
       serverNonce: challenge.data.nonce
     }
-    if (!keys.accepts('server', transcript, challenge.data.proof)) return this.refuse('the peer knows no valid key')
+    if (!keys.accepts('server', transcript, challenge.data.proof)) return this.refuse('the proof of the peer matches none of the configured keys')
     this.state = 'proving'
     this.channel.send({ kind: 'response', proof: keys.prove('client', transcript) })
   }
 
   private open (frame: unknown): void {
-    if (!welcomeSchema.safeParse(frame).success) return this.refuse('the peer speaks another protocol')
+    if (!welcomeSchema.safeParse(frame).success) return this.refuse('the peer sent no valid welcome; its protocol may differ')
     clearTimeout(this.deadline)
     this.state = 'open'
     this.opened = true
@@ -183,14 +172,14 @@
     const last = this.state
     this.state = 'closed'
     clearTimeout(this.deadline)
-    // A peer that drops the link instead of a welcome did not accept the proof.
+    // A peer that closes the connection instead of sending a welcome did not accept the proof.
     this.settle(Left(last === 'proving'
-      ? new Failure('peerRefused', 'the peer did not accept the key')
-      : new Failure('peerUnreachable', 'no connection was made')))
+      ? new Failure('peerRefused', 'the peer did not accept the proof')
+      : new Failure('peerUnreachable', 'the connection closed before the handshake completed')))
     this.rpc.rejectAllPendingRequests('the connection was lost')
   }
 
-  /** A connection that went silent stays so: the next call opens another, which costs two round trips in place of its time limit. */
+  /** An unresponsive connection does not recover: a new one costs the next call two round trips instead of its full timeout. */
   private unanswered (sentAt: number): void {
     if (!this.usable || this.heardAfter(sentAt)) return
     this.silent = true
@@ -202,7 +191,7 @@
     return createJSONRPCErrorResponse(id, LOCAL_ERROR_CODE, detail)
   }
 
-  /** Probes a peer that was silent for long; drops the link when an earlier probe got no answer. */
+  /** Probes a peer that sent nothing for `probeAfterMs`; closes the link when an earlier probe got no answer in time. */
   private watch (): void {
     const { clock, limits } = this.context
     const now = clock.now().mono
@@ -217,7 +206,7 @@
   }
 }
 
-/** The answer; undefined when it has not come in time and was not waiting to be read either. */
+/** The response; undefined when it neither arrived in time nor was waiting unread in the socket. */
 async function inTime (pending: PromiseLike<JSONRPCResponse>, timeoutMs: number): Promise<JSONRPCResponse | undefined> {
   const stop = new AbortController()
   const limit = pause(timeoutMs, undefined, { signal: stop.signal }).then(async () => {
--- a/packages/peers/src/link/peerServer.ts
+++ b/packages/peers/src/link/peerServer.ts
@@ -1,6 +1,5 @@
 /**
- * Serves calls of other VMs over TCP. Connections that do not prove themselves in time, and
- * those beyond the bound, are dropped.
+ * Serves calls of other VMs over TCP. Drops connections that do not authenticate in time and those beyond the connection limit.
  */
 import { once } from 'node:events'
 import { createServer, type Server, type Socket } from 'node:net'
@@ -21,9 +20,7 @@
   private readonly context: SessionContext
 
   /**
-   * @param identity - holder id and fleet keys of this process
-   * @param log - where faults of handlers go
-   * @param limits - bounds of each link
+   * @param log - receives unexpected errors of handlers
    * @throws Failure `settingsInvalid` when there is no usable key
    */
   constructor (identity: PeerIdentity, private readonly log: EventLog, limits: LinkLimits = defaultLinkLimits) {
@@ -37,10 +34,8 @@
   }
 
   /**
-   * Adds a method. A `Failure` that the handler throws reaches the caller as it is; anything
-   * else is logged and reaches it as `internal`.
-   * @param method - method name
-   * @param handler - serves the calls
+   * Adds a method. A `Failure` thrown by the handler is returned to the caller; any other error is logged and returned
+   * as `internal`.
    */
   register (method: string, handler: PeerMethod): void {
     this.rpc.addMethod(method, async (params, from) => {
@@ -54,8 +49,8 @@
   }
 
   /**
-   * Begins to listen.
-   * @param address - IPv4:port; port 0 takes any free one
+   * Starts listening.
+   * @param address - IPv4:port; port 0 selects any free port
    */
   async listen (address: string): Promise<void> {
     const { host, port } = parseAddress(address)
@@ -63,14 +58,14 @@
     await once(this.server, 'listening')
   }
 
-  /** The address listened on, as IPv4:port. */
+  /** The bound address, as IPv4:port. */
   get address (): string {
     const bound = this.server.address()
-    if (bound === null || typeof bound === 'string') throw new Failure('internal', 'the peer server does not listen')
+    if (bound === null || typeof bound === 'string') throw new Failure('internal', 'the peer server is not listening')
     return `${bound.address}:${bound.port}`
   }
 
-  /** Stops listening and drops every connection. */
+  /** Stops listening and closes all connections. */
   async close (): Promise<void> {
     if (!this.server.listening) return
     const closed = once(this.server, 'close')
--- a/packages/peers/src/link/peerSession.ts
+++ b/packages/peers/src/link/peerSession.ts
@@ -1,5 +1,5 @@
 /**
- * The listening end of one link: handshake first, then calls.
+ * Server end of one link: handshake first, then calls.
  */
 import type { Socket } from 'node:net'
 import { createJSONRPCErrorResponse, isJSONRPCRequest, JSONRPCErrorCode, type JSONRPCRequest, type JSONRPCResponse, type JSONRPCServer } from 'json-rpc-2.0'
@@ -9,7 +9,7 @@
 import { helloSchema, makeNonce, responseSchema, type Hello, type KeyRing, type Transcript } from './handshake.js'
 import type { LinkLimits } from './linkTypes.js'
 
-/** A server keeps an idle link so many times longer than a client, so that the client closes it. */
+/** Server idle timeout as a multiple of the client's, so that the client closes an idle link first. */
 const SERVER_IDLE_FACTOR = 3
 
 type SessionState =
@@ -17,7 +17,6 @@
   | { readonly kind: 'challenged', readonly transcript: Transcript }
   | { readonly kind: 'open', readonly from: string }
 
-/** What a session needs of its server. */
 export interface SessionContext {
   readonly holder: string
   readonly keys: KeyRing
@@ -25,26 +24,17 @@
   readonly rpc: JSONRPCServer<string>
 }
 
-/**
- * Serves one accepted connection until it closes.
- * @param socket - the accepted connection
- * @param context - identity, limits and methods of the server
- */
+/** Serves one accepted connection until it closes. */
 export function servePeer (socket: Socket, context: SessionContext): PeerSession {
   return new PeerSession(socket, context)
 }
 
-/** One accepted connection. */
 class PeerSession {
   private readonly channel: FrameChannel
   private readonly deadline: NodeJS.Timeout
   private state: SessionState = { kind: 'greeting' }
   private running = 0
 
-  /**
-   * @param socket - the accepted connection
-   * @param context - identity, limits and methods of the server
-   */
   constructor (private readonly socket: Socket, private readonly context: SessionContext) {
     this.channel = new FrameChannel(socket, context.limits, frame => this.take(frame))
     this.deadline = setTimeout(() => socket.destroy(), context.limits.handshakeMs)
@@ -91,7 +81,7 @@
 
   private serve (frame: unknown, from: string): void {
     if (!isJSONRPCRequest(frame)) {
-      this.channel.send(createJSONRPCErrorResponse(null, JSONRPCErrorCode.InvalidRequest, 'not a request'))
+      this.channel.send(createJSONRPCErrorResponse(null, JSONRPCErrorCode.InvalidRequest, 'the frame is not a JSON-RPC request'))
       return
     }
     if (this.running >= this.context.limits.openCalls) {
@@ -103,7 +93,7 @@
 
   private shed (req: JSONRPCRequest): void {
     if (req.id === undefined) return
-    this.channel.send(toErrorResponse(req.id, new Failure('overloaded', 'too many calls are running for this peer')))
+    this.channel.send(toErrorResponse(req.id, new Failure('overloaded', 'the limit of concurrent calls for this connection is reached')))
   }
 
   private async run (req: JSONRPCRequest, from: string): Promise<void> {
--- a/packages/rosemaryspread/src/admin/adminMembers.ts
+++ b/packages/rosemaryspread/src/admin/adminMembers.ts
@@ -1,15 +1,11 @@
 /**
- * Shows members to operators.
+ * Converts the membership view to the admin API's list of VMs.
  */
 import { Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { MemberView } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import type { VmAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
 
-/**
- * Members as operators see them.
- * @param members - what membership knows
- */
 export async function memberAnswers (members: readonly MemberView[]): Promise<Either<Failure, readonly VmAnswer[]>> {
   return Right(members.map(({ vm, domain, callers, state, configVersion, ageMs }) =>
     ({ vm, domain, address: callers, state, configVersion, ageMs: Math.round(ageMs) })))
--- a/packages/rosemaryspread/src/admin/adminService.spec.ts
+++ b/packages/rosemaryspread/src/admin/adminService.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What operators are shown of runners: the view of the VM that answers, else the configured state.
+ * The runner list of the admin API: the state observed by the VM that answers, or else the configured state.
  */
 import { expect } from 'chai'
 import { Just } from 'purify-ts'
@@ -17,9 +17,9 @@
 describe('FleetAdminService.runners', () => {
   const ejected: RunnerStanding = { runner: 'r1', state: 'ejected', reason: 'consecutive failures', inFlight: 2, reportAgeMs: 900 }
   const cases: ReadonlyArray<{ readonly name: string, readonly standings: readonly RunnerStanding[], readonly shown: object }> = [
-    { name: 'the state that this VM sees', standings: [ejected], shown: { ...ejected, kind: 'model', ...place } },
-    { name: 'the configured state of a runner that the router does not know', standings: [], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } },
-    { name: 'no runner that is not configured', standings: [{ ...ejected, runner: 'old' }], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } }
+    { name: 'the state observed by this VM', standings: [ejected], shown: { ...ejected, kind: 'model', ...place } },
+    { name: 'the configured state of a runner that is missing from the router', standings: [], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } },
+    { name: 'no runner that was removed from the configuration', standings: [{ ...ejected, runner: 'old' }], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } }
   ]
   for (const { name, standings, shown } of cases) {
     it(`shows ${name}`, async () => {
--- a/packages/rosemaryspread/src/admin/adminService.ts
+++ b/packages/rosemaryspread/src/admin/adminService.ts
@@ -1,5 +1,5 @@
 /**
- * What operators may do through the admin API of any VM.
+ * Operations of the admin API; every VM serves them.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { AdminService, BudgetAnswer, ConfigAnswer, HistoryEntry, OperatorIdentity, PatchAnswer, PatchRequest, RunnerAnswer, TopUpRequest, VmAnswer } from '@rosemaryspread/operators/admin/adminTypes.js'
@@ -9,37 +9,36 @@
 import type { KeyDirectory } from '../directory/keyDirectory.js'
 import type { BudgetReader } from '../directory/callerDirectory.js'
 
-/** Name of the operator whose key stands in the settings. */
+/** Name of the operator whose key hash is in the settings. */
 const BOOTSTRAP_OPERATOR = 'bootstrap'
 
-/** Budgets as operators use them. */
+/** Budget operations of the admin API. */
 export interface BudgetAdmin extends BudgetReader {
   topUp (budget: string, req: TopUpRequest): Promise<Either<Failure, BudgetAnswer>>
 }
 
-/** The numbered configuration as operators use it. */
+/** Operations on the versioned configuration. */
 export interface ConfigAdmin {
   get (version?: number): Promise<Either<Failure, ConfigAnswer>>
   patch (req: PatchRequest): Promise<Either<Failure, PatchAnswer>>
   history (limit: number): Promise<Either<Failure, readonly HistoryEntry[]>>
 }
 
-/** What the service is composed of. */
 export interface AdminDeps {
   readonly current: CurrentConfig
   readonly config: ConfigAdmin
   readonly budgets: BudgetAdmin
   readonly keys: KeyDirectory
-  /** The operator of the settings; its key is valid while the configuration names no operator. */
+  /** Holds the bootstrap key, which is valid only while the configuration has no operators. */
   readonly bootstrapKeys: KeyDirectory
   readonly vms: () => Promise<Either<Failure, readonly VmAnswer[]>>
   readonly addresses: () => readonly string[]
-  /** Model runners as this VM sees them. */
+  /** States of the model runners as observed by this VM. */
   readonly runnerStates: () => readonly RunnerStanding[]
   readonly serviceInFlight: (runner: string) => number
 }
 
-/** Answers operators. */
+/** Serves the admin API from the current configuration, the budgets and the local view of the fleet. */
 export class FleetAdminService implements AdminService {
   constructor (private readonly deps: AdminDeps) {}
 
@@ -79,7 +78,7 @@
     return await this.deps.vms()
   }
 
-  /** Model runners have the state that this VM sees, or the configured one when the router does not know them. */
+  /** Lists all runners. A model runner that is missing from the router is listed with its configured state. */
   async runners (): Promise<Either<Failure, readonly RunnerAnswer[]>> {
     const config = this.deps.current.current().extractNullable()?.config
     const seen = new Map(this.deps.runnerStates().map(standing => [standing.runner, standing]))
--- a/packages/rosemaryspread/src/cli/exitCodes.ts
+++ b/packages/rosemaryspread/src/cli/exitCodes.ts
@@ -2,7 +2,6 @@
  * Exit codes of the binary `rosemaryspread`; docs/SETTINGS.md lists them.
  */
 
-/** Exit codes by name. */
 export const exitCodes = {
   ok: 0,
   fault: 1,
--- a/packages/rosemaryspread/src/cli/serveMain.ts
+++ b/packages/rosemaryspread/src/cli/serveMain.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The binary `rosemaryspread`: runs one VM, or only checks its settings file.
+ * Entry point of the `rosemaryspread` binary: runs one VM, or validates its settings file.
  */
 import 'reflect-metadata'
 import { readFileSync } from 'node:fs'
@@ -18,7 +18,7 @@
   return String((parsed as { version: unknown }).version)
 }
 
-/** Loads the settings or ends the process with every mistake named. */
+/** Loads the settings; on invalid settings prints every error and exits. */
 async function settingsOrExit (file: string): Promise<Settings> {
   const loaded = await loadSettings(file)
   const failure = failureOf(loaded)
@@ -59,7 +59,7 @@
   .scriptName('rosemaryspread')
   .usage('$0 <command>')
   .command('serve', 'run one VM of the fleet', args => args.option('config', { type: 'string', demandOption: true, describe: 'settings file (YAML)' }), async args => { await serve(args.config) })
-  .command('check-config <file>', 'check a settings file and start nothing', args => args.positional('file', { type: 'string', demandOption: true, describe: 'settings file (YAML)' }), async args => { await checkConfig(args.file) })
+  .command('check-config <file>', 'validate a settings file without starting the VM', args => args.positional('file', { type: 'string', demandOption: true, describe: 'settings file (YAML)' }), async args => { await checkConfig(args.file) })
   .demandCommand(1, 'name a command')
   .strict()
   .version(readVersion())
--- a/packages/rosemaryspread/src/clock/steadyClock.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.ts
@@ -1,46 +1,44 @@
 /**
- * The clocks of a VM whose time of day may jump and that may be suspended. No clock of the process alone tells the two apart: the
- * monotonic one stands still while the VM is suspended, the time of day goes on, but also jumps by itself. So a jump ahead of
- * the time of day is first held against what lapses (it counts in `wall`, which elapsed times take where it is more), and the clock of
- * another machine then decides: if that went on as well the VM was suspended, and `mono` catches up; if not, nothing passed.
- * The up-time of the system would be a witness too, but Node reads it from a file that some machines pass through from their host.
+ * Clock that includes suspensions of the VM. The monotonic clock stops during a suspension and the time of day may be set, so a
+ * forward jump of the time of day counts in `wall` only (towards expiry), until a remote clock confirms it as a suspension (then
+ * `mono` catches up) or refutes it. The system uptime can't decide: Node reads it from a file that containers may share with the host.
  */
 import { performance } from 'node:perf_hooks'
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 
-/** Milliseconds from which on a difference between clocks is a jump and not drift, or the time between two readings. */
+/** Smaller differences between clocks, in milliseconds, are drift or the delay between two readings. */
 const JUMP_MS = 100
 
-/** Takes the clock of another machine into account. */
+/** Receives readings of the monotonic clock of another machine. */
 export interface ClockWitness {
   /**
-   * Another machine told its steady clock.
-   * @param theirs - its milliseconds
-   * @param askedAt - monotonic milliseconds of this VM at which it was asked
+   * Compares a remote reading with the local clocks.
+   * @param theirs - remote monotonic milliseconds
+   * @param askedAt - local monotonic milliseconds at which the reading was requested
    */
   witnessed (theirs: number, askedAt: number): void
 }
 
-/** Bounds of how far the other clock is ahead of this one's `mono`. */
+/** Bounds of the remote clock minus the local `mono`, in milliseconds. */
 interface Ahead {
   readonly least: number
   readonly most: number
 }
 
-/** Reads the clocks of the system. */
+/** Reads the system clocks and corrects them for suspensions. */
 export class SteadyClock implements Clock, ClockWitness {
   private readonly wallAtZero = Date.now() - performance.now()
-  /** The time of day less the monotonic clock, at the last reading. */
+  /** Time of day minus the monotonic clock, at the last reading. */
   private gapMs = this.wallAtZero
-  /** Milliseconds of proved suspensions. */
+  /** Total milliseconds of confirmed suspensions. */
   private suspendedMs = 0
-  /** Milliseconds by which the time of day jumped ahead, for a suspension or by itself. */
+  /** Forward jump of the time of day that no remote clock has confirmed or refuted yet. */
   private doubtMs = 0
   /** `mono` at the last jump. */
   private jumpedAt = -Infinity
   private ahead: Ahead | undefined
 
-  /** @param onSuspended - told of a proved suspension, with its milliseconds */
+  /** @param onSuspended - receives the milliseconds of each confirmed suspension */
   constructor (private readonly onSuspended: (milliseconds: number) => void = () => {}) {}
 
   now (): Instant {
@@ -52,13 +50,13 @@
 
   witnessed (theirs: number, askedAt: number): void {
     const { mono } = this.now()
-    // What was asked before a jump and answered after it bounds neither.
+    // A request that spans a jump gives no bounds for the offset before or after it.
     if (askedAt <= this.jumpedAt) return
     const heard = { least: theirs - mono, most: theirs - askedAt }
     const known = this.ahead ?? heard
     const isStill = overlap(heard, known)
     const isMoved = overlap(heard, moved(known, this.doubtMs))
-    // An answer that took long fits both; a later one will tell.
+    // A slow response fits both cases; a later one decides.
     if (this.doubtMs > 0 && isStill && isMoved) return
     if (this.doubtMs > 0 && !isStill) this.suspended(isMoved ? this.doubtMs : between(0, heard.least - known.most, this.doubtMs))
     this.doubtMs = 0
@@ -78,7 +76,7 @@
     this.onSuspended(milliseconds)
   }
 
-  /** Bounds that do not meet the known ones any more are those of another clock, or of one that drifted. */
+  /** Intersects the bounds; disjoint bounds belong to another remote clock or to one that drifted, and replace the old ones. */
   private narrowed (heard: Ahead): Ahead {
     const { ahead } = this
     if (ahead === undefined || heard.least > ahead.most || heard.most < ahead.least) return heard
--- a/packages/rosemaryspread/src/compose/bindBase.ts
+++ b/packages/rosemaryspread/src/compose/bindBase.ts
@@ -1,6 +1,6 @@
 /**
- * Bindings that need nothing but the settings: identity, clocks, log, metrics, and the clients
- * of the platform, the peers and the runners.
+ * Bindings that depend only on the settings: identity, clock, log, metrics, and the clients of the platform, the peers and
+ * the runners.
  */
 import type { Container } from 'inversify'
 import { JsonRpcPeerClient } from '@rosemaryspread/peers/link/peerClient.js'
@@ -18,16 +18,10 @@
 import { ids } from './serviceIds.js'
 import { identityOf } from './vmIdentity.js'
 
-/** Milliseconds for a call to an engine other than a stream. */
+/** Time limit in milliseconds of engine calls that are not streamed. */
 const ENGINE_CALL_MS = 2_000
-/** Largest answer of an application runner, in bytes. */
 const MAX_APPLICATION_ANSWER_BYTES = 16 * 1024 * 1024
 
-/**
- * Binds the base of a VM.
- * @param container - the container
- * @param settings - settings of the VM
- */
 export function bindBase (container: Container, settings: Settings): void {
   const identity = identityOf(settings)
   const { vm, domain, holder } = identity
--- a/packages/rosemaryspread/src/compose/bindBudgets.ts
+++ b/packages/rosemaryspread/src/compose/bindBudgets.ts
@@ -1,5 +1,5 @@
 /**
- * Bindings of budgets: the driver over the table service and the other VMs.
+ * Bindings of the budget driver and the bill archive.
  */
 import type { Container } from 'inversify'
 import { defaultBudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
@@ -10,10 +10,7 @@
 import type { CurrentConfig } from '../completion/completionPorts.js'
 import { ids } from './serviceIds.js'
 
-/**
- * Binds budgets.
- * @param container - the container; base and membership are bound already
- */
+/** Needs the bindings of `bindBase` and `bindConfig`. */
 export function bindBudgets (container: Container): void {
   container.bind(ids.budgets).toDynamicValue(ctx => {
     const { holder, domain, place } = ctx.get(ids.identity)
--- a/packages/rosemaryspread/src/compose/bindConfig.ts
+++ b/packages/rosemaryspread/src/compose/bindConfig.ts
@@ -1,5 +1,5 @@
 /**
- * Bindings of membership and the numbered configuration.
+ * Bindings of membership and the versioned configuration.
  */
 import { Maybe } from 'purify-ts'
 import type { Container } from 'inversify'
@@ -18,10 +18,7 @@
   }
 }
 
-/**
- * Binds membership and configuration.
- * @param container - the container; the base is bound already
- */
+/** Needs the bindings of `bindBase`. */
 export function bindConfig (container: Container): void {
   container.bind(ids.configStore).toResolvedValue((table, objects, clock, log, random) =>
     new ConfigStore({ table, objects, clock, log, timers: systemTimers, random: () => random.next() }),
--- a/packages/rosemaryspread/src/compose/bindPlacement.ts
+++ b/packages/rosemaryspread/src/compose/bindPlacement.ts
@@ -1,5 +1,5 @@
 /**
- * Bindings of placement: the lease of its role and the driver that acts under it.
+ * Bindings of placement: the lease of the placement role and the driver that acts while it holds the lease.
  */
 import type { Container } from 'inversify'
 import { MEMBER_ROLES } from '@rosemaryspread/decisions/membership/memberRoles.js'
@@ -8,10 +8,7 @@
 import { PlacementDriver } from '../placement/placementDriver.js'
 import { ids } from './serviceIds.js'
 
-/**
- * Binds placement. The lease is wanted only while the configuration turns placement on.
- * @param container - the container; base, membership and configuration are bound already
- */
+/** Needs the bindings of `bindBase` and `bindConfig`. A VM is a candidate for the lease only while the configuration enables placement. */
 export function bindPlacement (container: Container): void {
   container.bind(ids.placementLease).toDynamicValue(ctx => {
     const config = ctx.get(ids.currentConfig)
--- a/packages/rosemaryspread/src/compose/bindServing.ts
+++ b/packages/rosemaryspread/src/compose/bindServing.ts
@@ -1,5 +1,5 @@
 /**
- * Bindings of request handling: routing, completions, calls to services, and the two APIs.
+ * Bindings of request handling: routing, completions, service calls, and the caller and admin APIs.
  */
 import type { Container } from 'inversify'
 import { CallerServer } from '@rosemaryspread/callers/api/callerServer.js'
@@ -21,10 +21,7 @@
 import { ClaimStore } from '../service/serviceClaim.js'
 import { ids } from './serviceIds.js'
 
-/**
- * Binds request handling.
- * @param container - the container; base, configuration and budgets are bound already
- */
+/** Needs the bindings of `bindBase`, `bindConfig` and `bindBudgets`. */
 export function bindServing (container: Container): void {
   bindRouting(container)
   bindCompletions(container)
--- a/packages/rosemaryspread/src/compose/composeVm.ts
+++ b/packages/rosemaryspread/src/compose/composeVm.ts
@@ -1,5 +1,5 @@
 /**
- * The composition root: builds the container of one VM and hands out the running process.
+ * Composition root: builds the dependency injection container of one VM.
  */
 import 'reflect-metadata'
 import { Container } from 'inversify'
@@ -14,8 +14,7 @@
 
 /**
  * Composes one VM.
- * @param settings - its settings
- * @param rebind - changes bindings before anything is built; tests bind weaker parts with it
+ * @param rebind - changes bindings before any service is created; tests use it to bind faulty components
  */
 export function composeVm (settings: Settings, rebind: (container: Container) => void = () => {}): VmProcess {
   const container = new Container()
--- a/packages/rosemaryspread/src/compose/serviceIds.ts
+++ b/packages/rosemaryspread/src/compose/serviceIds.ts
@@ -1,6 +1,5 @@
 /**
- * Identifiers of everything the container binds. Each is typed, so that what is asked for and
- * what is bound cannot differ.
+ * Typed service identifiers of the container: the type of a binding and of its injection must match.
  */
 import type { ServiceIdentifier } from 'inversify'
 import type { AdminServer } from '@rosemaryspread/operators/admin/adminServer.js'
@@ -43,7 +42,6 @@
   return Symbol.for(name) as ServiceIdentifier<T>
 }
 
-/** Identifiers by subject. */
 export const ids = {
   settings: id<Settings>('Settings'),
   identity: id<VmIdentity>('VmIdentity'),
@@ -63,7 +61,7 @@
 
   members: id<MemberDriver>('MemberDriver'),
   fleetSize: id<FleetSize>('FleetSize'),
-  /** Called when another process runs under this VM's name. */
+  /** Called with the holder id of another process that runs under this VM's name. */
   onReplaced: id<(by: string) => void>('OnReplaced'),
   versionHints: id<VersionHints>('VersionHints'),
   configStore: id<ConfigStore>('ConfigStore'),
--- a/packages/rosemaryspread/src/compose/vmIdentity.ts
+++ b/packages/rosemaryspread/src/compose/vmIdentity.ts
@@ -1,5 +1,5 @@
 /**
- * Who this process is: its VM, its incarnation and the addresses under which others reach it.
+ * Identity of this process: VM name, incarnation and advertised addresses.
  */
 import { createHash, randomBytes } from 'node:crypto'
 import { readFileSync, readlinkSync } from 'node:fs'
@@ -8,24 +8,20 @@
 
 const INCARNATION_BYTES = 6
 
-/** Identity of one process. */
 export interface VmIdentity {
   readonly vm: string
   readonly domain: string
   readonly region: string
   readonly holder: HolderId
-  /** IPv4:port told to callers, operators and peers. */
+  /** IPv4:port advertised to callers, operators and peers. */
   readonly callers: string
   readonly operators: string
   readonly peers: string
-  /** Name of the peers' address on this very system; undefined where the system does not tell itself apart. */
+  /** Hash of boot id, network namespace and peer listen address; undefined where /proc does not provide them. */
   readonly place: string | undefined
 }
 
-/**
- * Makes the identity of a fresh process.
- * @param settings - settings of the VM
- */
+/** Creates an identity with a new random incarnation. */
 export function identityOf (settings: Settings): VmIdentity {
   const { vm, domain, region, listen, advertise } = settings
   return {
@@ -40,7 +36,7 @@
   }
 }
 
-/** The boot and the network namespace tell systems apart that have the same addresses. */
+/** Boot id and network namespace distinguish systems that use the same address. */
 function placeOf (address: string): string | undefined {
   try {
     const boot = readFileSync('/proc/sys/kernel/random/boot_id', 'utf8').trim()
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -1,5 +1,5 @@
 /**
- * One running VM: starts its parts in order, keeps their timers, and drains it gracefully.
+ * Lifecycle of one VM process: ordered start, periodic work, and graceful drain.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import type { Container } from 'inversify'
@@ -10,24 +10,19 @@
 import { FETCH_METHOD, PUSH_METHOD } from '../config/configSpread.js'
 import { ids } from './serviceIds.js'
 
-/** Milliseconds between two ticks of the budgets. */
 const BUDGET_TICK_MS = 100
-/** Milliseconds between two looks at the requests that wait for a runner. */
 const QUEUE_TICK_MS = 50
-/** Milliseconds between two looks at the schedule of load calls. */
+/** Interval at which the schedule of load polls is checked. */
 const POLL_TICK_MS = 250
-/** Milliseconds between two passes over what ended holders held. */
+/** Interval of recovering the allotments of terminated holders. */
 const RECOVERY_MS = 5_000
-/** Milliseconds between two passes that archive old bills. */
 const ARCHIVE_MS = 300_000
-/** Role whose candidates recover what ended holders held, and archive old bills. */
+/** Role whose candidates recover the allotments of terminated holders and archive old bills. */
 const RECOVERY_ROLE = 'recovery'
-/** Milliseconds between two rounds of placement. */
 const PLACEMENT_TICK_MS = 1_000
-/** Milliseconds between two tries to settle runs whose cost is not known. */
+/** Interval of retrying to settle runs whose cost is unknown. */
 const UNSETTLED_RETRY_MS = 1_000
 
-/** The process of one VM. */
 export class VmProcess {
   private readonly log: EventLog
   private readonly timers: NodeJS.Timeout[] = []
@@ -36,7 +31,7 @@
     this.log = container.get(ids.log)
   }
 
-  /** Starts everything; the failure is `settingsInvalid` when an address cannot be listened on. */
+  /** Starts the servers and timers; fails with `settingsInvalid` when it cannot listen on an address. */
   async start (): Promise<Either<Failure, void>> {
     const settings = this.container.get(ids.settings)
     const identity = this.container.get(ids.identity)
@@ -47,7 +42,7 @@
       await this.container.get(ids.adminServer).listen(settings.listen.operators)
       await this.container.get(ids.callerServer).listen(settings.listen.callers)
     } catch (err) {
-      return Left(new Failure('settingsInvalid', `cannot listen: ${toFailure(err).message}`))
+      return Left(new Failure('settingsInvalid', `cannot listen on the configured addresses: ${toFailure(err).message}`))
     }
     this.log.write('started', { ...identity })
     this.startTimers()
@@ -60,7 +55,7 @@
     return Right(undefined)
   }
 
-  /** Takes no new work, finishes what is open, and hands everything back. Resolves to false when the time ran out. */
+  /** Refuses new work, finishes open requests and returns leases and allotments. Resolves to false on timeout. */
   async drain (): Promise<boolean> {
     const work = this.container.get(ids.work)
     const { drainTimeoutMs, drainLingerMs } = this.container.get(ids.settings)
@@ -79,8 +74,8 @@
   }
 
   /**
-   * Stops taking work because another process runs under this VM's name.
-   * @param by - its holder id
+   * Drains and exits because another process runs under this VM's name.
+   * @param by - holder id of that process
    */
   replacedBy (by: string): void {
     this.log.write('peerSeen', { peer: this.container.get(ids.identity).vm, state: 'replaced', evidence: by })
@@ -122,7 +117,7 @@
     this.every(UNSETTLED_RETRY_MS, async () => { await unsettled.retryAll() })
   }
 
-  /** Passes of several VMs do no harm to each other; the table's row versions decide. */
+  /** Concurrent passes of several VMs are safe: conditional writes on row versions resolve conflicts. */
   private async recover (): Promise<void> {
     if (!this.container.get(ids.members).isCandidate(RECOVERY_ROLE)) return
     const list = await this.container.get(ids.vmList).list()
--- a/packages/rosemaryspread/src/log/logger.ts
+++ b/packages/rosemaryspread/src/log/logger.ts
@@ -1,10 +1,9 @@
 /**
- * Log lines by bunyan: one JSON object a line on standard output, each with its numbered event.
+ * Event log over bunyan: one JSON object per line on standard output, each with its event number.
  */
 import bunyan from 'bunyan'
 import { logEvents, type EventLog, type LogEventName } from '@rosemaryspread/decisions/events/logEvents.js'
 
-/** Where and how lines are written. */
 export interface LoggerOptions {
   readonly vm: string
   readonly domain: string
@@ -12,7 +11,6 @@
   readonly level: 'debug' | 'info' | 'warn' | 'error'
 }
 
-/** Writes events through bunyan. */
 export class BunyanEventLog implements EventLog {
   private readonly logger: bunyan
 
@@ -27,7 +25,7 @@
   }
 }
 
-/** The part of a title before the list of its fields, which stand in the line anyway: 14 in 100 of the bytes that six busy VMs logged. */
+/** Cuts the list of fields from a title: the line contains the fields themselves, and repeating their names would enlarge the log. */
 function sentenceOf (title: string): string {
   const end = title.indexOf('; fields')
   return end < 0 ? title : title.slice(0, end)
--- a/packages/rosemaryspread/src/metrics/metricsRecorder.ts
+++ b/packages/rosemaryspread/src/metrics/metricsRecorder.ts
@@ -1,8 +1,8 @@
 /**
- * Counters, and hdr-histogram-js histograms, rendered in the Prometheus text format.
+ * In-memory counters, gauges and HDR histograms, rendered in the Prometheus text format.
  */
 import type { Histogram } from 'hdr-histogram-js'
-// The main module also loads WebAssembly, compression and the formats of logs, none of which is used.
+// Imported directly because the main module also loads WebAssembly, compression and log formats, which are not used.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js'
 import type { CounterName, GaugeName, HistogramName } from '@rosemaryspread/decisions/events/metricTable.js'
 import type { Metrics } from './metricsTypes.js'
@@ -10,12 +10,11 @@
 const QUANTILES = [50, 95, 99]
 const MAX_MILLISECONDS = 3_600_000
 const SIGNIFICANT_DIGITS = 2
-/** Bits of a counter. */
+/** Bits per histogram bucket counter. */
 const COUNTER_BITS = 32
 
 const MillisecondHistogram = constructorFromBucketSize(COUNTER_BITS)
 
-/** Keeps metrics in memory. */
 export class MetricsRecorder implements Metrics {
   private readonly counters = new Map<CounterName, number>()
   private readonly histograms = new Map<HistogramName, Histogram>()
--- a/packages/rosemaryspread/src/metrics/metricsTypes.ts
+++ b/packages/rosemaryspread/src/metrics/metricsTypes.ts
@@ -1,28 +1,15 @@
 /**
- * Metrics of one VM: counters, gauges, and histograms of durations.
+ * Metrics of one VM: counters, gauges and duration histograms.
  */
 import type { CounterName, GaugeName, HistogramName } from '@rosemaryspread/decisions/events/metricTable.js'
 
-/** Where measurements go. */
 export interface Metrics {
-  /**
-   * Adds to a counter.
-   * @param name - the counter
-   * @param by - amount, 1 unless given
-   */
+  /** Increments a counter, by 1 unless an amount is given. */
   count (name: CounterName, by?: number): void
-  /**
-   * Records a duration.
-   * @param name - the histogram
-   * @param milliseconds - the duration
-   */
+  /** Records a duration in a histogram. */
   record (name: HistogramName, milliseconds: number): void
-  /**
-   * Shows a value as it is whenever the metrics are read.
-   * @param name - the gauge
-   * @param read - answers the present value
-   */
+  /** Registers a gauge; `read` is called on each scrape and returns the current value. */
   gauge (name: GaugeName, read: () => number): void
-  /** All metrics in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render (): string
 }
