--- a/packages/peers/src/link/handshake.ts
+++ b/packages/peers/src/link/handshake.ts
@@ -14,8 +14,8 @@
 const PROOF_BYTES = 32
 
 const holder = z.string().min(1).max(256)
-const nonce = z.instanceof(Uint8Array).refine(bytes => bytes.length === NONCE_BYTES, 'wrong length')
-const proof = z.instanceof(Uint8Array).refine(bytes => bytes.length === PROOF_BYTES, 'wrong length')
+const nonce = z.instanceof(Uint8Array).refine(bytes => bytes.length === NONCE_BYTES, 'must be 32 bytes long')
+const proof = z.instanceof(Uint8Array).refine(bytes => bytes.length === PROOF_BYTES, 'must be 32 bytes long')
 
 /** First frame, sent by the client. */
 export const helloSchema = z.object({ kind: z.literal('hello'), protocol: z.literal(PEER_PROTOCOL), holder, nonce })
