--- a/packages/callers/src/api/completionAnswers.ts
+++ b/packages/callers/src/api/completionAnswers.ts
@@ -47,7 +47,7 @@
     if (this.ended || this.exchange.closed) return
     this.open()
     this.send(contentChunk(this.head, { content: text }))
-    if (this.stream.overfull) this.cutSlowCaller()
+    if (this.stream.isBufferFull) this.cutSlowCaller()
   }
 
   finish (finishReason: FinishReason, usage: CompletionUsage): void {
--- a/packages/callers/src/api/completionRoute.ts
+++ b/packages/callers/src/api/completionRoute.ts
@@ -4,9 +4,9 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { callHeaders, type CallHeaders } from '@rosemaryspread/http/input/callHeaders.js'
-import { badRequest, together } from '@rosemaryspread/http/input/inputChecks.js'
-import { jsonBody } from '@rosemaryspread/http/input/jsonBody.js'
+import { parseCallHeaders, type CallHeaders } from '@rosemaryspread/http/input/callHeaders.js'
+import { badRequest, combineChecks } from '@rosemaryspread/http/input/inputChecks.js'
+import { parseJsonBody } from '@rosemaryspread/http/input/jsonBody.js'
 import type { HttpExchange } from '@rosemaryspread/http/server/httpExchange.js'
 import {
   completionBodySchema, type CallerDirectory, type CompletionBody, type CompletionCall, type CompletionService
@@ -62,7 +62,7 @@
 
 function checkCall (exchange: HttpExchange, received: ReceivedCall): Either<Failure, CompletionCall> {
   const { headers } = exchange.req
-  return together(callHeaders(headers), jsonBody(completionBodySchema, headers, received.body))
+  return combineChecks(parseCallHeaders(headers), parseJsonBody(completionBodySchema, headers, received.body))
     .mapLeft(badRequest)
     .map(([callHead, body]) => toCall(exchange, received, callHead, body))
 }
--- a/packages/callers/src/api/serviceRoute.ts
+++ b/packages/callers/src/api/serviceRoute.ts
@@ -3,7 +3,7 @@
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { callHeaders } from '@rosemaryspread/http/input/callHeaders.js'
+import { parseCallHeaders } from '@rosemaryspread/http/input/callHeaders.js'
 import { badRequest } from '@rosemaryspread/http/input/inputChecks.js'
 import type { HttpExchange } from '@rosemaryspread/http/server/httpExchange.js'
 import type { RouteMethod } from '@rosemaryspread/http/server/httpRouter.js'
@@ -47,7 +47,7 @@
 
 function toCall (method: RouteMethod, exchange: HttpExchange, received: ReceivedCall): Either<Failure, ServiceCall> {
   const { headers, url } = exchange.req
-  const checked = callHeaders(headers).mapLeft(badRequest)
+  const checked = parseCallHeaders(headers).mapLeft(badRequest)
   return servicePath(url ?? '').chain((target) => checked.map((callHead) => {
     identifyCall(exchange, received.caller, callHead)
     const contentType = headers['content-type']
--- a/packages/http/src/body/bodyReader.ts
+++ b/packages/http/src/body/bodyReader.ts
@@ -30,22 +30,22 @@
   if (declaredBytes(req) > maxBytes * discardFactor) return Promise.resolve(Left(tooLarge(maxBytes)))
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
-    let bytes = 0
+    let receivedBytes = 0
     const onData = (chunk: Buffer): void => {
-      bytes += chunk.length
-      if (bytes <= maxBytes) chunks.push(chunk)
+      receivedBytes += chunk.length
+      if (receivedBytes <= maxBytes) chunks.push(chunk)
       else chunks.length = 0
-      if (bytes > maxBytes * discardFactor) settle(Left(tooLarge(maxBytes)))
+      if (receivedBytes > maxBytes * discardFactor) settle(Left(tooLarge(maxBytes)))
     }
-    const onEnd = (): void => settle(bytes > maxBytes ? Left(tooLarge(maxBytes)) : Right(Buffer.concat(chunks)))
-    const onGone = (): void => settle(Left(new Failure('callerGone', 'the connection closed before the whole body arrived')))
-    const onLate = (): void => settle(Left(new Failure('badRequest', 'the body did not arrive within the time limit')))
-    const timer = setTimeout(onLate, limits.requestMs)
+    const onEnd = (): void => settle(receivedBytes > maxBytes ? Left(tooLarge(maxBytes)) : Right(Buffer.concat(chunks)))
+    const onClose = (): void => settle(Left(new Failure('callerGone', 'the connection closed before the whole body arrived')))
+    const onTimeout = (): void => settle(Left(new Failure('badRequest', 'the body did not arrive within the time limit')))
+    const timer = setTimeout(onTimeout, limits.requestMs)
     const settle = (outcome: Either<Failure, Buffer>): void => {
       clearTimeout(timer)
-      req.off('data', onData).off('end', onEnd).off('close', onGone)
+      req.off('data', onData).off('end', onEnd).off('close', onClose)
       resolve(outcome)
     }
-    req.on('data', onData).on('end', onEnd).on('close', onGone).on('error', onGone)
+    req.on('data', onData).on('end', onEnd).on('close', onClose).on('error', onClose)
   })
 }
--- a/packages/http/src/input/callHeaders.ts
+++ b/packages/http/src/input/callHeaders.ts
@@ -3,10 +3,10 @@
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import * as z from 'zod'
-import { checkBy, type Checked } from './inputChecks.js'
+import { validate, type Validated } from './inputChecks.js'
 
 const maxTimeoutMs = 3_600_000
-const timeoutRule = `use a whole number of milliseconds from 1 to ${maxTimeoutMs}`
+const timeoutMessage = `use a whole number of milliseconds from 1 to ${maxTimeoutMs}`
 
 /** The keys appear in error messages. */
 const callHeadersSchema = z.object({
@@ -14,9 +14,9 @@
     .regex(/^[\x20-\x7e]{1,256}$/, 'use 1 to 256 printable ASCII characters')
     .optional(),
   'header X-Timeout-Ms': z.string()
-    .regex(/^[0-9]{1,7}$/, timeoutRule)
+    .regex(/^[0-9]{1,7}$/, timeoutMessage)
     .transform(Number)
-    .refine((ms) => ms >= 1 && ms <= maxTimeoutMs, timeoutRule)
+    .refine((ms) => ms >= 1 && ms <= maxTimeoutMs, timeoutMessage)
     .optional(),
   'header X-Budget': z.string()
     .regex(/^[a-z0-9][a-z0-9._-]{0,62}(:[a-z0-9][a-z0-9._-]{0,62})?$/, 'use the budget of the team, or a part of it as budget:part')
@@ -30,13 +30,13 @@
   readonly budget?: string
 }
 
-export function callHeaders (headers: IncomingHttpHeaders): Checked<CallHeaders> {
+export function parseCallHeaders (headers: IncomingHttpHeaders): Validated<CallHeaders> {
   const raw = {
     'header Idempotency-Key': headers['idempotency-key'],
     'header X-Timeout-Ms': headers['x-timeout-ms'],
     'header X-Budget': headers['x-budget']
   }
-  return checkBy(callHeadersSchema, raw, 'headers').map((values) => {
+  return validate(callHeadersSchema, raw, 'headers').map((values) => {
     const key = values['header Idempotency-Key']
     const timeoutMs = values['header X-Timeout-Ms']
     const budget = values['header X-Budget']
--- a/packages/http/src/input/jsonBody.ts
+++ b/packages/http/src/input/jsonBody.ts
@@ -4,22 +4,22 @@
 import type { IncomingHttpHeaders } from 'node:http'
 import { Left, Right } from 'purify-ts'
 import type { z } from 'zod'
-import { checkBy, type Checked } from './inputChecks.js'
+import { validate, type Validated } from './inputChecks.js'
 
 const jsonType = 'application/json'
 
-function headerMistakes (headers: IncomingHttpHeaders): string[] {
-  const mistakes: string[] = []
+function checkHeaders (headers: IncomingHttpHeaders): string[] {
+  const headerErrors: string[] = []
   const [type, ...params] = (headers['content-type'] ?? '').toLowerCase().split(';').map((part) => part.trim())
-  if (type !== jsonType) mistakes.push(`header Content-Type: use ${jsonType}`)
+  if (type !== jsonType) headerErrors.push(`header Content-Type: use ${jsonType}`)
   const charset = params.find((param) => param.startsWith('charset='))?.replace(/["']/g, '')
-  if (charset !== undefined && charset !== 'charset=utf-8') mistakes.push('header Content-Type: use charset utf-8')
+  if (charset !== undefined && charset !== 'charset=utf-8') headerErrors.push('header Content-Type: use charset utf-8')
   const encoding = headers['content-encoding'] ?? 'identity'
-  if (encoding !== 'identity') mistakes.push('header Content-Encoding: send the body without encoding')
-  return mistakes
+  if (encoding !== 'identity') headerErrors.push('header Content-Encoding: send the body without encoding')
+  return headerErrors
 }
 
-function parse (bytes: Buffer): Checked<unknown> {
+function decodeJson (bytes: Buffer): Validated<unknown> {
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(bytes)
     return Right(JSON.parse(text))
@@ -30,8 +30,8 @@
 }
 
 /** Parses a JSON body and validates it against a schema. */
-export function jsonBody<S extends z.ZodType> (schema: S, headers: IncomingHttpHeaders, bytes: Buffer): Checked<z.output<S>> {
-  const mistakes = headerMistakes(headers)
-  if (mistakes.length > 0) return Left(mistakes)
-  return parse(bytes).chain((value) => checkBy(schema, value, 'body'))
+export function parseJsonBody<S extends z.ZodType> (schema: S, headers: IncomingHttpHeaders, bytes: Buffer): Validated<z.output<S>> {
+  const headerErrors = checkHeaders(headers)
+  if (headerErrors.length > 0) return Left(headerErrors)
+  return decodeJson(bytes).chain((value) => validate(schema, value, 'body'))
 }
--- a/packages/http/src/problem/problemHeaders.ts
+++ b/packages/http/src/problem/problemHeaders.ts
@@ -3,7 +3,7 @@
  */
 import { toProblem, type Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-export const problemType = 'application/problem+json'
+export const problemContentType = 'application/problem+json'
 
 const msPerSecond = 1000
 
@@ -13,7 +13,7 @@
 }
 
 export function problemHeaders (failure: Failure): Record<string, string> {
-  const headers: Record<string, string> = { 'Content-Type': problemType, 'Cache-Control': 'no-store' }
+  const headers: Record<string, string> = { 'Content-Type': problemContentType, 'Cache-Control': 'no-store' }
   if (failure.retryAfterMs !== undefined) headers['Retry-After'] = String(retryAfterSeconds(failure.retryAfterMs))
   if (failure.code === 'unauthorized') headers['WWW-Authenticate'] = 'Bearer'
   return headers
--- a/packages/http/src/server/httpExchange.ts
+++ b/packages/http/src/server/httpExchange.ts
@@ -22,7 +22,7 @@
   requestId = randomBytes(requestIdBytes).toString('hex')
   /** Team or operator for the log, once authenticated. */
   client: string | undefined
-  private readonly goneControl = new AbortController()
+  private readonly goneController = new AbortController()
   private ended = false
 
   constructor (readonly req: IncomingMessage, readonly res: ServerResponse, readonly limits: HttpLimits) {
@@ -34,7 +34,7 @@
 
   /** Aborts when the caller disconnects before the response ended. */
   get gone (): AbortSignal {
-    return this.goneControl.signal
+    return this.goneController.signal
   }
 
   /** Whether a response can no longer be sent. */
@@ -57,7 +57,7 @@
    * @param reason - given when the caller did not close the connection
    */
   abandon (reason?: Failure): void {
-    this.goneControl.abort(reason)
+    this.goneController.abort(reason)
   }
 
   /** Sends a complete JSON response. */
@@ -68,24 +68,24 @@
   /** Sends a problem body, or closes the connection if the response has already started. */
   refuse (failure: Failure): void {
     if (this.res.headersSent && !this.ended) this.req.socket.destroy()
-    if (this.leavesBody(failure) && !this.closed && !this.res.headersSent) this.res.setHeader('Connection', 'close')
+    if (this.hasPartlyReadBody(failure) && !this.closed && !this.res.headersSent) this.res.setHeader('Connection', 'close')
     this.sendBytes(failure.entry.status, Buffer.from(problemText(failure)), problemHeaders(failure))
   }
 
   /** Whether reading the request body stopped early. Node discards a body that was not read at all, so its sender receives the response. */
-  private leavesBody (failure: Failure): boolean {
+  private hasPartlyReadBody (failure: Failure): boolean {
     return !this.req.complete && (this.req.readableDidRead || failure.code === 'bodyTooLarge')
   }
 
   /** Sends a complete response; `headers` must include the content type. */
   sendBytes (status: number, body: Buffer, headers: HeaderFields): void {
     if (this.closed || this.res.headersSent) return
-    this.startHeaders(status, { ...headers, 'Content-Length': String(body.length) })
+    this.sendHeaders(status, { ...headers, 'Content-Length': String(body.length) })
     this.end(body)
   }
 
   /** Sends the headers of a streamed response. */
-  startHeaders (status: number, headers: HeaderFields): void {
+  sendHeaders (status: number, headers: HeaderFields): void {
     if (this.closed || this.res.headersSent) return
     this.res.setHeader('X-Request-Id', this.requestId)
     this.res.writeHead(status, headers)
--- a/packages/http/src/server/httpRouter.ts
+++ b/packages/http/src/server/httpRouter.ts
@@ -16,7 +16,7 @@
 /** Dispatches requests to their handlers. */
 export interface HttpRouter {
   /** The underlying Node server; the router adds no listeners for `clientError` and `upgrade`. */
-  readonly node: Server
+  readonly nodeServer: Server
 
   /**
    * Adds a route.
@@ -31,7 +31,7 @@
    * Starts listening; rejects when the address cannot be bound.
    * @param host - IPv4 address
    * @param port - 0 selects any free port
-   * @param waiting - maximum number of connections that wait to be accepted
+   * @param backlog - maximum number of connections that wait to be accepted
    */
-  listen (host: string, port: number, waiting: number): Promise<void>
+  listen (host: string, port: number, backlog: number): Promise<void>
 }
--- a/packages/http/src/server/httpServer.spec.ts
+++ b/packages/http/src/server/httpServer.spec.ts
@@ -20,7 +20,7 @@
 ]
 
 interface RequestCase {
-  readonly says: string
+  readonly title: string
   readonly method: RouteMethod | 'DELETE'
   readonly path: string
   readonly status: number
@@ -29,18 +29,18 @@
 }
 
 const requests: readonly RequestCase[] = [
-  { says: 'a plain path', method: 'GET', path: '/plain', status: 200, body: { route: 'plain' } },
-  { says: 'a path with a query', method: 'GET', path: '/plain?name=a&zone=b', status: 200, body: { route: 'plain' } },
-  { says: 'a named segment', method: 'POST', path: '/things/a%20b/lift', status: 200, body: { name: 'a b' } },
-  { says: 'a failure returned by the handler', method: 'GET', path: '/refused', status: 404, body: { code: 'RS-104' } },
-  { says: 'an error thrown by the handler', method: 'GET', path: '/faulty', status: 500, body: { code: 'RS-799' } },
-  { says: 'an unknown path', method: 'GET', path: '/unknown', status: 404, body: { code: 'RS-104' } },
-  { says: 'a longer path', method: 'GET', path: '/plain/more', status: 404, body: { code: 'RS-104' } },
-  { says: 'a method without a route', method: 'DELETE', path: '/plain', status: 405, body: { code: 'RS-106' } },
-  { says: 'invalid percent-encoding', method: 'POST', path: '/things/%E0%A4%A/lift', status: 404, body: {} }
+  { title: 'a plain path', method: 'GET', path: '/plain', status: 200, body: { route: 'plain' } },
+  { title: 'a path with a query', method: 'GET', path: '/plain?name=a&zone=b', status: 200, body: { route: 'plain' } },
+  { title: 'a named segment', method: 'POST', path: '/things/a%20b/lift', status: 200, body: { name: 'a b' } },
+  { title: 'a failure returned by the handler', method: 'GET', path: '/refused', status: 404, body: { code: 'RS-104' } },
+  { title: 'an error thrown by the handler', method: 'GET', path: '/faulty', status: 500, body: { code: 'RS-799' } },
+  { title: 'an unknown path', method: 'GET', path: '/unknown', status: 404, body: { code: 'RS-104' } },
+  { title: 'a longer path', method: 'GET', path: '/plain/more', status: 404, body: { code: 'RS-104' } },
+  { title: 'a method without a route', method: 'DELETE', path: '/plain', status: 405, body: { code: 'RS-106' } },
+  { title: 'invalid percent-encoding', method: 'POST', path: '/things/%E0%A4%A/lift', status: 404, body: {} }
 ]
 
-function newServer (router: HttpRouter): HttpServer {
+function createServerWithRoutes (router: HttpRouter): HttpServer {
   const server = new HttpServer({ log: { write: () => {} }, limits: httpLimitsSchema.parse({}) }, router)
   server.route('GET', '/plain', async exchange => Right(exchange.sendJson(200, { route: 'plain' })))
   server.route('POST', '/things/:name/lift', async exchange => Right(exchange.sendJson(200, { name: exchange.params.name })))
@@ -52,23 +52,23 @@
 for (const { name, make } of routers) {
   describe(`an HTTP server over ${name}`, () => {
     it('returns the bound address', async () => {
-      const server = newServer(make())
+      const server = createServerWithRoutes(make())
       expect(await server.listen('127.0.0.1:0')).to.match(/^127\.0\.0\.1:[1-9]\d*$/)
       await server.close()
     })
 
     it('rejects when the address is in use', async () => {
-      const taken = createServer().listen(0, '127.0.0.1')
-      await once(taken, 'listening')
-      const { port } = taken.address() as AddressInfo
-      const outcome = await newServer(make()).listen(`127.0.0.1:${port}`).catch((err: NodeJS.ErrnoException) => err.code)
-      taken.close()
+      const occupyingServer = createServer().listen(0, '127.0.0.1')
+      await once(occupyingServer, 'listening')
+      const { port } = occupyingServer.address() as AddressInfo
+      const outcome = await createServerWithRoutes(make()).listen(`127.0.0.1:${port}`).catch((err: NodeJS.ErrnoException) => err.code)
+      occupyingServer.close()
       expect(outcome).to.equal('EADDRINUSE')
     })
 
-    for (const { says, method, path, status, body } of requests) {
+    for (const { title: says, method, path, status, body } of requests) {
       it(`answers ${says}`, async () => {
-        const server = newServer(make())
+        const server = createServerWithRoutes(make())
         const address = await server.listen('127.0.0.1:0')
         const res = await got(`http://${address}${path}`, { method, throwHttpErrors: false, retry: { limit: 0 } })
         await server.close()
--- a/packages/http/src/server/httpServer.ts
+++ b/packages/http/src/server/httpServer.ts
@@ -8,7 +8,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import { HttpExchange } from './httpExchange.js'
-import { WAITING_CONNECTIONS, type HttpLimits } from './httpLimits.js'
+import { ACCEPT_BACKLOG, type HttpLimits } from './httpLimits.js'
 import type { HttpRouter, RouteMethod } from './httpRouter.js'
 import { parserFailure, refuseSocket } from './protocolFailures.js'
 
@@ -25,19 +25,19 @@
 export class HttpServer {
   private readonly open = new Set<HttpExchange>()
   private readonly sockets = new Set<Socket>()
-  private lingering = false
-  private closing = false
+  private isLingering = false
+  private isClosing = false
 
   /** @param router - a router without routes */
   constructor (private readonly deps: HttpServerDeps, private readonly router: HttpRouter) {
-    this.node.headersTimeout = deps.limits.headersMs
-    this.node.requestTimeout = deps.limits.requestMs
-    this.node.keepAliveTimeout = deps.limits.idleMs
-    this.node.maxHeadersCount = deps.limits.headerCount
-    this.node.maxConnections = deps.limits.connections
-    this.node.on('connection', (socket: Socket) => this.watch(socket))
-    this.node.on('clientError', (err: NodeJS.ErrnoException, socket: Socket) => this.refuseInvalid(err, socket))
-    router.onUnrouted((req, res, failure) => { this.refuse(this.exchangeOf(req, res), failure) })
+    this.nodeServer.headersTimeout = deps.limits.headersMs
+    this.nodeServer.requestTimeout = deps.limits.requestMs
+    this.nodeServer.keepAliveTimeout = deps.limits.idleMs
+    this.nodeServer.maxHeadersCount = deps.limits.headerCount
+    this.nodeServer.maxConnections = deps.limits.connections
+    this.nodeServer.on('connection', (socket: Socket) => this.trackSocket(socket))
+    this.nodeServer.on('clientError', (err: NodeJS.ErrnoException, socket: Socket) => this.handleClientError(err, socket))
+    router.onUnrouted((req, res, failure) => { this.refuse(this.createExchange(req, res), failure) })
   }
 
   /**
@@ -45,7 +45,7 @@
    * @param path - path in the notation of the router
    */
   route (method: RouteMethod, path: string, handler: ExchangeHandler): void {
-    this.router.route(method, path, async (req, res) => { await this.serve(this.exchangeOf(req, res), handler) })
+    this.router.route(method, path, async (req, res) => { await this.serve(this.createExchange(req, res), handler) })
   }
 
   /**
@@ -54,8 +54,8 @@
    */
   async listen (address: string): Promise<string> {
     const [host = '', port] = address.split(':')
-    await this.router.listen(host, Number(port), WAITING_CONNECTIONS)
-    const bound = this.node.address() as AddressInfo
+    await this.router.listen(host, Number(port), ACCEPT_BACKLOG)
+    const bound = this.nodeServer.address() as AddressInfo
     return `${bound.address}:${bound.port}`
   }
 
@@ -64,7 +64,7 @@
    * are in transit when a shutdown begins are still answered.
    */
   linger (): void {
-    this.lingering = true
+    this.isLingering = true
   }
 
   /**
@@ -72,10 +72,10 @@
    * `headersMs`, because Node would wait for it indefinitely.
    */
   close (): Promise<void> {
-    this.closing = true
-    const timer = setTimeout(() => this.closeUnused(), this.deps.limits.headersMs)
+    this.isClosing = true
+    const timer = setTimeout(() => this.closeUnusedSockets(), this.deps.limits.headersMs)
     return new Promise((resolve) => {
-      this.node.close(() => {
+      this.nodeServer.close(() => {
         clearTimeout(timer)
         resolve()
       })
@@ -87,30 +87,30 @@
     return this.open.size
   }
 
-  private get node (): Server {
-    return this.router.node
+  private get nodeServer (): Server {
+    return this.router.nodeServer
   }
 
-  private watch (socket: Socket): void {
+  private trackSocket (socket: Socket): void {
     socket.setKeepAlive(true, keepAliveProbeMs)
     this.sockets.add(socket)
     socket.once('close', () => this.sockets.delete(socket))
   }
 
-  private closeUnused (): void {
-    const used = new Set([...this.open].map((exchange) => exchange.req.socket))
+  private closeUnusedSockets (): void {
+    const usedSockets = new Set([...this.open].map((exchange) => exchange.req.socket))
     for (const socket of this.sockets) {
-      if (!used.has(socket)) socket.destroy()
+      if (!usedSockets.has(socket)) socket.destroy()
     }
   }
 
-  private exchangeOf (req: IncomingMessage, res: ServerResponse): HttpExchange {
+  private createExchange (req: IncomingMessage, res: ServerResponse): HttpExchange {
     const exchange = new HttpExchange(req, res, this.deps.limits)
     this.open.add(exchange)
-    if (this.closing || this.lingering) res.setHeader('Connection', 'close')
+    if (this.isClosing || this.isLingering) res.setHeader('Connection', 'close')
     res.once('close', () => {
       this.open.delete(exchange)
-      if (this.closing) setImmediate(() => this.node.closeIdleConnections())
+      if (this.isClosing) setImmediate(() => this.nodeServer.closeIdleConnections())
     })
     return exchange
   }
@@ -118,14 +118,14 @@
   private async serve (exchange: HttpExchange, handler: ExchangeHandler): Promise<void> {
     try {
       const outcome = await handler(exchange)
-      outcome.ifLeft((left) => this.fail(exchange, left))
+      outcome.ifLeft((left) => this.handleLeft(exchange, left))
     } catch (err) {
       this.fault(exchange, err)
     }
   }
 
   /** `EitherAsync` also puts thrown errors on the left side, regardless of its type. */
-  private fail (exchange: HttpExchange, left: unknown): void {
+  private handleLeft (exchange: HttpExchange, left: unknown): void {
     if (left instanceof Failure) this.refuse(exchange, left)
     else this.fault(exchange, left)
   }
@@ -146,7 +146,7 @@
     exchange.refuse(failure)
   }
 
-  private refuseInvalid (err: NodeJS.ErrnoException, socket: Socket): void {
+  private handleClientError (err: NodeJS.ErrnoException, socket: Socket): void {
     if (err.code === 'ECONNRESET' || !socket.writable) {
       socket.destroy()
       return
--- a/packages/http/src/server/pathRouter.ts
+++ b/packages/http/src/server/pathRouter.ts
@@ -26,76 +26,76 @@
 }
 
 export class PathRouter implements HttpRouter {
-  readonly node: Server = createServer((req, res) => { this.serve(req, res) })
+  readonly nodeServer: Server = createServer((req, res) => { this.serve(req, res) })
   private readonly routes: PathRoute[] = []
-  private unrouted: UnroutedHandler = (_req, res) => { res.destroy() }
+  private unroutedHandler: UnroutedHandler = (_req, res) => { res.destroy() }
 
   route (method: RouteMethod, path: string, handler: RouteHandler): void {
-    this.routes.push({ method, segments: segmentsOf(path), handler })
+    this.routes.push({ method, segments: splitPath(path), handler })
   }
 
   onUnrouted (handler: UnroutedHandler): void {
-    this.unrouted = handler
+    this.unroutedHandler = handler
   }
 
-  listen (host: string, port: number, waiting: number): Promise<void> {
+  listen (host: string, port: number, backlog: number): Promise<void> {
     return new Promise((resolve, reject) => {
-      this.node.once('error', reject)
-      this.node.listen({ host, port, backlog: waiting }, () => {
-        this.node.off('error', reject)
+      this.nodeServer.once('error', reject)
+      this.nodeServer.listen({ host, port, backlog }, () => {
+        this.nodeServer.off('error', reject)
         resolve()
       })
     })
   }
 
   private serve (req: RoutedRequest, res: ServerResponse): void {
-    const matches = this.matchesOf(pathOf(req))
-    const found = matches.find(({ route }) => route.method === req.method)
-    if (found === undefined) {
-      this.unrouted(req, res, failureOf(req, matches))
+    const matches = this.findMatches(requestPath(req))
+    const match = matches.find(({ route }) => route.method === req.method)
+    if (match === undefined) {
+      this.unroutedHandler(req, res, routingFailure(req, matches))
       return
     }
-    req.params = found.params
-    found.route.handler(req, res).catch((err: unknown) => { res.destroy(err as Error) })
+    req.params = match.params
+    match.route.handler(req, res).catch((err: unknown) => { res.destroy(err as Error) })
   }
 
-  private matchesOf (path: string): readonly PathMatch[] {
-    const segments = segmentsOf(path)
+  private findMatches (path: string): readonly PathMatch[] {
+    const segments = splitPath(path)
     return this.routes.flatMap(route => {
-      const params = paramsOf(route.segments, segments)
+      const params = matchSegments(route.segments, segments)
       return params === undefined ? [] : [{ route, params }]
     })
   }
 }
 
-function failureOf (req: IncomingMessage, matches: readonly PathMatch[]): Failure {
-  const path = pathOf(req)
+function routingFailure (req: IncomingMessage, matches: readonly PathMatch[]): Failure {
+  const path = requestPath(req)
   if (matches.length === 0) return new Failure('notFound', `${path} does not exist`)
   return new Failure('methodNotAllowed', `${req.method ?? 'this method'} is not allowed on ${path}`)
 }
 
-function pathOf (req: IncomingMessage): string {
+function requestPath (req: IncomingMessage): string {
   return (req.url ?? '/').split('?', 1)[0] ?? '/'
 }
 
-function segmentsOf (path: string): readonly string[] {
+function splitPath (path: string): readonly string[] {
   return path.split('/').slice(1)
 }
 
-function paramsOf (pattern: readonly string[], segments: readonly string[]): PathParams | undefined {
+function matchSegments (pattern: readonly string[], segments: readonly string[]): PathParams | undefined {
   if (pattern.length !== segments.length) return undefined
   const params: Record<string, string> = {}
-  for (const [index, part] of pattern.entries()) {
-    const value = decoded(segments[index] ?? '')
+  for (const [index, patternSegment] of pattern.entries()) {
+    const value = decodeSegment(segments[index] ?? '')
     if (value === undefined) return undefined
-    if (part.startsWith(':')) params[part.slice(1)] = value
-    else if (part !== value) return undefined
+    if (patternSegment.startsWith(':')) params[patternSegment.slice(1)] = value
+    else if (patternSegment !== value) return undefined
   }
   return params
 }
 
 /** Returns undefined for invalid percent-encoding. */
-function decoded (text: string): string | undefined {
+function decodeSegment (text: string): string | undefined {
   try {
     return decodeURIComponent(text)
   } catch {
--- a/packages/http/src/server/protocolFailures.ts
+++ b/packages/http/src/server/protocolFailures.ts
@@ -6,7 +6,7 @@
 import { problemHeaders, problemText } from '../problem/problemHeaders.js'
 
 const notFoundStatus = 404
-const methodStatus = 405
+const methodNotAllowedStatus = 405
 const serverErrorStatus = 500
 
 /** Error with an HTTP status, as restify emits it. */
@@ -19,7 +19,7 @@
 export function routerFailure (err: StatusError): Failure {
   const status = err.statusCode ?? serverErrorStatus
   if (status === notFoundStatus) return new Failure('notFound', err.message)
-  if (status === methodStatus) return new Failure('methodNotAllowed', err.message)
+  if (status === methodNotAllowedStatus) return new Failure('methodNotAllowed', err.message)
   if (status < serverErrorStatus) return new Failure('badRequest', err.message)
   return new Failure('internal', 'the request could not be routed', { ran: 'unknown' })
 }
--- a/packages/http/src/server/restifyRouter.ts
+++ b/packages/http/src/server/restifyRouter.ts
@@ -13,10 +13,10 @@
 
   constructor () {
     // Restify's `upgrade` listener never answers a request with `Upgrade`; without a listener Node serves it as a plain request.
-    this.node.removeAllListeners('upgrade')
+    this.nodeServer.removeAllListeners('upgrade')
   }
 
-  get node (): Server {
+  get nodeServer (): Server {
     return this.app.server as Server
   }
 
@@ -37,11 +37,11 @@
     })
   }
 
-  listen (host: string, port: number, waiting: number): Promise<void> {
+  listen (host: string, port: number, backlog: number): Promise<void> {
     return new Promise((resolve, reject) => {
       // Restify re-emits errors of its server and throws when there is no listener.
       this.app.once('error', reject)
-      this.app.listen(port, host, waiting, () => {
+      this.app.listen(port, host, backlog, () => {
         this.app.off('error', reject)
         resolve()
       })
--- a/packages/http/src/sse/eventStream.ts
+++ b/packages/http/src/sse/eventStream.ts
@@ -11,17 +11,17 @@
 }
 
 export class EventStream {
-  private begun = false
+  private hasStarted = false
 
   constructor (private readonly exchange: HttpExchange) {}
 
   /** Whether an event was sent. */
   get open (): boolean {
-    return this.begun
+    return this.hasStarted
   }
 
   /** Whether a slow caller has more unread bytes than the limit. */
-  get overfull (): boolean {
+  get isBufferFull (): boolean {
     return this.exchange.bufferedBytes > this.exchange.limits.bufferedBytes
   }
 
@@ -48,8 +48,8 @@
   }
 
   private start (): void {
-    if (this.begun) return
-    this.begun = true
-    this.exchange.startHeaders(200, streamHeaders)
+    if (this.hasStarted) return
+    this.hasStarted = true
+    this.exchange.sendHeaders(200, streamHeaders)
   }
 }
--- a/packages/operators/src/admin/adminQueries.ts
+++ b/packages/operators/src/admin/adminQueries.ts
@@ -4,7 +4,7 @@
 import type { Either } from 'purify-ts'
 import * as z from 'zod'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { badRequest, checkBy } from '@rosemaryspread/http/input/inputChecks.js'
+import { badRequest, validate } from '@rosemaryspread/http/input/inputChecks.js'
 
 const defaultHistoryLimit = 20
 const maxHistoryLimit = 1000
@@ -32,7 +32,7 @@
  * @param url - URL of the request
  */
 export function versionQuery (url: string): Either<Failure, number | undefined> {
-  return checkBy(versionQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.version)
+  return validate(versionQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.version)
 }
 
 /**
@@ -40,7 +40,7 @@
  * @param url - URL of the request
  */
 export function historyQuery (url: string): Either<Failure, number> {
-  return checkBy(historyQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.limit)
+  return validate(historyQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.limit)
 }
 
 /**
@@ -48,5 +48,5 @@
  * @param params - parameters of the path, decoded
  */
 export function budgetParam (params: Readonly<Record<string, unknown>>): Either<Failure, string> {
-  return checkBy(budgetNameSchema, params.budget, 'budget').mapLeft(badRequest)
+  return validate(budgetNameSchema, params.budget, 'budget').mapLeft(badRequest)
 }
--- a/packages/operators/src/admin/adminServer.ts
+++ b/packages/operators/src/admin/adminServer.ts
@@ -9,7 +9,7 @@
 import { bearerKey } from '@rosemaryspread/http/auth/bearerKey.js'
 import { readBody } from '@rosemaryspread/http/body/bodyReader.js'
 import { badRequest } from '@rosemaryspread/http/input/inputChecks.js'
-import { jsonBody } from '@rosemaryspread/http/input/jsonBody.js'
+import { parseJsonBody } from '@rosemaryspread/http/input/jsonBody.js'
 import type { HttpExchange } from '@rosemaryspread/http/server/httpExchange.js'
 import type { HttpLimits } from '@rosemaryspread/http/server/httpLimits.js'
 import type { RouteMethod } from '@rosemaryspread/http/server/httpRouter.js'
@@ -123,6 +123,6 @@
 
   private body<S extends z.ZodType> (exchange: HttpExchange, schema: S): EitherAsync<Failure, z.output<S>> {
     return EitherAsync.fromPromise(() => readBody(exchange.req, exchange.limits))
-      .chain(async (bytes) => jsonBody(schema, exchange.req.headers, bytes).mapLeft(badRequest))
+      .chain(async (bytes) => parseJsonBody(schema, exchange.req.headers, bytes).mapLeft(badRequest))
   }
 }
--- a/packages/operators/src/ctl/adminClient.ts
+++ b/packages/operators/src/ctl/adminClient.ts
@@ -6,7 +6,7 @@
 import type { z } from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
-import { checkBy } from '@rosemaryspread/http/input/inputChecks.js'
+import { validate } from '@rosemaryspread/http/input/inputChecks.js'
 import { sendOnce, type AdminRequest } from './adminRequest.js'
 
 /** How a client reaches the system. */
@@ -98,6 +98,6 @@
 }
 
 function checkAnswer<S extends z.ZodType> (schema: S, answer: Either<Failure, unknown>): Either<Failure, z.output<S>> {
-  return answer.chain((value) => checkBy(schema, value, 'answer').mapLeft((errors) =>
+  return answer.chain((value) => validate(schema, value, 'answer').mapLeft((errors) =>
     new Failure('internal', 'the answer of the server is not understood', { ran: 'unknown', errors })))
 }
--- a/packages/operators/src/ctl/configCommands.ts
+++ b/packages/operators/src/ctl/configCommands.ts
@@ -5,7 +5,7 @@
 import { stringify } from 'yaml'
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { checkBy } from '@rosemaryspread/http/input/inputChecks.js'
+import { validate } from '@rosemaryspread/http/input/inputChecks.js'
 import { configAnswerSchema, historyEntrySchema, patchAnswerSchema, patchRequestSchema, type HistoryEntry, type PatchAnswer, type PatchRequest } from '../admin/adminTypes.js'
 import { configStatusSchema, type ConfigStatus } from '../admin/configStatus.js'
 import type { CtlAction, CtlIo, CtlOutput, CtlSession } from './ctlTypes.js'
@@ -84,7 +84,7 @@
 async function readPatch (io: CtlIo, file: string): Promise<Either<Failure, PatchRequest['patch']>> {
   try {
     const value: unknown = JSON.parse(await io.read(file))
-    return checkBy(patchRequestSchema.shape.patch, value, 'patch')
+    return validate(patchRequestSchema.shape.patch, value, 'patch')
       .mapLeft((errors) => new Failure('usage', `${file} is no list of RFC 6902 operations`, { errors }))
   } catch (err) {
     return Left(new Failure('usage', `${file} cannot be read: ${(err as Error).message}`))
--- a/packages/operators/src/ctl/teamCommands.ts
+++ b/packages/operators/src/ctl/teamCommands.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { teamSchema, type TeamConfig } from '@rosemaryspread/decisions/config/configSchema.js'
-import { checkBy } from '@rosemaryspread/http/input/inputChecks.js'
+import { validate } from '@rosemaryspread/http/input/inputChecks.js'
 import type { PatchRequest } from '../admin/adminTypes.js'
 import { currentConfig, sendPatch } from './configCommands.js'
 import type { CtlAction, CtlOutput, CtlSession } from './ctlTypes.js'
@@ -61,7 +61,7 @@
 function teamPlan ({ io }: CtlSession, args: TeamArgs, key: string): Either<Failure, TeamPlan> {
   const { id, displayName, budget, models, services, weight, author } = args
   const keyHashes = [createHash('sha256').update(key).digest('hex')]
-  return checkBy(teamSchema, { displayName, keyHashes, budget, models, services, weight }, 'team')
+  return validate(teamSchema, { displayName, keyHashes, budget, models, services, weight }, 'team')
     .mapLeft((errors) => new Failure('usage', 'the team is not valid', { errors }))
     .map((team) => ({ id, team, patchId: io.newId(), author }))
 }
@@ -112,7 +112,7 @@
 }
 
 function teamsOf (config: unknown): Either<Failure, Record<string, TeamConfig>> {
-  return checkBy(teamsSchema, config, 'config').bimap(
+  return validate(teamsSchema, config, 'config').bimap(
     (errors) => new Failure('internal', 'the configuration is not understood', { ran: 'unknown', errors }),
     ({ teams }) => teams
   )
--- a/packages/peers/src/link/frameChannel.ts
+++ b/packages/peers/src/link/frameChannel.ts
@@ -14,9 +14,9 @@
 export class FrameChannel {
   private readonly packr = new Packr({ sequential: true })
   private readonly unpackr: UnpackrStream
-  private readonly onData = (chunk: Buffer): void => this.take(chunk)
-  private trusted = false
-  private untrustedBytes = 0
+  private readonly onData = (chunk: Buffer): void => this.receive(chunk)
+  private isAuthenticated = false
+  private handshakeBytes = 0
 
   /**
    * @param socket - a connected or connecting socket
@@ -33,12 +33,12 @@
   }
 
   /** Lifts the byte limit of the handshake, once the peer is authenticated. */
-  trust (): void {
-    this.trusted = true
+  markAuthenticated (): void {
+    this.isAuthenticated = true
   }
 
   /** Bytes written to the socket that are not yet passed to the kernel. */
-  get waitingBytes (): number {
+  get unsentBytes (): number {
     return this.socket.writableLength
   }
 
@@ -58,10 +58,10 @@
     return Right(undefined)
   }
 
-  private take (chunk: Buffer): void {
-    if (!this.trusted) {
-      this.untrustedBytes += chunk.length
-      if (this.untrustedBytes > this.limits.handshakeBytes) {
+  private receive (chunk: Buffer): void {
+    if (!this.isAuthenticated) {
+      this.handshakeBytes += chunk.length
+      if (this.handshakeBytes > this.limits.handshakeBytes) {
         this.socket.destroy()
         return
       }
--- a/packages/peers/src/link/handshake.ts
+++ b/packages/peers/src/link/handshake.ts
@@ -8,25 +8,25 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
 /** Version of the peer protocol; VMs with different versions refuse each other. */
-export const PEER_PROTOCOL = 1
+export const PEER_PROTOCOL_VERSION = 1
 
 const NONCE_BYTES = 32
 const PROOF_BYTES = 32
 
-const holder = z.string().min(1).max(256)
-const nonce = z.instanceof(Uint8Array).refine(bytes => bytes.length === NONCE_BYTES, 'must be 32 bytes long')
-const proof = z.instanceof(Uint8Array).refine(bytes => bytes.length === PROOF_BYTES, 'must be 32 bytes long')
+const holderSchema = z.string().min(1).max(256)
+const nonceSchema = z.instanceof(Uint8Array).refine(bytes => bytes.length === NONCE_BYTES, 'must be 32 bytes long')
+const proofSchema = z.instanceof(Uint8Array).refine(bytes => bytes.length === PROOF_BYTES, 'must be 32 bytes long')
 
 /** First frame, sent by the client. */
-export const helloSchema = z.object({ kind: z.literal('hello'), protocol: z.literal(PEER_PROTOCOL), holder, nonce })
+export const helloSchema = z.object({ kind: z.literal('hello'), protocol: z.literal(PEER_PROTOCOL_VERSION), holder: holderSchema, nonce: nonceSchema })
 export type Hello = z.infer<typeof helloSchema>
 
 /** The server's answer: its proof and its nonce. */
-export const challengeSchema = z.object({ kind: z.literal('challenge'), holder, nonce, proof })
+export const challengeSchema = z.object({ kind: z.literal('challenge'), holder: holderSchema, nonce: nonceSchema, proof: proofSchema })
 export type Challenge = z.infer<typeof challengeSchema>
 
 /** The client's proof. */
-export const responseSchema = z.object({ kind: z.literal('response'), proof })
+export const responseSchema = z.object({ kind: z.literal('response'), proof: proofSchema })
 export type Response = z.infer<typeof responseSchema>
 
 /** Last frame of the handshake, sent by the server; calls may follow. */
@@ -43,7 +43,7 @@
   readonly serverNonce: Uint8Array
 }
 
-export function makeNonce (): Buffer {
+export function createNonce (): Buffer {
   return randomBytes(NONCE_BYTES)
 }
 
@@ -61,29 +61,29 @@
 
   /** Creates the proof of one side with the first key. */
   prove (side: Side, transcript: Transcript): Buffer {
-    return digest(this.keys[0]!, side, transcript)
+    return computeProof(this.keys[0]!, side, transcript)
   }
 
   /** Whether a proof matches one of the keys. Compares all keys in constant time, so that timing reveals no match. */
-  accepts (side: Side, transcript: Transcript, given: Uint8Array): boolean {
-    let found = false
+  verify (side: Side, transcript: Transcript, receivedProof: Uint8Array): boolean {
+    let isValid = false
     for (const key of this.keys) {
-      const expected = digest(key, side, transcript)
-      const same = given.length === expected.length && timingSafeEqual(given, expected)
-      found = found || same
+      const expected = computeProof(key, side, transcript)
+      const isMatch = receivedProof.length === expected.length && timingSafeEqual(receivedProof, expected)
+      isValid = isValid || isMatch
     }
-    return found
+    return isValid
   }
 }
 
-function digest (key: string, side: Side, transcript: Transcript): Buffer {
-  const parts = [
-    `rosemaryspread-peer-${PEER_PROTOCOL}`,
+function computeProof (key: string, side: Side, transcript: Transcript): Buffer {
+  const fields = [
+    `rosemaryspread-peer-${PEER_PROTOCOL_VERSION}`,
     side,
     transcript.clientHolder,
     transcript.serverHolder,
     Buffer.from(transcript.clientNonce).toString('hex'),
     Buffer.from(transcript.serverNonce).toString('hex')
   ]
-  return createHmac('sha256', key).update(JSON.stringify(parts)).digest()
+  return createHmac('sha256', key).update(JSON.stringify(fields)).digest()
 }
--- a/packages/peers/src/link/linkTypes.ts
+++ b/packages/peers/src/link/linkTypes.ts
@@ -7,10 +7,10 @@
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
 /** Handles calls of one method. `params` is not validated; `from` is the holder id that the caller sent in the handshake. */
-export type PeerMethod = (params: unknown, from: string) => Promise<unknown>
+export type PeerMethodHandler = (params: unknown, from: string) => Promise<unknown>
 
 /** Receives the result of a call that had already timed out. */
-export type LateAnswer = (result: unknown) => void
+export type LateResponseHandler = (result: unknown) => void
 
 /** Calls other VMs. Failures: `peerUnreachable` (`ran: unknown` once sent), `peerRefused`. */
 export interface PeerClient {
@@ -20,7 +20,7 @@
    * @param params - any value that msgpackr can serialize
    * @param onLate - receives a result that arrives up to one second after the timeout
    */
-  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
+  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateResponseHandler): Promise<Either<Failure, unknown>>
   close (): void
 }
 
@@ -35,7 +35,7 @@
 }
 
 export interface PeerServer {
-  register (method: string, handler: PeerMethod): void
+  register (method: string, handler: PeerMethodHandler): void
   listen (address: string): Promise<void>
   close (): Promise<void>
 }
@@ -61,7 +61,7 @@
   /** Maximum concurrent calls to one peer, and maximum concurrent handlers per connection. */
   readonly openCalls: number
   /** Unsent bytes to a slow peer beyond which notifications are dropped. */
-  readonly waitingBytes: number
+  readonly unsentBytes: number
   /** A client closes a link after this time without traffic. */
   readonly idleMs: number
   /** A link that received no frame for this time is probed at the next send. */
@@ -80,7 +80,7 @@
   handshakeBytes: 4_096,
   frameBytes: 4 * 1024 * 1024,
   openCalls: 256,
-  waitingBytes: 256 * 1024,
+  unsentBytes: 256 * 1024,
   idleMs: 30_000,
   probeAfterMs: 3_000,
   probeTimeoutMs: 2_000,
--- a/packages/peers/src/link/peerClient.ts
+++ b/packages/peers/src/link/peerClient.ts
@@ -8,7 +8,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { parseAddress } from './address.js'
 import { KeyRing } from './handshake.js'
-import { defaultLinkLimits, type Dial, type LateAnswer, type LinkLimits, type PeerClient, type PeerIdentity, type PeerNotifier } from './linkTypes.js'
+import { defaultLinkLimits, type Dial, type LateResponseHandler, type LinkLimits, type PeerClient, type PeerIdentity, type PeerNotifier } from './linkTypes.js'
 import { PeerLink, type LinkContext } from './peerLink.js'
 
 /** Maximum number of addresses with cached state; the least recently used is evicted. */
@@ -23,7 +23,7 @@
   openCalls: number
   failures: number
   /** Monotonic milliseconds before which no connection attempt is made. */
-  notBefore: number
+  nextAttemptAt: number
   /** Monotonic start time of the call that found the link unresponsive; cleared when a new link opens. */
   unansweredAt?: number
 }
@@ -32,7 +32,7 @@
   readonly method: string
   readonly params: unknown
   readonly timeoutMs: number
-  readonly onLate: LateAnswer | undefined
+  readonly onLate: LateResponseHandler | undefined
 }
 
 export interface PeerClientOptions {
@@ -46,7 +46,7 @@
    * Called when a peer answered on a new connection but not on an old one, so other old connections may be dead too.
    * Receives the monotonic milliseconds since which the old connection received nothing.
    */
-  readonly onSilence?: (since: number) => void
+  readonly onUnresponsive?: (unresponsiveSince: number) => void
 }
 
 /** Peer client over TCP, JSON-RPC and msgpackr. */
@@ -57,7 +57,7 @@
   private readonly clock: Clock
   private readonly random: () => number
   private readonly dial: Dial
-  private readonly onSilence: (since: number) => void
+  private readonly onUnresponsive: (unresponsiveSince: number) => void
   private isClosed = false
 
   /**
@@ -68,7 +68,7 @@
     this.clock = options.clock
     this.random = options.random
     this.dial = options.dial ?? dialTcp
-    this.onSilence = options.onSilence ?? (() => {})
+    this.onUnresponsive = options.onUnresponsive ?? (() => {})
     this.context = {
       holder: options.identity.holder,
       keys: new KeyRing(options.identity.keys),
@@ -81,21 +81,21 @@
    * Calls a method of a VM. Besides failures of the method: `peerUnreachable` (`ran: no` without a connection, `unknown` once
    * the call was sent), `peerRefused` (wrong key or no such method), `overloaded` (too many open calls), `bodyTooLarge`.
    */
-  async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>> {
-    const peer = this.peerAt(address)
+  async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateResponseHandler): Promise<Either<Failure, unknown>> {
+    const peer = this.getOrCreatePeer(address)
     if (peer.openCalls >= this.limits.openCalls) {
       return Left(new Failure('overloaded', `${peer.openCalls} calls to ${address} are open, which is the limit`, { retryAfterMs: this.limits.backoffMinMs }))
     }
     peer.openCalls += 1
     try {
-      return await this.callOver(address, peer, { method, params, timeoutMs, onLate })
+      return await this.callOverLink(address, peer, { method, params, timeoutMs, onLate })
     } finally {
       peer.openCalls -= 1
     }
   }
 
   notify (address: string, method: string, params: unknown): void {
-    this.linkTo(address, this.peerAt(address)).ifRight(link => {
+    this.getOrOpenLink(address, this.getOrCreatePeer(address)).ifRight(link => {
       if (link.wasOpen) link.notify(method, params)
       else link.ready.then(outcome => outcome.ifRight(() => link.notify(method, params)), () => {})
     })
@@ -108,26 +108,26 @@
     this.peers.clear()
   }
 
-  private async callOver (address: string, peer: PeerState, { method, params, timeoutMs, onLate }: OpenCall): Promise<Either<Failure, unknown>> {
-    const link = this.linkTo(address, peer)
+  private async callOverLink (address: string, peer: PeerState, { method, params, timeoutMs, onLate }: OpenCall): Promise<Either<Failure, unknown>> {
+    const link = this.getOrOpenLink(address, peer)
     if (link.isLeft()) return link
-    const opened = link.extract() as PeerLink
+    const openedLink = link.extract() as PeerLink
     const startedAt = this.clock.now().mono
-    if (opened.wasOpen) {
-      const answer = await opened.request(method, params, timeoutMs, onLate)
-      if (opened.wentSilent) peer.unansweredAt = startedAt
+    if (openedLink.wasOpen) {
+      const answer = await openedLink.request(method, params, timeoutMs, onLate)
+      if (openedLink.isUnresponsive) peer.unansweredAt = startedAt
       return answer
     }
-    const ready = await within(timeoutMs, opened.ready)
+    const ready = await readyWithin(timeoutMs, openedLink.ready)
     if (ready.isLeft()) return ready
     const leftMs = Math.max(1, timeoutMs - (this.clock.now().mono - startedAt))
-    return await opened.request(method, params, leftMs, onLate)
+    return await openedLink.request(method, params, leftMs, onLate)
   }
 
-  private linkTo (address: string, peer: PeerState): Either<Failure, PeerLink> {
+  private getOrOpenLink (address: string, peer: PeerState): Either<Failure, PeerLink> {
     if (peer.link?.usable === true) return Either.of(peer.link)
     if (this.isClosed) return Left(new Failure('peerUnreachable', 'the client is closed'))
-    const waitMs = peer.notBefore - this.clock.now().mono
+    const waitMs = peer.nextAttemptAt - this.clock.now().mono
     if (waitMs > 0) {
       return Left(new Failure('peerUnreachable', `the last connection attempt to ${address} failed; no new attempt before the backoff ends`, { retryAfterMs: Math.ceil(waitMs) }))
     }
@@ -137,57 +137,57 @@
   private openLink (address: string, peer: PeerState): PeerLink {
     const link = new PeerLink(this.dial(address), this.context)
     peer.link = link
-    link.ready.then(outcome => outcome.isLeft() ? this.failed(peer) : this.succeeded(peer), () => {})
+    link.ready.then(outcome => outcome.isLeft() ? this.recordFailure(peer) : this.recordSuccess(peer), () => {})
     return link
   }
 
-  private succeeded (peer: PeerState): void {
+  private recordSuccess (peer: PeerState): void {
     peer.failures = 0
     const { unansweredAt } = peer
     delete peer.unansweredAt
-    if (unansweredAt !== undefined) this.dropSilent(peer, unansweredAt)
+    if (unansweredAt !== undefined) this.retireUnresponsiveLinks(peer, unansweredAt)
   }
 
   /** Connections usually become unresponsive together, and each would cost its next call the full timeout. */
-  private dropSilent (answering: PeerState, since: number): void {
+  private retireUnresponsiveLinks (respondingPeer: PeerState, unresponsiveSince: number): void {
     for (const peer of this.peers.values()) {
       const { link } = peer
-      if (peer !== answering && link?.usable === true && link.wasOpen && !link.heardAfter(since)) link.retire()
+      if (peer !== respondingPeer && link?.usable === true && link.wasOpen && !link.hasReceivedAfter(unresponsiveSince)) link.retire()
     }
-    this.onSilence(since)
+    this.onUnresponsive(unresponsiveSince)
   }
 
-  private failed (peer: PeerState): void {
+  private recordFailure (peer: PeerState): void {
     const doublings = Math.min(peer.failures, MAX_BACKOFF_DOUBLINGS)
     const backoffMs = Math.min(this.limits.backoffMaxMs, this.limits.backoffMinMs * 2 ** doublings)
     peer.failures += 1
-    peer.notBefore = this.clock.now().mono + backoffMs * (0.5 + this.random() / 2)
+    peer.nextAttemptAt = this.clock.now().mono + backoffMs * (0.5 + this.random() / 2)
   }
 
-  private peerAt (address: string): PeerState {
-    const known = this.peers.get(address)
-    const peer = known ?? { link: undefined, openCalls: 0, failures: 0, notBefore: 0 }
+  private getOrCreatePeer (address: string): PeerState {
+    const existing = this.peers.get(address)
+    const peer = existing ?? { link: undefined, openCalls: 0, failures: 0, nextAttemptAt: 0 }
     // Moves the address to the end, so that the first entry is the least recently used.
     this.peers.delete(address)
     this.peers.set(address, peer)
-    if (this.peers.size > MAX_PEERS) this.forgetOldest()
+    if (this.peers.size > MAX_PEERS) this.evictLeastRecentlyUsed()
     return peer
   }
 
-  private forgetOldest (): void {
+  private evictLeastRecentlyUsed (): void {
     const [address, peer] = this.peers.entries().next().value!
     peer.link?.close()
     this.peers.delete(address)
   }
 }
 
-async function within (timeoutMs: number, ready: Promise<Either<Failure, void>>): Promise<Either<Failure, void>> {
+async function readyWithin (timeoutMs: number, ready: Promise<Either<Failure, void>>): Promise<Either<Failure, void>> {
   let timer: NodeJS.Timeout | undefined
-  const late = new Promise<Either<Failure, void>>(resolve => {
+  const timeout = new Promise<Either<Failure, void>>(resolve => {
     timer = setTimeout(() => resolve(Left(new Failure('peerUnreachable', `no connection within ${timeoutMs} ms`))), timeoutMs)
   })
   try {
-    return await Promise.race([ready, late])
+    return await Promise.race([ready, timeout])
   } finally {
     clearTimeout(timer)
   }
--- a/packages/peers/src/link/peerLink.spec.ts
+++ b/packages/peers/src/link/peerLink.spec.ts
@@ -7,7 +7,7 @@
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { parseAddress } from './address.js'
-import { KeyRing, makeNonce } from './handshake.js'
+import { KeyRing, createNonce } from './handshake.js'
 import { defaultLinkLimits, type LinkLimits } from './linkTypes.js'
 import { JsonRpcPeerClient, type PeerClientOptions } from './peerClient.js'
 import { JsonRpcPeerServer } from './peerServer.js'
@@ -28,10 +28,10 @@
 
 describe('links between VMs', () => {
   const closers: (() => unknown)[] = []
-  const silent = { write: () => {} }
+  const noopLog = { write: () => {} }
 
-  async function serverWith (keys: readonly string[], limits: Partial<LinkLimits> = {}): Promise<JsonRpcPeerServer> {
-    const server = new JsonRpcPeerServer({ holder: 'b~1', keys }, silent, { ...defaultLinkLimits, ...limits })
+  async function startServer (keys: readonly string[], limits: Partial<LinkLimits> = {}): Promise<JsonRpcPeerServer> {
+    const server = new JsonRpcPeerServer({ holder: 'b~1', keys }, noopLog, { ...defaultLinkLimits, ...limits })
     closers.push(() => server.close())
     server.register('echo', async params => params)
     server.register('whoCalls', async (_params, from) => from)
@@ -43,7 +43,7 @@
     return server
   }
 
-  function clientWith (keys: readonly string[], options: Partial<PeerClientOptions> = {}, limits: Partial<LinkLimits> = {}): JsonRpcPeerClient {
+  function createClient (keys: readonly string[], options: Partial<PeerClientOptions> = {}, limits: Partial<LinkLimits> = {}): JsonRpcPeerClient {
     const client = new JsonRpcPeerClient({
       identity: { holder: 'a~1', keys },
       clock: new ManualClock(),
@@ -69,8 +69,8 @@
   ]
   for (const { title, client, server, expected } of keyCases) {
     it(`${expected}: ${title}`, async () => {
-      const { address } = await serverWith(server)
-      expect(outcomeOf(await clientWith(client).call(address, 'echo', {}, CALL_MS))).equal(expected)
+      const { address } = await startServer(server)
+      expect(outcomeOf(await createClient(client).call(address, 'echo', {}, CALL_MS))).equal(expected)
     })
   }
 
@@ -80,13 +80,13 @@
 
   it('accepts neither a reflected proof nor a proof of another handshake', () => {
     const ring = new KeyRing(['k'])
-    const transcript = { clientHolder: 'a~1', serverHolder: 'b~1', clientNonce: makeNonce(), serverNonce: makeNonce() }
+    const transcript = { clientHolder: 'a~1', serverHolder: 'b~1', clientNonce: createNonce(), serverNonce: createNonce() }
     const proof = ring.prove('server', transcript)
-    expect(ring.accepts('server', transcript, proof)).equal(true)
-    expect(ring.accepts('client', transcript, proof)).equal(false)
-    expect(ring.accepts('server', { ...transcript, clientNonce: makeNonce() }, proof)).equal(false)
-    expect(ring.accepts('server', { ...transcript, clientHolder: 'c~1' }, proof)).equal(false)
-    expect(ring.accepts('server', transcript, proof.subarray(1))).equal(false)
+    expect(ring.verify('server', transcript, proof)).equal(true)
+    expect(ring.verify('client', transcript, proof)).equal(false)
+    expect(ring.verify('server', { ...transcript, clientNonce: createNonce() }, proof)).equal(false)
+    expect(ring.verify('server', { ...transcript, clientHolder: 'c~1' }, proof)).equal(false)
+    expect(ring.verify('server', transcript, proof.subarray(1))).equal(false)
   })
 
   const callCases = [
@@ -99,16 +99,16 @@
   ]
   for (const { method, expected, timeoutMs = CALL_MS } of callCases) {
     it(`a call of '${method}' ends with ${expected}, and the link stays usable`, async () => {
-      const { address } = await serverWith(['k'])
-      const client = clientWith(['k'])
+      const { address } = await startServer(['k'])
+      const client = createClient(['k'])
       expect(outcomeOf(await client.call(address, method, { a: 1 }, timeoutMs))).equal(expected)
       expect((await client.call(address, 'whoCalls', null, CALL_MS)).extract()).equal('a~1')
     })
   }
 
   it('sends many record shapes over one link, also after a frame that was too large to send', async () => {
-    const { address } = await serverWith(['k'])
-    const client = clientWith(['k'])
+    const { address } = await startServer(['k'])
+    const client = createClient(['k'])
     for (let i = 0; i < 200; i += 1) {
       const value = { [`field${i % 90}`]: i, nested: { [`deep${i % 40}`]: [i, null] } }
       expect((await client.call(address, 'echo', value, CALL_MS)).extract()).deep.equal(value)
@@ -119,22 +119,22 @@
   })
 
   it('closes a connection whose frame exceeds the limit, and fails its open calls', async () => {
-    const { address } = await serverWith(['k'], { frameBytes: 100_000 })
-    const client = clientWith(['k'])
+    const { address } = await startServer(['k'], { frameBytes: 100_000 })
+    const client = createClient(['k'])
     const large = 'x'.repeat(1_000_000)
     expect(outcomeOf(await client.call(address, 'echo', large, CALL_MS))).equal('peerUnreachable unknown')
     expect(outcomeOf(await client.call(address, 'echo', 'small', CALL_MS))).equal('ok')
   })
 
-  const strangers = [
+  const unauthenticatedClients = [
     { title: 'sends nothing', bytes: Buffer.alloc(0) },
     { title: 'sends no hello', bytes: Buffer.from(new Packr().pack({ jsonrpc: '2.0', id: 1, method: 'echo' })) },
     { title: 'exceeds the handshake limit before its proof', bytes: Buffer.alloc(defaultLinkLimits.handshakeBytes + 1, 0xc0) },
     { title: 'announces a huge length', bytes: Buffer.from([0xdd, 0xff, 0xff, 0xff, 0xff]) }
   ]
-  for (const { title, bytes } of strangers) {
+  for (const { title, bytes } of unauthenticatedClients) {
     it(`drops an unauthenticated client that ${title}`, async () => {
-      const { address } = await serverWith(['k'], { handshakeMs: 50 })
+      const { address } = await startServer(['k'], { handshakeMs: 50 })
       const socket = connect(parseAddress(address))
       closers.push(() => socket.destroy())
       socket.resume()
@@ -144,14 +144,14 @@
   }
 
   it('reports unknown for a call whose connection was lost, and connects again for the next one', async () => {
-    const { address } = await serverWith(['k'])
+    const { address } = await startServer(['k'])
     const sockets: Socket[] = []
     const dial = (to: string): Socket => {
       const socket = connect(parseAddress(to))
       sockets.push(socket)
       return socket
     }
-    const client = clientWith(['k'], { dial })
+    const client = createClient(['k'], { dial })
     expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS))).equal('ok')
     const open = client.call(address, 'never', null, CALL_MS)
     sockets[0]!.destroy()
@@ -161,15 +161,15 @@
   })
 
   it('fails immediately during the backoff and reconnects after it', async () => {
-    const gone = createServer()
-    gone.listen(0, '127.0.0.1')
-    await once(gone, 'listening')
-    const address = `127.0.0.1:${(gone.address() as AddressInfo).port}`
-    gone.close()
-    await once(gone, 'close')
+    const closedServer = createServer()
+    closedServer.listen(0, '127.0.0.1')
+    await once(closedServer, 'listening')
+    const address = `127.0.0.1:${(closedServer.address() as AddressInfo).port}`
+    closedServer.close()
+    await once(closedServer, 'close')
     let dials = 0
     const clock = new ManualClock()
-    const client = clientWith(['k'], { clock, dial: to => { dials += 1; return connect(parseAddress(to)) } })
+    const client = createClient(['k'], { clock, dial: to => { dials += 1; return connect(parseAddress(to)) } })
     for (const [afterMs, expectedDials] of [[0, 1], [0, 1], [75, 2], [75, 2], [76, 3]] as const) {
       clock.mono += afterMs
       expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS))).equal('peerUnreachable no')
@@ -178,8 +178,8 @@
   })
 
   it('limits the concurrent calls to one peer', async () => {
-    const { address } = await serverWith(['k'])
-    const client = clientWith(['k'], {}, { openCalls: 2 })
+    const { address } = await startServer(['k'])
+    const client = createClient(['k'], {}, { openCalls: 2 })
     const open = [client.call(address, 'never', null, 50), client.call(address, 'never', null, 50)]
     expect(outcomeOf(await client.call(address, 'echo', 1, CALL_MS))).equal('overloaded no')
     await Promise.all(open)
@@ -187,10 +187,10 @@
   })
 
   it('closes a link whose peer does not answer a probe', async () => {
-    const { address } = await serverWith(['k'])
+    const { address } = await startServer(['k'])
     const clock = new ManualClock()
     const sockets: Socket[] = []
-    const client = clientWith(['k'], { clock, dial: to => { sockets.push(connect(parseAddress(to))); return sockets.at(-1)! } })
+    const client = createClient(['k'], { clock, dial: to => { sockets.push(connect(parseAddress(to))); return sockets.at(-1)! } })
     await client.call(address, 'echo', 1, CALL_MS)
     sockets[0]!.pause()
     clock.mono += defaultLinkLimits.probeAfterMs + 1
@@ -202,40 +202,40 @@
   })
 
   it('opens a new link after a call without response, and retires other links that received nothing since', async () => {
-    const servers = [await serverWith(['k']), await serverWith(['k'])]
+    const servers = [await startServer(['k']), await startServer(['k'])]
     const clock = new ManualClock()
     const sockets: Socket[] = []
-    const told: number[] = []
-    const client = clientWith(['k'], { clock, dial: to => { sockets.push(connect(parseAddress(to))); return sockets.at(-1)! }, onSilence: since => { told.push(since) } })
+    const reported: number[] = []
+    const client = createClient(['k'], { clock, dial: to => { sockets.push(connect(parseAddress(to))); return sockets.at(-1)! }, onUnresponsive: since => { reported.push(since) } })
     for (const { address } of servers) await client.call(address, 'echo', 1, CALL_MS)
     for (const socket of sockets) socket.pause()
     clock.mono += 10
     expect(outcomeOf(await client.call(servers[0]!.address, 'echo', 1, 60))).equal('peerUnreachable unknown')
     clock.mono += 60
     expect(outcomeOf(await client.call(servers[0]!.address, 'echo', 1, CALL_MS))).equal('ok')
-    expect([sockets.length, told]).deep.equal([3, [1_010]])
+    expect([sockets.length, reported]).deep.equal([3, [1_010]])
     expect(outcomeOf(await client.call(servers[1]!.address, 'echo', 1, CALL_MS))).equal('ok')
     expect(sockets.length).equal(4)
   })
 
   it('delivers a response that arrives after the timeout, also on a retired link', async () => {
-    const server = await serverWith(['k'])
+    const server = await startServer(['k'])
     server.register('slow', async params => {
       await pause(120)
       return params
     })
-    const late: unknown[] = []
-    const client = clientWith(['k'])
+    const lateResults: unknown[] = []
+    const client = createClient(['k'])
     await client.call(server.address, 'echo', 1, CALL_MS)
-    expect(outcomeOf(await client.call(server.address, 'slow', 7, 60, result => { late.push(result) }))).equal('peerUnreachable unknown')
+    expect(outcomeOf(await client.call(server.address, 'slow', 7, 60, result => { lateResults.push(result) }))).equal('peerUnreachable unknown')
     expect(outcomeOf(await client.call(server.address, 'echo', 1, CALL_MS))).equal('ok')
     await pause(150)
-    expect(late).deep.equal([7])
+    expect(lateResults).deep.equal([7])
   })
 
   it('does not time out a call whose response arrived while the process was blocked', async () => {
-    const { address } = await serverWith(['k'])
-    const client = clientWith(['k'])
+    const { address } = await startServer(['k'])
+    const client = createClient(['k'])
     await client.call(address, 'echo', 1, CALL_MS)
     const answer = client.call(address, 'echo', 1, 60)
     await pause(0)
@@ -245,10 +245,10 @@
   })
 
   it('does not retire a link on which one call timed out but others were answered', async () => {
-    const { address } = await serverWith(['k'])
+    const { address } = await startServer(['k'])
     const clock = new ManualClock()
     let dials = 0
-    const client = clientWith(['k'], { clock, dial: to => { dials += 1; return connect(parseAddress(to)) } })
+    const client = createClient(['k'], { clock, dial: to => { dials += 1; return connect(parseAddress(to)) } })
     await client.call(address, 'echo', 1, CALL_MS)
     const slow = client.call(address, 'never', 1, 60)
     clock.mono += 10
@@ -259,12 +259,12 @@
   })
 
   it('delivers notifications in order, also those sent during the handshake', async () => {
-    const server = await serverWith(['k'])
-    const seen: unknown[] = []
-    server.register('note', async params => { seen.push(params) })
-    const client = clientWith(['k'])
+    const server = await startServer(['k'])
+    const received: unknown[] = []
+    server.register('note', async params => { received.push(params) })
+    const client = createClient(['k'])
     for (let i = 0; i < 5; i += 1) client.notify(server.address, 'note', i)
     await client.call(server.address, 'echo', 1, CALL_MS)
-    expect(seen).deep.equal([0, 1, 2, 3, 4])
+    expect(received).deep.equal([0, 1, 2, 3, 4])
   })
 })
--- a/packages/peers/src/link/peerLink.ts
+++ b/packages/peers/src/link/peerLink.ts
@@ -10,15 +10,15 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { fromErrorResponse, LOCAL_ERROR_CODE } from './failureCodec.js'
 import { FrameChannel } from './frameChannel.js'
-import { challengeSchema, makeNonce, welcomeSchema, type KeyRing, type Transcript } from './handshake.js'
-import { PROBE_METHOD, type LateAnswer, type LinkLimits } from './linkTypes.js'
+import { challengeSchema, createNonce, welcomeSchema, type KeyRing, type Transcript } from './handshake.js'
+import { PROBE_METHOD, type LateResponseHandler, type LinkLimits } from './linkTypes.js'
 
 /** Time after a timeout within which a response is still accepted: VMs with little CPU time send and read responses late. */
-const LATE_MS = 1_000
+const LATE_RESPONSE_MS = 1_000
 /** Event loop turns that read responses which arrived while the process was blocked; the timer of the timeout runs first. */
-const TURNS_TO_READ = 2
+const READ_LOOP_TURNS = 2
 
-type LinkState = 'greeting' | 'proving' | 'open' | 'closed'
+type LinkState = 'awaitingChallenge' | 'awaitingWelcome' | 'open' | 'closed'
 
 export interface LinkContext {
   readonly holder: string
@@ -32,25 +32,25 @@
   readonly ready: Promise<Either<Failure, void>>
   private readonly channel: FrameChannel
   private readonly rpc: JSONRPCClient
-  private readonly nonce = makeNonce()
+  private readonly nonce = createNonce()
   private readonly deadline: NodeJS.Timeout
-  private settle: (outcome: Either<Failure, void>) => void = () => {}
-  private state: LinkState = 'greeting'
-  private opened = false
-  private silent = false
+  private resolveReady: (outcome: Either<Failure, void>) => void = () => {}
+  private state: LinkState = 'awaitingChallenge'
+  private hasOpened = false
+  private unresponsive = false
   private retired = false
-  private heardAt: number
+  private lastReceivedAt: number
   private probedAt: number | undefined
   private nextId = 0
   /** Send failures by call id, until the call returns. */
-  private readonly unsent = new Map<number, Failure>()
+  private readonly sendFailures = new Map<number, Failure>()
 
   /** @param socket - a connecting socket */
   constructor (private readonly socket: Socket, private readonly context: LinkContext) {
     const { limits, clock, holder } = context
-    this.heardAt = clock.now().mono
-    this.ready = new Promise(resolve => { this.settle = resolve })
-    this.channel = new FrameChannel(socket, limits, frame => this.take(frame))
+    this.lastReceivedAt = clock.now().mono
+    this.ready = new Promise(resolve => { this.resolveReady = resolve })
+    this.channel = new FrameChannel(socket, limits, frame => this.handleFrame(frame))
     this.rpc = new JSONRPCClient(req => this.send(req))
     this.deadline = setTimeout(() => socket.destroy(), limits.handshakeMs)
     socket.once('connect', () => this.channel.send({ kind: 'hello', protocol: 1, holder, nonce: this.nonce }))
@@ -64,12 +64,12 @@
 
   /** Whether the handshake has succeeded; stays true after the link is closed. */
   get wasOpen (): boolean {
-    return this.opened
+    return this.hasOpened
   }
 
   /** Whether the link was retired because a call got no response and nothing else arrived since. */
-  get wentSilent (): boolean {
-    return this.silent
+  get isUnresponsive (): boolean {
+    return this.unresponsive
   }
 
   /**
@@ -77,26 +77,26 @@
    * @param params - any value that msgpackr can serialize
    * @param onLate - receives a result that arrives after the timeout
    */
-  async request (method: string, params: unknown, timeoutMs: number, onLate: LateAnswer = () => {}): Promise<Either<Failure, unknown>> {
-    this.watch()
+  async request (method: string, params: unknown, timeoutMs: number, onLate: LateResponseHandler = () => {}): Promise<Either<Failure, unknown>> {
+    this.checkLiveness()
     if (!this.usable) return Left(new Failure('peerUnreachable', 'the link was closed'))
     this.nextId += 1
     const id = this.nextId
     const sentAt = this.context.clock.now().mono
     const req = createJSONRPCRequest(id, method, params)
-    const timed = this.rpc.timeout(timeoutMs + LATE_MS, lateId => createJSONRPCErrorResponse(lateId, LOCAL_ERROR_CODE, `no response to ${method}`))
-    const pending = timed.requestAdvanced(req)
-    const answer = await inTime(pending, timeoutMs) ?? this.givenUp(pending, id, `no response to ${method} within ${timeoutMs} ms`, onLate)
+    const timedClient = this.rpc.timeout(timeoutMs + LATE_RESPONSE_MS, lateId => createJSONRPCErrorResponse(lateId, LOCAL_ERROR_CODE, `no response to ${method}`))
+    const pending = timedClient.requestAdvanced(req)
+    const answer = await responseWithin(pending, timeoutMs) ?? this.onTimeout(pending, id, `no response to ${method} within ${timeoutMs} ms`, onLate)
     if (answer.error === undefined) return Right(answer.result)
-    const unsent = this.unsent.get(id)
-    this.unsent.delete(id)
-    if (unsent === undefined && answer.error.code === LOCAL_ERROR_CODE) this.unanswered(sentAt)
+    const unsent = this.sendFailures.get(id)
+    this.sendFailures.delete(id)
+    if (unsent === undefined && answer.error.code === LOCAL_ERROR_CODE) this.onUnanswered(sentAt)
     return Left(unsent ?? fromErrorResponse(answer.error))
   }
 
   /** Whether a frame was received after a time, in monotonic milliseconds. */
-  heardAfter (mono: number): boolean {
-    return this.heardAt > mono
+  hasReceivedAfter (mono: number): boolean {
+    return this.lastReceivedAt > mono
   }
 
   /**
@@ -104,8 +104,8 @@
    * @param params - any value that msgpackr can serialize
    */
   notify (method: string, params: unknown): void {
-    this.watch()
-    if (!this.usable || this.channel.waitingBytes > this.context.limits.waitingBytes) return
+    this.checkLiveness()
+    if (!this.usable || this.channel.unsentBytes > this.context.limits.unsentBytes) return
     this.channel.send(createJSONRPCNotification(method, params))
   }
 
@@ -113,7 +113,7 @@
   retire (): void {
     if (this.retired) return
     this.retired = true
-    setTimeout(() => { this.socket.destroy() }, LATE_MS).unref()
+    setTimeout(() => { this.socket.destroy() }, LATE_RESPONSE_MS).unref()
   }
 
   /** Closes the connection; open calls fail. */
@@ -123,22 +123,22 @@
 
   private send (req: JSONRPCRequest): void {
     this.channel.send(req).ifLeft(err => {
-      this.unsent.set(Number(req.id), err)
+      this.sendFailures.set(Number(req.id), err)
       throw err
     })
   }
 
-  private take (frame: unknown): void {
-    this.heardAt = this.context.clock.now().mono
+  private handleFrame (frame: unknown): void {
+    this.lastReceivedAt = this.context.clock.now().mono
     this.probedAt = undefined
     switch (this.state) {
-      case 'greeting': return this.prove(frame)
-      case 'proving': return this.open(frame)
+      case 'awaitingChallenge': return this.answerChallenge(frame)
+      case 'awaitingWelcome': return this.open(frame)
       case 'open': if (isJSONRPCResponse(frame)) this.rpc.receive(frame)
     }
   }
 
-  private prove (frame: unknown): void {
+  private answerChallenge (frame: unknown): void {
     const challenge = challengeSchema.safeParse(frame)
     if (!challenge.success) return this.refuse('the peer sent no valid challenge; its protocol may differ')
     const { holder, keys } = this.context
@@ -148,8 +148,8 @@
       clientNonce: this.nonce,
       serverNonce: challenge.data.nonce
     }
-    if (!keys.accepts('server', transcript, challenge.data.proof)) return this.refuse('the proof of the peer matches none of the configured keys')
-    this.state = 'proving'
+    if (!keys.verify('server', transcript, challenge.data.proof)) return this.refuse('the proof of the peer matches none of the configured keys')
+    this.state = 'awaitingWelcome'
     this.channel.send({ kind: 'response', proof: keys.prove('client', transcript) })
   }
 
@@ -157,49 +157,49 @@
     if (!welcomeSchema.safeParse(frame).success) return this.refuse('the peer sent no valid welcome; its protocol may differ')
     clearTimeout(this.deadline)
     this.state = 'open'
-    this.opened = true
-    this.channel.trust()
+    this.hasOpened = true
+    this.channel.markAuthenticated()
     this.socket.setTimeout(this.context.limits.idleMs, () => this.socket.destroy())
-    this.settle(Right(undefined))
+    this.resolveReady(Right(undefined))
   }
 
   private refuse (detail: string): void {
-    this.settle(Left(new Failure('peerRefused', detail)))
+    this.resolveReady(Left(new Failure('peerRefused', detail)))
     this.socket.destroy()
   }
 
   private closed (): void {
-    const last = this.state
+    const lastState = this.state
     this.state = 'closed'
     clearTimeout(this.deadline)
     // A peer that closes the connection instead of sending a welcome did not accept the proof.
-    this.settle(Left(last === 'proving'
+    this.resolveReady(Left(lastState === 'awaitingWelcome'
       ? new Failure('peerRefused', 'the peer did not accept the proof')
       : new Failure('peerUnreachable', 'the connection closed before the handshake completed')))
     this.rpc.rejectAllPendingRequests('the connection was lost')
   }
 
   /** An unresponsive connection does not recover: a new one costs the next call two round trips instead of its full timeout. */
-  private unanswered (sentAt: number): void {
-    if (!this.usable || this.heardAfter(sentAt)) return
-    this.silent = true
+  private onUnanswered (sentAt: number): void {
+    if (!this.usable || this.hasReceivedAfter(sentAt)) return
+    this.unresponsive = true
     this.retire()
   }
 
-  private givenUp (pending: PromiseLike<JSONRPCResponse>, id: number, detail: string, onLate: LateAnswer): JSONRPCResponse {
+  private onTimeout (pending: PromiseLike<JSONRPCResponse>, id: number, detail: string, onLate: LateResponseHandler): JSONRPCResponse {
     pending.then(late => { if (late.error === undefined) onLate(late.result) }, () => {})
     return createJSONRPCErrorResponse(id, LOCAL_ERROR_CODE, detail)
   }
 
   /** Probes a peer that sent nothing for `probeAfterMs`; closes the link when an earlier probe got no answer in time. */
-  private watch (): void {
+  private checkLiveness (): void {
     const { clock, limits } = this.context
     const now = clock.now().mono
     if (this.probedAt !== undefined) {
       if (now - this.probedAt > limits.probeTimeoutMs) this.socket.destroy()
       return
     }
-    if (now - this.heardAt <= limits.probeAfterMs) return
+    if (now - this.lastReceivedAt <= limits.probeAfterMs) return
     this.probedAt = now
     this.nextId += 1
     this.rpc.timeout(limits.probeTimeoutMs).requestAdvanced(createJSONRPCRequest(this.nextId, PROBE_METHOD)).then(() => {}, () => {})
@@ -207,13 +207,13 @@
 }
 
 /** The response; undefined when it neither arrived in time nor was waiting unread in the socket. */
-async function inTime (pending: PromiseLike<JSONRPCResponse>, timeoutMs: number): Promise<JSONRPCResponse | undefined> {
-  const stop = new AbortController()
-  const limit = pause(timeoutMs, undefined, { signal: stop.signal }).then(async () => {
-    for (let turn = 0; turn < TURNS_TO_READ; turn += 1) await nextTurn()
+async function responseWithin (pending: PromiseLike<JSONRPCResponse>, timeoutMs: number): Promise<JSONRPCResponse | undefined> {
+  const timerAbort = new AbortController()
+  const timeLimit = pause(timeoutMs, undefined, { signal: timerAbort.signal }).then(async () => {
+    for (let turn = 0; turn < READ_LOOP_TURNS; turn += 1) await nextTurn()
     return undefined
   }, () => undefined)
-  const answer = await Promise.race([pending, limit])
-  stop.abort()
+  const answer = await Promise.race([pending, timeLimit])
+  timerAbort.abort()
   return answer
 }
--- a/packages/peers/src/link/peerServer.ts
+++ b/packages/peers/src/link/peerServer.ts
@@ -9,7 +9,7 @@
 import { parseAddress } from './address.js'
 import { toErrorResponse } from './failureCodec.js'
 import { KeyRing } from './handshake.js'
-import { defaultLinkLimits, PROBE_METHOD, type LinkLimits, type PeerIdentity, type PeerMethod, type PeerServer } from './linkTypes.js'
+import { defaultLinkLimits, PROBE_METHOD, type LinkLimits, type PeerIdentity, type PeerMethodHandler, type PeerServer } from './linkTypes.js'
 import { servePeer, type SessionContext } from './peerSession.js'
 
 /** Peer server over TCP, JSON-RPC and msgpackr. */
@@ -37,7 +37,7 @@
    * Adds a method. A `Failure` thrown by the handler is returned to the caller; any other error is logged and returned
    * as `internal`.
    */
-  register (method: string, handler: PeerMethod): void {
+  register (method: string, handler: PeerMethodHandler): void {
     this.rpc.addMethod(method, async (params, from) => {
       try {
         return await handler(params, from) ?? null
--- a/packages/peers/src/link/peerSession.ts
+++ b/packages/peers/src/link/peerSession.ts
@@ -6,15 +6,15 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { toErrorResponse } from './failureCodec.js'
 import { FrameChannel } from './frameChannel.js'
-import { helloSchema, makeNonce, responseSchema, type Hello, type KeyRing, type Transcript } from './handshake.js'
+import { helloSchema, createNonce, responseSchema, type Hello, type KeyRing, type Transcript } from './handshake.js'
 import type { LinkLimits } from './linkTypes.js'
 
 /** Server idle timeout as a multiple of the client's, so that the client closes an idle link first. */
 const SERVER_IDLE_FACTOR = 3
 
 type SessionState =
-  | { readonly kind: 'greeting' }
-  | { readonly kind: 'challenged', readonly transcript: Transcript }
+  | { readonly kind: 'awaitingHello' }
+  | { readonly kind: 'awaitingProof', readonly transcript: Transcript }
   | { readonly kind: 'open', readonly from: string }
 
 export interface SessionContext {
@@ -32,24 +32,24 @@
 class PeerSession {
   private readonly channel: FrameChannel
   private readonly deadline: NodeJS.Timeout
-  private state: SessionState = { kind: 'greeting' }
+  private state: SessionState = { kind: 'awaitingHello' }
   private running = 0
 
   constructor (private readonly socket: Socket, private readonly context: SessionContext) {
-    this.channel = new FrameChannel(socket, context.limits, frame => this.take(frame))
+    this.channel = new FrameChannel(socket, context.limits, frame => this.handleFrame(frame))
     this.deadline = setTimeout(() => socket.destroy(), context.limits.handshakeMs)
     socket.once('close', () => clearTimeout(this.deadline))
   }
 
-  private take (frame: unknown): void {
+  private handleFrame (frame: unknown): void {
     switch (this.state.kind) {
-      case 'greeting': return this.greet(frame)
-      case 'challenged': return this.admit(frame, this.state.transcript)
+      case 'awaitingHello': return this.handleHello(frame)
+      case 'awaitingProof': return this.handleProof(frame, this.state.transcript)
       case 'open': this.serve(frame, this.state.from)
     }
   }
 
-  private greet (frame: unknown): void {
+  private handleHello (frame: unknown): void {
     const hello = helloSchema.safeParse(frame)
     if (!hello.success) {
       this.socket.destroy()
@@ -60,21 +60,21 @@
 
   private challenge (hello: Hello): void {
     const { holder, keys } = this.context
-    const nonce = makeNonce()
+    const nonce = createNonce()
     const transcript = { clientHolder: hello.holder, serverHolder: holder, clientNonce: hello.nonce, serverNonce: nonce }
-    this.state = { kind: 'challenged', transcript }
+    this.state = { kind: 'awaitingProof', transcript }
     this.channel.send({ kind: 'challenge', holder, nonce, proof: keys.prove('server', transcript) })
   }
 
-  private admit (frame: unknown, transcript: Transcript): void {
+  private handleProof (frame: unknown, transcript: Transcript): void {
     const response = responseSchema.safeParse(frame)
-    if (!response.success || !this.context.keys.accepts('client', transcript, response.data.proof)) {
+    if (!response.success || !this.context.keys.verify('client', transcript, response.data.proof)) {
       this.socket.destroy()
       return
     }
     clearTimeout(this.deadline)
     this.state = { kind: 'open', from: transcript.clientHolder }
-    this.channel.trust()
+    this.channel.markAuthenticated()
     this.socket.setTimeout(this.context.limits.idleMs * SERVER_IDLE_FACTOR, () => this.socket.destroy())
     this.channel.send({ kind: 'welcome' })
   }
@@ -85,13 +85,13 @@
       return
     }
     if (this.running >= this.context.limits.openCalls) {
-      this.shed(frame)
+      this.refuseCall(frame)
       return
     }
     this.run(frame, from).catch(() => this.socket.destroy())
   }
 
-  private shed (req: JSONRPCRequest): void {
+  private refuseCall (req: JSONRPCRequest): void {
     if (req.id === undefined) return
     this.channel.send(toErrorResponse(req.id, new Failure('overloaded', 'the limit of concurrent calls for this connection is reached')))
   }
--- a/packages/rosemaryspread/src/admin/adminService.spec.ts
+++ b/packages/rosemaryspread/src/admin/adminService.spec.ts
@@ -7,26 +7,26 @@
 import type { RunnerStatus } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { FleetAdminService, type AdminDeps } from './adminService.js'
 
-const place = { address: '10.0.0.1:1', domain: 'd1' }
+const location = { address: '10.0.0.1:1', domain: 'd1' }
 const config = fleetConfigSchema.parse({
   models: { m: { maxTokens: 8 } },
-  runners: { r1: { ...place, models: ['m'], state: 'leaving' } },
-  services: { bookings: { runners: { app1: place } } }
+  runners: { r1: { ...location, models: ['m'], state: 'leaving' } },
+  services: { bookings: { runners: { app1: location } } }
 })
 
 describe('FleetAdminService.runners', () => {
   const ejected: RunnerStatus = { runner: 'r1', state: 'ejected', reason: 'consecutive failures', inFlight: 2, reportAgeMs: 900 }
-  const cases: ReadonlyArray<{ readonly name: string, readonly standings: readonly RunnerStatus[], readonly shown: object }> = [
-    { name: 'the state observed by this VM', standings: [ejected], shown: { ...ejected, kind: 'model', ...place } },
-    { name: 'the configured state of a runner that is missing from the router', standings: [], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } },
-    { name: 'no runner that was removed from the configuration', standings: [{ ...ejected, runner: 'old' }], shown: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...place } }
+  const cases: ReadonlyArray<{ readonly name: string, readonly statuses: readonly RunnerStatus[], readonly expected: object }> = [
+    { name: 'the state observed by this VM', statuses: [ejected], expected: { ...ejected, kind: 'model', ...location } },
+    { name: 'the configured state of a runner that is missing from the router', statuses: [], expected: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...location } },
+    { name: 'no runner that was removed from the configuration', statuses: [{ ...ejected, runner: 'old' }], expected: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...location } }
   ]
-  for (const { name, standings, shown } of cases) {
+  for (const { name, statuses: standings, expected: shown } of cases) {
     it(`shows ${name}`, async () => {
       const current = { current: () => Just({ version: 1, config }) }
       const deps = { current, runnerStates: () => standings, serviceInFlight: () => 3 } as unknown as AdminDeps
       const runners = (await new FleetAdminService(deps).runners()).extract()
-      expect(runners).to.deep.equal([shown, { runner: 'app1', state: 'active', inFlight: 3, kind: 'application', ...place }])
+      expect(runners).to.deep.equal([shown, { runner: 'app1', state: 'active', inFlight: 3, kind: 'application', ...location }])
     })
   }
 })
--- a/packages/rosemaryspread/src/admin/adminService.ts
+++ b/packages/rosemaryspread/src/admin/adminService.ts
@@ -81,9 +81,9 @@
   /** Lists all runners. A model runner that is missing from the router is listed with its configured state. */
   async runners (): Promise<Either<Failure, readonly RunnerAnswer[]>> {
     const config = this.deps.current.current().extractNullable()?.config
-    const seen = new Map(this.deps.runnerStates().map(standing => [standing.runner, standing]))
+    const statuses = new Map(this.deps.runnerStates().map(status => [status.runner, status]))
     const models = Object.entries(config?.runners ?? {}).map(([runner, { address, domain, state }]) =>
-      ({ runner, kind: 'model' as const, domain, address, state, inFlight: 0, ...seen.get(runner) }))
+      ({ runner, kind: 'model' as const, domain, address, state, inFlight: 0, ...statuses.get(runner) }))
     const applications = Object.values(config?.services ?? {}).flatMap(service =>
       Object.entries(service.runners).map(([runner, { address, domain, state }]) =>
         ({ runner, kind: 'application' as const, domain, address, state, inFlight: this.deps.serviceInFlight(runner) })))
--- a/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai'
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
+import type { LateResponseHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import { BudgetGrantCalls, grantMethod, type GrantResponse } from './budgetGrantCalls.js'
 
 const peers = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(name => ({ holder: name, address: `${name}:1` }))
@@ -15,7 +15,7 @@
   mono = 0
   readonly asked: string[] = []
   readonly late: Array<[budget: string, tokens: number]> = []
-  readonly lateAnswers: LateAnswer[] = []
+  readonly lateAnswers: LateResponseHandler[] = []
   readonly calls: BudgetGrantCalls
 
   constructor (readonly have: Record<string, number | undefined>) {
--- a/packages/rosemaryspread/src/budget/budgetGrantCalls.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import type { LateAnswer, PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
+import type { LateResponseHandler, PeerMethodHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 import type { GrantOutcome } from './budgetDriverTypes.js'
 import { parseAnswer } from './peerAnswer.js'
@@ -43,7 +43,7 @@
   readonly log: EventLog
   /** Other VMs that may have tokens of a budget. */
   peersFor (budget: string): readonly PeerVm[]
-  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
+  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateResponseHandler): Promise<Either<Failure, unknown>>
   /** Accepts tokens granted after the request for them timed out. */
   acceptLateGrant (budget: string, tokens: number): void
   /** Rank of a VM whose balance for a budget is unknown: in [0, 1), constant for each pair. Higher ranks are called first. */
@@ -172,7 +172,7 @@
  * Peer method that answers grant requests.
  * @param grant - answers a request from the budgets of this VM
  */
-export function grantMethod (grant: (request: GrantRequest) => GrantResponse): PeerMethod {
+export function grantMethod (grant: (request: GrantRequest) => GrantResponse): PeerMethodHandler {
   return async params => grant(grantRequestSchema.parse(params))
 }
 
@@ -180,7 +180,7 @@
  * Peer method that accepts handovers of terminating VMs.
  * @param accept - adds tokens to the budgets of this VM
  */
-export function handoverMethod (accept: (budget: string, tokens: number) => void): PeerMethod {
+export function handoverMethod (accept: (budget: string, tokens: number) => void): PeerMethodHandler {
   return async params => {
     const { budget, tokens } = handoverSchema.parse(params)
     accept(budget, tokens)
--- a/packages/rosemaryspread/src/cli/serveMain.ts
+++ b/packages/rosemaryspread/src/cli/serveMain.ts
@@ -14,8 +14,8 @@
 const packageFile = new URL('../../package.json', import.meta.url)
 
 function readVersion (): string {
-  const parsed: unknown = JSON.parse(readFileSync(packageFile, 'utf8'))
-  return String((parsed as { version: unknown }).version)
+  const manifest: unknown = JSON.parse(readFileSync(packageFile, 'utf8'))
+  return String((manifest as { version: unknown }).version)
 }
 
 /** Loads the settings; on invalid settings prints every error and exits. */
@@ -41,13 +41,13 @@
   const settings = await settingsOrExit(file)
   const { composeVm } = await import('../compose/composeVm.js')
   const vm = composeVm(settings)
-  const stop = (): void => {
+  const drainAndExit = (): void => {
     vm.drain()
       .then(clean => process.exit(clean ? exitCodes.ok : exitCodes.drainTimeout))
       .catch(() => process.exit(exitCodes.fault))
   }
-  process.once('SIGTERM', stop)
-  process.once('SIGINT', stop)
+  process.once('SIGTERM', drainAndExit)
+  process.once('SIGINT', drainAndExit)
   const started = await vm.start()
   started.ifLeft(failure => {
     console.error(`RS-${failure.entry.number} ${failure.entry.title}: ${failure.message}`)
--- a/packages/rosemaryspread/src/clock/steadyClock.spec.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.spec.ts
@@ -13,28 +13,28 @@
   readonly mono: number
   readonly wall: number
   /** Elapsed milliseconds that must count towards expiry. */
-  readonly passed: number
+  readonly expectedMs: number
 }
 
 const cases: readonly ClockCase[] = [
-  { name: 'a running VM', mono: 1_000, wall: 1_000, passed: 1_000 },
-  { name: 'a VM that was suspended for 90 s', mono: 5, wall: 90_005, passed: 90_005 },
-  { name: 'a time of day that was set back', mono: 1_000, wall: -60_000, passed: 1_000 },
-  { name: 'a time of day that drifts', mono: 10_000, wall: 10_004, passed: 10_000 }
+  { name: 'a running VM', mono: 1_000, wall: 1_000, expectedMs: 1_000 },
+  { name: 'a VM that was suspended for 90 s', mono: 5, wall: 90_005, expectedMs: 90_005 },
+  { name: 'a time of day that was set back', mono: 1_000, wall: -60_000, expectedMs: 1_000 },
+  { name: 'a time of day that drifts', mono: 10_000, wall: 10_004, expectedMs: 10_000 }
 ]
 
 /** A reading of a remote clock after the local clocks advanced. */
-interface WitnessCase extends ClockCase {
+interface RemoteClockCase extends ClockCase {
   /** Milliseconds by which the remote clock advances, and the duration of the request. */
-  readonly theirs: number
-  readonly answerMs: number
+  readonly remoteMs: number
+  readonly requestMs: number
 }
 
-const witnessed: readonly WitnessCase[] = [
-  { name: 'a suspension that the remote clock confirms', mono: 5, wall: 90_005, theirs: 90_010, answerMs: 5, passed: 90_010 },
-  { name: 'a time of day that was set ahead', mono: 1_000, wall: 91_000, theirs: 1_005, answerMs: 5, passed: 1_005 },
-  { name: 'a suspension of 5 s with a time of day that was set ahead by 60 s', mono: 0, wall: 65_000, theirs: 5_000, answerMs: 0, passed: 5_000 },
-  { name: 'a response too slow to decide', mono: 0, wall: 300, theirs: 400, answerMs: 400, passed: 700 }
+const remoteClockCases: readonly RemoteClockCase[] = [
+  { name: 'a suspension that the remote clock confirms', mono: 5, wall: 90_005, remoteMs: 90_010, requestMs: 5, expectedMs: 90_010 },
+  { name: 'a time of day that was set ahead', mono: 1_000, wall: 91_000, remoteMs: 1_005, requestMs: 5, expectedMs: 1_005 },
+  { name: 'a suspension of 5 s with a time of day that was set ahead by 60 s', mono: 0, wall: 65_000, remoteMs: 5_000, requestMs: 0, expectedMs: 5_000 },
+  { name: 'a response too slow to decide', mono: 0, wall: 300, remoteMs: 400, requestMs: 400, expectedMs: 700 }
 ]
 
 describe('SteadyClock', () => {
@@ -45,28 +45,28 @@
     Date.now = realWall
   })
 
-  for (const { name, mono, wall, theirs, answerMs, passed } of witnessed) {
+  for (const { name, mono, wall, remoteMs: theirs, requestMs: answerMs, expectedMs: passed } of remoteClockCases) {
     it(`decides by a remote clock: ${name}`, () => {
       performance.now = () => 10_000
       Date.now = () => 1_700_000_000_000
       const suspensions: number[] = []
       const clock = new SteadyClock(milliseconds => { suspensions.push(milliseconds) })
-      clock.witnessed(500_000, clock.now().mono)
+      clock.observeRemote(500_000, clock.now().mono)
       const before = clock.now()
       performance.now = () => 10_000 + mono
       Date.now = () => 1_700_000_000_000 + wall
-      const askedAt = clock.now().mono + 0.001
+      const requestedAt = clock.now().mono + 0.001
       performance.now = () => 10_000 + mono + answerMs
       Date.now = () => 1_700_000_000_000 + wall + answerMs
-      clock.witnessed(500_000 + theirs, askedAt)
+      clock.observeRemote(500_000 + theirs, requestedAt)
       const after = clock.now()
       expect(elapsedMs(before, after), 'elapsed time').to.be.closeTo(passed, 1)
-      const isProved = suspensions.length > 0
-      expect(after.mono - before.mono, 'monotonic clock').to.be.closeTo(isProved ? passed : mono + answerMs, 1)
+      const isConfirmed = suspensions.length > 0
+      expect(after.mono - before.mono, 'monotonic clock').to.be.closeTo(isConfirmed ? passed : mono + answerMs, 1)
     })
   }
 
-  for (const { name, mono, wall, passed } of cases) {
+  for (const { name, mono, wall, expectedMs: passed } of cases) {
     it(`counts the elapsed time of ${name}`, () => {
       performance.now = () => 10_000
       Date.now = () => 1_700_000_000_000
--- a/packages/rosemaryspread/src/clock/steadyClock.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.ts
@@ -10,88 +10,88 @@
 const JUMP_MS = 100
 
 /** Receives readings of the monotonic clock of another machine. */
-export interface ClockWitness {
+export interface RemoteClockObserver {
   /**
    * Compares a remote reading with the local clocks.
-   * @param theirs - remote monotonic milliseconds
-   * @param askedAt - local monotonic milliseconds at which the reading was requested
+   * @param remoteMs - remote monotonic milliseconds
+   * @param requestedAt - local monotonic milliseconds at which the reading was requested
    */
-  witnessed (theirs: number, askedAt: number): void
+  observeRemote (remoteMs: number, requestedAt: number): void
 }
 
 /** Bounds of the remote clock minus the local `mono`, in milliseconds. */
-interface Ahead {
-  readonly least: number
-  readonly most: number
+interface OffsetBounds {
+  readonly minMs: number
+  readonly maxMs: number
 }
 
 /** Reads the system clocks and corrects them for suspensions. */
-export class SteadyClock implements Clock, ClockWitness {
-  private readonly wallAtZero = Date.now() - performance.now()
+export class SteadyClock implements Clock, RemoteClockObserver {
+  private readonly wallAtMonoZero = Date.now() - performance.now()
   /** Time of day minus the monotonic clock, at the last reading. */
-  private gapMs = this.wallAtZero
+  private wallOffsetMs = this.wallAtMonoZero
   /** Total milliseconds of confirmed suspensions. */
   private suspendedMs = 0
   /** Forward jump of the time of day that no remote clock has confirmed or refuted yet. */
-  private doubtMs = 0
+  private unconfirmedMs = 0
   /** `mono` at the last jump. */
-  private jumpedAt = -Infinity
-  private ahead: Ahead | undefined
+  private lastJumpAt = -Infinity
+  private remoteOffset: OffsetBounds | undefined
 
   /** @param onSuspended - receives the milliseconds of each confirmed suspension */
   constructor (private readonly onSuspended: (milliseconds: number) => void = () => {}) {}
 
   now (): Instant {
-    const steady = performance.now()
-    this.noteJump(Date.now() - steady)
-    const mono = steady + this.suspendedMs
-    return { mono, wall: this.wallAtZero + mono + this.doubtMs }
+    const processMono = performance.now()
+    this.detectJump(Date.now() - processMono)
+    const mono = processMono + this.suspendedMs
+    return { mono, wall: this.wallAtMonoZero + mono + this.unconfirmedMs }
   }
 
-  witnessed (theirs: number, askedAt: number): void {
+  observeRemote (remoteMs: number, requestedAt: number): void {
     const { mono } = this.now()
     // A request that spans a jump gives no bounds for the offset before or after it.
-    if (askedAt <= this.jumpedAt) return
-    const heard = { least: theirs - mono, most: theirs - askedAt }
-    const known = this.ahead ?? heard
-    const isStill = overlap(heard, known)
-    const isMoved = overlap(heard, moved(known, this.doubtMs))
+    if (requestedAt <= this.lastJumpAt) return
+    const measured = { minMs: remoteMs - mono, maxMs: remoteMs - requestedAt }
+    const previous = this.remoteOffset ?? measured
+    const fitsNoSuspension = overlaps(measured, previous)
+    const fitsSuspension = overlaps(measured, shiftBounds(previous, this.unconfirmedMs))
     // A slow response fits both cases; a later one decides.
-    if (this.doubtMs > 0 && isStill && isMoved) return
-    if (this.doubtMs > 0 && !isStill) this.suspended(isMoved ? this.doubtMs : between(0, heard.least - known.most, this.doubtMs))
-    this.doubtMs = 0
-    this.ahead = this.narrowed(moved(heard, mono - this.now().mono))
+    if (this.unconfirmedMs > 0 && fitsNoSuspension && fitsSuspension) return
+    if (this.unconfirmedMs > 0 && !fitsNoSuspension) this.addSuspension(fitsSuspension ? this.unconfirmedMs : clamp(0, measured.minMs - previous.maxMs, this.unconfirmedMs))
+    this.unconfirmedMs = 0
+    this.remoteOffset = this.intersectOffset(shiftBounds(measured, mono - this.now().mono))
   }
 
-  private noteJump (gapMs: number): void {
-    const jumpMs = gapMs - this.gapMs
-    this.gapMs = gapMs
+  private detectJump (offsetMs: number): void {
+    const jumpMs = offsetMs - this.wallOffsetMs
+    this.wallOffsetMs = offsetMs
     if (Math.abs(jumpMs) < JUMP_MS) return
-    this.jumpedAt = performance.now() + this.suspendedMs
-    this.doubtMs = Math.max(0, this.doubtMs + jumpMs)
+    this.lastJumpAt = performance.now() + this.suspendedMs
+    this.unconfirmedMs = Math.max(0, this.unconfirmedMs + jumpMs)
   }
 
-  private suspended (milliseconds: number): void {
+  private addSuspension (milliseconds: number): void {
     this.suspendedMs += milliseconds
     this.onSuspended(milliseconds)
   }
 
   /** Intersects the bounds; disjoint bounds belong to another remote clock or to one that drifted, and replace the old ones. */
-  private narrowed (heard: Ahead): Ahead {
-    const { ahead } = this
-    if (ahead === undefined || heard.least > ahead.most || heard.most < ahead.least) return heard
-    return { least: Math.max(heard.least, ahead.least), most: Math.min(heard.most, ahead.most) }
+  private intersectOffset (measured: OffsetBounds): OffsetBounds {
+    const { remoteOffset: ahead } = this
+    if (ahead === undefined || measured.minMs > ahead.maxMs || measured.maxMs < ahead.minMs) return measured
+    return { minMs: Math.max(measured.minMs, ahead.minMs), maxMs: Math.min(measured.maxMs, ahead.maxMs) }
   }
 }
 
-function moved ({ least, most }: Ahead, by: number): Ahead {
-  return { least: least + by, most: most + by }
+function shiftBounds ({ minMs: least, maxMs: most }: OffsetBounds, deltaMs: number): OffsetBounds {
+  return { minMs: least + deltaMs, maxMs: most + deltaMs }
 }
 
-function between (least: number, value: number, most: number): number {
-  return Math.min(most, Math.max(least, value))
+function clamp (min: number, value: number, max: number): number {
+  return Math.min(max, Math.max(min, value))
 }
 
-function overlap (a: Ahead, b: Ahead): boolean {
-  return a.least <= b.most + JUMP_MS && b.least <= a.most + JUMP_MS
+function overlaps (a: OffsetBounds, b: OffsetBounds): boolean {
+  return a.minMs <= b.maxMs + JUMP_MS && b.minMs <= a.maxMs + JUMP_MS
 }
--- a/packages/rosemaryspread/src/compose/bindBase.ts
+++ b/packages/rosemaryspread/src/compose/bindBase.ts
@@ -16,14 +16,14 @@
 import { MetricsRecorder } from '../metrics/metricsRecorder.js'
 import type { Settings } from '../settings/settingsSchema.js'
 import { ids } from './serviceIds.js'
-import { identityOf } from './vmIdentity.js'
+import { createIdentity } from './vmIdentity.js'
 
 /** Time limit in milliseconds of engine calls that are not streamed. */
 const ENGINE_CALL_MS = 2_000
 const MAX_APPLICATION_ANSWER_BYTES = 16 * 1024 * 1024
 
 export function bindBase (container: Container, settings: Settings): void {
-  const identity = identityOf(settings)
+  const identity = createIdentity(settings)
   const { vm, domain, holder } = identity
   container.bind(ids.settings).toConstantValue(settings)
   container.bind(ids.identity).toConstantValue(identity)
--- a/packages/rosemaryspread/src/compose/bindConfig.ts
+++ b/packages/rosemaryspread/src/compose/bindConfig.ts
@@ -54,7 +54,7 @@
   container.bind(ids.fleetSize).toResolvedValue((clock, members) =>
     new FleetSize(clock, () => members.members()), [ids.clock, ids.members]).inSingletonScope()
 
-  container.bind(ids.configSpread).toDynamicValue(ctx => {
+  container.bind(ids.configPropagation).toDynamicValue(ctx => {
     const settings = ctx.get(ids.settings)
     const { vm, peers } = ctx.get(ids.identity)
     const members = ctx.get(ids.members)
--- a/packages/rosemaryspread/src/compose/bindPlacement.ts
+++ b/packages/rosemaryspread/src/compose/bindPlacement.ts
@@ -14,14 +14,14 @@
     const config = ctx.get(ids.currentConfig)
     const members = ctx.get(ids.members)
     const work = ctx.get(ids.work)
-    const isOn = (): boolean => config.current().map(current => current.config.limits.placement).orDefault(false)
+    const isPlacementEnabled = (): boolean => config.current().map(current => current.config.limits.placement).orDefault(false)
     return new LeaseDriver({
       role: MEMBER_ROLES.placement,
       holder: ctx.get(ids.identity).holder,
       table: ctx.get(ids.table),
       clock: ctx.get(ids.clock),
       log: ctx.get(ids.log),
-      isCandidate: () => isOn() && !work.draining && members.isCandidate(MEMBER_ROLES.placement)
+      isCandidate: () => isPlacementEnabled() && !work.draining && members.isCandidate(MEMBER_ROLES.placement)
     })
   }).inSingletonScope()
 
--- a/packages/rosemaryspread/src/compose/bindServing.ts
+++ b/packages/rosemaryspread/src/compose/bindServing.ts
@@ -9,7 +9,7 @@
 import { httpLimitsSchema } from '@rosemaryspread/http/server/httpLimits.js'
 import { AdminServer } from '@rosemaryspread/operators/admin/adminServer.js'
 import { FleetAdminService } from '../admin/adminService.js'
-import { memberAnswers } from '../admin/adminMembers.js'
+import { toVmAnswers } from '../admin/adminMembers.js'
 import { RoutedCompletionService } from '../completion/completionService.js'
 import { UnsettledRuns } from '../completion/completionUnsettled.js'
 import { ConfiguredDirectory } from '../directory/callerDirectory.js'
@@ -122,7 +122,7 @@
       },
       keys: ctx.get(ids.operatorKeys),
       bootstrapKeys: ctx.get(ids.bootstrapKeys),
-      vms: () => memberAnswers(members.members()),
+      vms: () => toVmAnswers(members.members()),
       addresses: () => members.addresses(0).addresses,
       runnerStates: () => routing.states(),
       serviceInFlight: runner => calls.inFlight(runner)
--- a/packages/rosemaryspread/src/compose/composeVm.ts
+++ b/packages/rosemaryspread/src/compose/composeVm.ts
@@ -23,10 +23,10 @@
   bindBudgets(container)
   bindPlacement(container)
   bindServing(container)
-  let replaced: (by: string) => void = () => {}
-  container.bind(ids.onReplaced).toConstantValue(by => { replaced(by) })
+  let handleReplaced: (by: string) => void = () => {}
+  container.bind(ids.onReplaced).toConstantValue(by => { handleReplaced(by) })
   rebind(container)
   const vm = new VmProcess(container)
-  replaced = by => { vm.replacedBy(by) }
+  handleReplaced = by => { vm.handleReplaced(by) }
   return vm
 }
--- a/packages/rosemaryspread/src/compose/vmIdentity.ts
+++ b/packages/rosemaryspread/src/compose/vmIdentity.ts
@@ -22,7 +22,7 @@
 }
 
 /** Creates an identity with a new random incarnation. */
-export function identityOf (settings: Settings): VmIdentity {
+export function createIdentity (settings: Settings): VmIdentity {
   const { vm, domain, region, listen, advertise } = settings
   return {
     vm,
@@ -32,12 +32,12 @@
     callers: advertise.callers ?? listen.callers,
     operators: advertise.operators ?? listen.operators,
     peers: advertise.peers ?? listen.peers,
-    place: placeOf(listen.peers)
+    place: hashPeerAddress(listen.peers)
   }
 }
 
 /** Boot id and network namespace distinguish systems that use the same address. */
-function placeOf (address: string): string | undefined {
+function hashPeerAddress (address: string): string | undefined {
   try {
     const boot = readFileSync('/proc/sys/kernel/random/boot_id', 'utf8').trim()
     const network = readlinkSync('/proc/self/ns/net')
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -15,8 +15,8 @@
 /** Interval at which the schedule of load polls is checked. */
 const POLL_TICK_MS = 250
 /** Interval of recovering the allotments of terminated holders. */
-const RECOVERY_MS = 5_000
-const ARCHIVE_MS = 300_000
+const RECOVERY_INTERVAL_MS = 5_000
+const ARCHIVE_INTERVAL_MS = 300_000
 /** Role whose candidates recover the allotments of terminated holders and archive old bills. */
 const RECOVERY_ROLE = 'recovery'
 const PLACEMENT_TICK_MS = 1_000
@@ -35,8 +35,8 @@
   async start (): Promise<Either<Failure, void>> {
     const settings = this.container.get(ids.settings)
     const identity = this.container.get(ids.identity)
-    this.followConfig()
-    this.servePeers()
+    this.subscribeToConfig()
+    this.registerPeerMethods()
     try {
       await this.container.get(ids.peerServer).listen(settings.listen.peers)
       await this.container.get(ids.adminServer).listen(settings.listen.operators)
@@ -47,9 +47,9 @@
     this.log.write('started', { ...identity })
     this.startTimers()
     await this.container.get(ids.configStore).load()
-    const spread = this.container.get(ids.configSpread)
-    this.container.get(ids.versionHints).onHint(() => { this.inBackground(spread.poll()) })
-    spread.start()
+    const propagation = this.container.get(ids.configPropagation)
+    this.container.get(ids.versionHints).onHint(() => { this.runInBackground(propagation.poll()) })
+    propagation.start()
     await this.container.get(ids.members).start()
     this.container.get(ids.placementLease).start()
     return Right(undefined)
@@ -63,10 +63,10 @@
     this.log.write('draining', { open: work.openCount() })
     this.container.get(ids.callerServer).linger()
     await Promise.all([this.container.get(ids.members).announceLeaving(), pause(drainLingerMs)])
-    const released = this.within(this.container.get(ids.placementLease).release(), drainTimeoutMs)
+    const released = this.completesWithin(this.container.get(ids.placementLease).release(), drainTimeoutMs)
     const idle = await work.waitUntilIdle(drainTimeoutMs)
     await this.container.get(ids.callerServer).close()
-    const settled = await this.within(this.container.get(ids.budgets).drain(), drainTimeoutMs)
+    const settled = await this.completesWithin(this.container.get(ids.budgets).drain(), drainTimeoutMs)
     await released
     await this.stop()
     this.log.write('stopped', { open: work.openCount(), interrupted: work.openCount(), settled })
@@ -75,16 +75,16 @@
 
   /**
    * Drains and exits because another process runs under this VM's name.
-   * @param by - holder id of that process
+   * @param successor - holder id of that process
    */
-  replacedBy (by: string): void {
-    this.log.write('peerSeen', { peer: this.container.get(ids.identity).vm, state: 'replaced', evidence: by })
+  handleReplaced (successor: string): void {
+    this.log.write('peerSeen', { peer: this.container.get(ids.identity).vm, state: 'replaced', evidence: successor })
     this.drain()
       .then(() => process.exit(0))
       .catch(() => process.exit(1))
   }
 
-  private followConfig (): void {
+  private subscribeToConfig (): void {
     const routing = this.container.get(ids.routing)
     const teamKeys = this.container.get(ids.teamKeys)
     const operatorKeys = this.container.get(ids.operatorKeys)
@@ -95,11 +95,11 @@
     })
   }
 
-  private servePeers (): void {
+  private registerPeerMethods (): void {
     const server = this.container.get(ids.peerServer)
-    const spread = this.container.get(ids.configSpread)
-    server.register(PUSH_METHOD, async params => await spread.onPush(params))
-    server.register(FETCH_METHOD, async params => await spread.onFetch(params))
+    const propagation = this.container.get(ids.configPropagation)
+    server.register(PUSH_METHOD, async params => await propagation.onPush(params))
+    server.register(FETCH_METHOD, async params => await propagation.onFetch(params))
     serveBudgetPeers(server, this.container.get(ids.budgets))
   }
 
@@ -108,17 +108,17 @@
     const poller = this.container.get(ids.poller)
     const routing = this.container.get(ids.routing)
     const unsettled = this.container.get(ids.unsettled)
-    this.every(BUDGET_TICK_MS, async () => { budgets.tick() })
-    this.every(POLL_TICK_MS, async () => { await poller.poll() })
-    this.every(QUEUE_TICK_MS, async () => { routing.tick() })
-    this.every(RECOVERY_MS, async () => { await this.recover() })
-    this.every(ARCHIVE_MS, async () => { await this.archiveBills() })
-    this.every(PLACEMENT_TICK_MS, async () => { await this.container.get(ids.placement).tick() })
-    this.every(UNSETTLED_RETRY_MS, async () => { await unsettled.retryAll() })
+    this.schedule(BUDGET_TICK_MS, async () => { budgets.tick() })
+    this.schedule(POLL_TICK_MS, async () => { await poller.poll() })
+    this.schedule(QUEUE_TICK_MS, async () => { routing.tick() })
+    this.schedule(RECOVERY_INTERVAL_MS, async () => { await this.recoverHolders() })
+    this.schedule(ARCHIVE_INTERVAL_MS, async () => { await this.archiveBills() })
+    this.schedule(PLACEMENT_TICK_MS, async () => { await this.container.get(ids.placement).tick() })
+    this.schedule(UNSETTLED_RETRY_MS, async () => { await unsettled.retryAll() })
   }
 
   /** Concurrent passes of several VMs are safe: conditional writes on row versions resolve conflicts. */
-  private async recover (): Promise<void> {
+  private async recoverHolders (): Promise<void> {
     if (!this.container.get(ids.members).isCandidate(RECOVERY_ROLE)) return
     const list = await this.container.get(ids.vmList).list()
     await this.container.get(ids.budgets).recoverTerminated(list.toMaybe().extract())
@@ -129,23 +129,23 @@
     await this.container.get(ids.billArchive).pass()
   }
 
-  private every (ms: number, work: () => Promise<void>): void {
-    this.timers.push(setInterval(() => { this.inBackground(work()) }, ms))
+  private schedule (ms: number, task: () => Promise<void>): void {
+    this.timers.push(setInterval(() => { this.runInBackground(task()) }, ms))
   }
 
-  private inBackground (work: Promise<void>): void {
-    work.catch((err: unknown) => { this.log.write('fault', { err: toFailure(err).message }) })
+  private runInBackground (task: Promise<void>): void {
+    task.catch((err: unknown) => { this.log.write('fault', { err: toFailure(err).message }) })
   }
 
-  private async within (work: Promise<void>, ms: number): Promise<boolean> {
+  private async completesWithin (task: Promise<void>, ms: number): Promise<boolean> {
     let timer: NodeJS.Timeout | undefined
-    const late = new Promise<boolean>(resolve => { timer = setTimeout(() => { resolve(false) }, ms) })
-    return await Promise.race([work.then(() => true), late]).finally(() => { clearTimeout(timer) })
+    const timeout = new Promise<boolean>(resolve => { timer = setTimeout(() => { resolve(false) }, ms) })
+    return await Promise.race([task.then(() => true), timeout]).finally(() => { clearTimeout(timer) })
   }
 
   private async stop (): Promise<void> {
     this.timers.forEach(timer => { clearInterval(timer) })
-    this.container.get(ids.configSpread).stop()
+    this.container.get(ids.configPropagation).stop()
     this.container.get(ids.placementLease).stop()
     this.container.get(ids.members).stop()
     await this.container.get(ids.adminServer).close()
--- a/packages/rosemaryspread/src/gateway/budgetDriverFactory.ts
+++ b/packages/rosemaryspread/src/gateway/budgetDriverFactory.ts
@@ -10,7 +10,7 @@
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import { HASH_RANGE, hashName, pairWeight } from '@rosemaryspread/decisions/routing/rendezvous.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import type { LateAnswer } from '@rosemaryspread/peers/link/linkTypes.js'
+import type { LateResponseHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import { BudgetDriver } from '../budget/budgetDriver.js'
 import { BudgetGrantCalls } from '../budget/budgetGrantCalls.js'
 import { AssumedSpentRuns } from '../budget/assumedSpentRuns.js'
@@ -42,7 +42,7 @@
   readonly log: EventLog
   readonly fleet: BudgetFleet
   /** Calls another VM over a link. */
-  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>>
+  call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateResponseHandler): Promise<Either<Failure, unknown>>
   /** Amount paid for a budget according to the current configuration. */
   declared (budget: string): DeclaredPaid | undefined
 }
--- a/packages/rosemaryspread/src/gateway/workNotifications.ts
+++ b/packages/rosemaryspread/src/gateway/workNotifications.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { workNotificationSchema, type WorkNotification } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
-import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
+import type { PeerMethodHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import { MAX_NOTIFIED_PEERS } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 
@@ -44,6 +44,6 @@
 }
 
 /** Link method that receives notifications of other VMs. */
-export function workMethod (onNotification: (notification: WorkNotification) => void): PeerMethod {
+export function workMethod (onNotification: (notification: WorkNotification) => void): PeerMethodHandler {
   return async params => { onNotification(workNotificationSchema.parse(params)) }
 }
--- a/packages/rosemaryspread/src/log/logger.ts
+++ b/packages/rosemaryspread/src/log/logger.ts
@@ -21,12 +21,12 @@
 
   write (event: LogEventName, fields: Readonly<Record<string, unknown>>): void {
     const entry = logEvents[event]
-    this.logger[entry.level]({ event, number: entry.number, ...fields }, sentenceOf(entry.title))
+    this.logger[entry.level]({ event, number: entry.number, ...fields }, titleWithoutFields(entry.title))
   }
 }
 
 /** Cuts the list of fields from a title: the line contains the fields themselves, and repeating their names would enlarge the log. */
-function sentenceOf (title: string): string {
-  const end = title.indexOf('; fields')
-  return end < 0 ? title : title.slice(0, end)
+function titleWithoutFields (title: string): string {
+  const fieldsStart = title.indexOf('; fields')
+  return fieldsStart < 0 ? title : title.slice(0, fieldsStart)
 }
--- a/packages/rosemaryspread/src/metrics/metricsRecorder.ts
+++ b/packages/rosemaryspread/src/metrics/metricsRecorder.ts
@@ -20,13 +20,13 @@
   private readonly histograms = new Map<HistogramName, Histogram>()
   private readonly gauges = new Map<GaugeName, () => number>()
 
-  count (name: CounterName, by = 1): void {
-    this.counters.set(name, (this.counters.get(name) ?? 0) + by)
+  count (name: CounterName, amount = 1): void {
+    this.counters.set(name, (this.counters.get(name) ?? 0) + amount)
   }
 
   record (name: HistogramName, milliseconds: number): void {
-    const whole = Math.min(MAX_MILLISECONDS, Math.max(0, Math.round(milliseconds)))
-    this.histogram(name).recordValue(whole)
+    const rounded = Math.min(MAX_MILLISECONDS, Math.max(0, Math.round(milliseconds)))
+    this.getOrCreateHistogram(name).recordValue(rounded)
   }
 
   gauge (name: GaugeName, read: () => number): void {
@@ -40,12 +40,12 @@
     return [...counters, ...gauges, ...histograms, ''].join('\n')
   }
 
-  private histogram (name: HistogramName): Histogram {
-    const known = this.histograms.get(name)
-    if (known !== undefined) return known
-    const fresh = new MillisecondHistogram(1, MAX_MILLISECONDS, SIGNIFICANT_DIGITS)
-    this.histograms.set(name, fresh)
-    return fresh
+  private getOrCreateHistogram (name: HistogramName): Histogram {
+    const existing = this.histograms.get(name)
+    if (existing !== undefined) return existing
+    const created = new MillisecondHistogram(1, MAX_MILLISECONDS, SIGNIFICANT_DIGITS)
+    this.histograms.set(name, created)
+    return created
   }
 }
 
--- a/packages/rosemaryspread/src/metrics/metricsTypes.ts
+++ b/packages/rosemaryspread/src/metrics/metricsTypes.ts
@@ -5,7 +5,7 @@
 
 export interface Metrics {
   /** Increments a counter, by 1 unless an amount is given. */
-  count (name: CounterName, by?: number): void
+  count (name: CounterName, amount?: number): void
   /** Records a duration in a histogram. */
   record (name: HistogramName, milliseconds: number): void
   /** Registers a gauge; `read` is called on each scrape and returns the current value. */
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -8,7 +8,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
-import { defaultLinkLimits, type LateAnswer, type LinkLimits, type PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
+import { defaultLinkLimits, type LateResponseHandler, type LinkLimits, type PeerMethodHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import { JsonRpcPeerClient } from '@rosemaryspread/peers/link/peerClient.js'
 import { JsonRpcPeerServer } from '@rosemaryspread/peers/link/peerServer.js'
 import { fleetKey } from './fleetKey.js'
@@ -41,7 +41,7 @@
 export const MAX_NOTIFIED_PEERS = 20
 
 export class FleetLinks {
-  private readonly methods = new Map<string, PeerMethod>()
+  private readonly methods = new Map<string, PeerMethodHandler>()
   private client: JsonRpcPeerClient | undefined
   private server: JsonRpcPeerServer | undefined
   private isClosed = false
@@ -49,7 +49,7 @@
   constructor (private readonly parts: FleetLinksParts) {}
 
   /** Registers a method that other VMs may call. Must be called before {@link open}. */
-  serve (method: string, handler: PeerMethod): void {
+  serve (method: string, handler: PeerMethodHandler): void {
     this.methods.set(method, handler)
   }
 
@@ -68,7 +68,7 @@
     const server = new JsonRpcPeerServer(identity, log, linkLimits)
     for (const [method, handler] of this.methods) server.register(method, handler)
     this.server = server
-    this.client = new JsonRpcPeerClient({ identity, clock, random, limits: linkLimits, onSilence })
+    this.client = new JsonRpcPeerClient({ identity, clock, random, limits: linkLimits, onUnresponsive: onSilence })
     await server.listen(address)
   }
 
@@ -78,7 +78,7 @@
    * @param params - a value that msgpackr can encode
    * @param onLate - receives a result that arrives after the timeout
    */
-  async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateAnswer): Promise<Either<Failure, unknown>> {
+  async call (address: string, method: string, params: unknown, timeoutMs: number, onLate?: LateResponseHandler): Promise<Either<Failure, unknown>> {
     if (this.client === undefined) return Left(new Failure('peerUnreachable', 'the links of this VM are not open'))
     return await this.client.call(address, method, params, timeoutMs, onLate)
   }
--- a/packages/rosemaryspread/src/quarantine/quarantineSync.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineSync.ts
@@ -6,7 +6,7 @@
 import {
   MAX_DIGESTS, processKey, quarantineUpdateSchema, type Clearance, type QuarantineUpdate, type TargetEnd, type Verdict
 } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
-import type { PeerMethod } from '@rosemaryspread/peers/link/linkTypes.js'
+import type { PeerMethodHandler } from '@rosemaryspread/peers/link/linkTypes.js'
 import { MAX_NOTIFIED_PEERS } from '../presence/fleetLinks.js'
 import type { PeerVm } from '../presence/vmPresence.js'
 import { QuarantineRows, type QuarantineRowsParts } from './quarantineRows.js'
@@ -66,7 +66,7 @@
   }
 
   /** Peer method that receives updates of other VMs. */
-  method (): PeerMethod {
+  method (): PeerMethodHandler {
     return async params => { this.parts.onUpdate(quarantineUpdateSchema.parse(params)) }
   }
 
