--- a/packages/http/src/server/httpServer.spec.ts
+++ b/packages/http/src/server/httpServer.spec.ts
@@ -66,8 +66,8 @@
       expect(outcome).to.equal('EADDRINUSE')
     })
 
-    for (const { title: says, method, path, status, body } of requests) {
-      it(`answers ${says}`, async () => {
+    for (const { title, method, path, status, body } of requests) {
+      it(`answers ${title}`, async () => {
         const server = createServerWithRoutes(make())
         const address = await server.listen('127.0.0.1:0')
         const res = await got(`http://${address}${path}`, { method, throwHttpErrors: false, retry: { limit: 0 } })
--- a/packages/peers/src/link/peerLink.ts
+++ b/packages/peers/src/link/peerLink.ts
@@ -88,10 +88,10 @@
     const pending = timedClient.requestAdvanced(req)
     const answer = await responseWithin(pending, timeoutMs) ?? this.onTimeout(pending, id, `no response to ${method} within ${timeoutMs} ms`, onLate)
     if (answer.error === undefined) return Right(answer.result)
-    const unsent = this.sendFailures.get(id)
+    const sendFailure = this.sendFailures.get(id)
     this.sendFailures.delete(id)
-    if (unsent === undefined && answer.error.code === LOCAL_ERROR_CODE) this.onUnanswered(sentAt)
-    return Left(unsent ?? fromErrorResponse(answer.error))
+    if (sendFailure === undefined && answer.error.code === LOCAL_ERROR_CODE) this.onUnanswered(sentAt)
+    return Left(sendFailure ?? fromErrorResponse(answer.error))
   }
 
   /** Whether a frame was received after a time, in monotonic milliseconds. */
--- a/packages/rosemaryspread/src/admin/adminService.spec.ts
+++ b/packages/rosemaryspread/src/admin/adminService.spec.ts
@@ -21,12 +21,12 @@
     { name: 'the configured state of a runner that is missing from the router', statuses: [], expected: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...location } },
     { name: 'no runner that was removed from the configuration', statuses: [{ ...ejected, runner: 'old' }], expected: { runner: 'r1', state: 'leaving', inFlight: 0, kind: 'model', ...location } }
   ]
-  for (const { name, statuses: standings, expected: shown } of cases) {
+  for (const { name, statuses, expected } of cases) {
     it(`shows ${name}`, async () => {
       const current = { current: () => Just({ version: 1, config }) }
-      const deps = { current, runnerStates: () => standings, serviceInFlight: () => 3 } as unknown as AdminDeps
+      const deps = { current, runnerStates: () => statuses, serviceInFlight: () => 3 } as unknown as AdminDeps
       const runners = (await new FleetAdminService(deps).runners()).extract()
-      expect(runners).to.deep.equal([shown, { runner: 'app1', state: 'active', inFlight: 3, kind: 'application', ...location }])
+      expect(runners).to.deep.equal([expected, { runner: 'app1', state: 'active', inFlight: 3, kind: 'application', ...location }])
     })
   }
 })
--- a/packages/rosemaryspread/src/clock/steadyClock.spec.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.spec.ts
@@ -45,7 +45,7 @@
     Date.now = realWall
   })
 
-  for (const { name, mono, wall, remoteMs: theirs, requestMs: answerMs, expectedMs: passed } of remoteClockCases) {
+  for (const { name, mono, wall, remoteMs, requestMs, expectedMs } of remoteClockCases) {
     it(`decides by a remote clock: ${name}`, () => {
       performance.now = () => 10_000
       Date.now = () => 1_700_000_000_000
@@ -56,17 +56,17 @@
       performance.now = () => 10_000 + mono
       Date.now = () => 1_700_000_000_000 + wall
       const requestedAt = clock.now().mono + 0.001
-      performance.now = () => 10_000 + mono + answerMs
-      Date.now = () => 1_700_000_000_000 + wall + answerMs
-      clock.observeRemote(500_000 + theirs, requestedAt)
+      performance.now = () => 10_000 + mono + requestMs
+      Date.now = () => 1_700_000_000_000 + wall + requestMs
+      clock.observeRemote(500_000 + remoteMs, requestedAt)
       const after = clock.now()
-      expect(elapsedMs(before, after), 'elapsed time').to.be.closeTo(passed, 1)
+      expect(elapsedMs(before, after), 'elapsed time').to.be.closeTo(expectedMs, 1)
       const isConfirmed = suspensions.length > 0
-      expect(after.mono - before.mono, 'monotonic clock').to.be.closeTo(isConfirmed ? passed : mono + answerMs, 1)
+      expect(after.mono - before.mono, 'monotonic clock').to.be.closeTo(isConfirmed ? expectedMs : mono + requestMs, 1)
     })
   }
 
-  for (const { name, mono, wall, expectedMs: passed } of cases) {
+  for (const { name, mono, wall, expectedMs } of cases) {
     it(`counts the elapsed time of ${name}`, () => {
       performance.now = () => 10_000
       Date.now = () => 1_700_000_000_000
@@ -74,7 +74,7 @@
       const before = clock.now()
       performance.now = () => 10_000 + mono
       Date.now = () => 1_700_000_000_000 + wall
-      expect(elapsedMs(before, clock.now())).to.be.closeTo(passed, 1)
+      expect(elapsedMs(before, clock.now())).to.be.closeTo(expectedMs, 1)
     })
   }
 })
--- a/packages/rosemaryspread/src/clock/steadyClock.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.ts
@@ -78,14 +78,14 @@
 
   /** Intersects the bounds; disjoint bounds belong to another remote clock or to one that drifted, and replace the old ones. */
   private intersectOffset (measured: OffsetBounds): OffsetBounds {
-    const { remoteOffset: ahead } = this
-    if (ahead === undefined || measured.minMs > ahead.maxMs || measured.maxMs < ahead.minMs) return measured
-    return { minMs: Math.max(measured.minMs, ahead.minMs), maxMs: Math.min(measured.maxMs, ahead.maxMs) }
+    const { remoteOffset } = this
+    if (remoteOffset === undefined || measured.minMs > remoteOffset.maxMs || measured.maxMs < remoteOffset.minMs) return measured
+    return { minMs: Math.max(measured.minMs, remoteOffset.minMs), maxMs: Math.min(measured.maxMs, remoteOffset.maxMs) }
   }
 }
 
-function shiftBounds ({ minMs: least, maxMs: most }: OffsetBounds, deltaMs: number): OffsetBounds {
-  return { minMs: least + deltaMs, maxMs: most + deltaMs }
+function shiftBounds ({ minMs, maxMs }: OffsetBounds, deltaMs: number): OffsetBounds {
+  return { minMs: minMs + deltaMs, maxMs: maxMs + deltaMs }
 }
 
 function clamp (min: number, value: number, max: number): number {
