--- a/deploy/runBundle.cjs
+++ b/deploy/runBundle.cjs
@@ -1,7 +1,7 @@
 /**
- * Runs the bundled program from its compiled code: compiling the source is most of the time from the
- * start of a process to its first answer. The build writes the cache with `--write-code-cache`; without
- * one, or with that of another version of Node, the source is compiled as usual.
+ * Runs the bundled program from a V8 code cache, since compiling the source takes most of the time from the
+ * start of a process to its first answer. The build writes the cache with `--write-code-cache`; if it is
+ * missing or from another Node version, the source is compiled as usual.
  */
 'use strict'
 
@@ -14,12 +14,12 @@
 const isWriting = process.argv.includes('--write-code-cache')
 
 const cachedData = !isWriting && existsSync(cacheFile) ? readFileSync(cacheFile) : undefined
-// The bundle is ASCII, which is read without decoding.
+// The bundle is ASCII, so that latin1 saves the decoding.
 const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(bundleFile, 'latin1')}\n})`
 const script = new Script(source, { filename: bundleFile, ...(cachedData === undefined ? {} : { cachedData }) })
 if (script.cachedDataRejected === true) console.error('the code cache is of another build or version of Node and is not used')
 
-// Without settings the program ends as soon as all of its modules are loaded; what was compiled by then is kept.
+// Without settings the program exits once all modules are loaded; the cache has what was compiled by then.
 if (isWriting) {
   process.once('exit', () => {
     writeFileSync(cacheFile, script.createCachedData())
