--- a/packages/callers/src/api/callerCalls.ts
+++ b/packages/callers/src/api/callerCalls.ts
@@ -1,5 +1,5 @@
 /**
- * What every call with a key has in common: who calls, the headers, and the raw body.
+ * Steps common to all authenticated calls: authentication, reading the body, and request ids.
  */
 import { Left, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -10,18 +10,14 @@
 import type { HttpExchange } from '@rosemaryspread/http/server/httpExchange.js'
 import type { CallerDirectory, CallerIdentity } from '../completion/completionTypes.js'
 
-/** A call as received from a known caller. */
+/** Raw body of an authenticated caller and its digest. */
 export interface ReceivedCall {
   readonly caller: CallerIdentity
   readonly body: Buffer
   readonly digest: string
 }
 
-/**
- * Names the team behind a request. Failure: `unauthorized`.
- * @param exchange - the request
- * @param directory - knows the keys
- */
+/** Authenticates the bearer key and records the team as client of the exchange. Failure: `unauthorized`. */
 export function callerOf (exchange: HttpExchange, directory: CallerDirectory): Either<Failure, CallerIdentity> {
   const caller = bearerKey(exchange.req.headers).chain((key) => directory.authenticate(key))
   caller.ifRight(({ team }) => {
@@ -30,11 +26,7 @@
   return caller
 }
 
-/**
- * Receives a call: the caller is checked before its body is read.
- * @param exchange - the request
- * @param directory - knows the keys
- */
+/** Authenticates the caller, then reads the body, so that no body is buffered for an invalid key. */
 export async function receiveCall (exchange: HttpExchange, directory: CallerDirectory): Promise<Either<Failure, ReceivedCall>> {
   const caller = callerOf(exchange, directory)
   if (caller.isLeft()) return Left(caller.extract())
@@ -42,12 +34,7 @@
   return caller.chain((identity) => body.map((bytes) => ({ caller: identity, body: bytes, digest: bodyDigest(bytes) })))
 }
 
-/**
- * Gives the exchange the id that a keyed request has at every VM.
- * @param exchange - the request
- * @param caller - who calls
- * @param headers - checked headers
- */
+/** Sets the request id of a call with an idempotency key to the one that every VM derives from the key. */
 export function identifyCall (exchange: HttpExchange, caller: CallerIdentity, headers: CallHeaders): void {
   if (headers.idempotencyKey === undefined) return
   exchange.requestId = keyedRequestId(caller.team, headers.idempotencyKey)
--- a/packages/callers/src/api/callerServer.spec.ts
+++ b/packages/callers/src/api/callerServer.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The API for callers over real connections on loopback, with fake services behind it.
+ * The caller API over loopback connections, with fake services: validation, responses, streams and connection handling.
  */
 import { expect } from 'chai'
 import { connect, type Socket } from 'node:net'
@@ -114,23 +114,23 @@
     opened = []
   })
 
-  describe('refuses bad input with its code and every path', () => {
+  describe('rejects invalid input with its code and all invalid fields', () => {
     const table: ReadonlyArray<{ title: string, ask: Ask, status: number, name: string, errors?: string[] }> = [
-      { title: 'no key', ask: { headers: { authorization: '' } }, status: 401, name: 'unauthorized' },
-      { title: 'a wrong key', ask: { headers: { authorization: 'Bearer bad' } }, status: 401, name: 'unauthorized' },
+      { title: 'a missing key', ask: { headers: { authorization: '' } }, status: 401, name: 'unauthorized' },
+      { title: 'an invalid key', ask: { headers: { authorization: 'Bearer bad' } }, status: 401, name: 'unauthorized' },
       { title: 'a large body without a key', ask: { headers: { authorization: '' }, body: 'x'.repeat(3_000_000) }, status: 401, name: 'unauthorized' },
       { title: 'a large body on an unknown path', ask: { path: '/v2', body: 'x'.repeat(3_000_000) }, status: 404, name: 'notFound' },
       { title: 'an unknown path', ask: { path: '/v2' }, status: 404, name: 'notFound' },
-      { title: 'a path with broken encoding', ask: { path: '/v1/%zz', method: 'GET' }, status: 404, name: 'notFound' },
+      { title: 'a path with malformed percent-encoding', ask: { path: '/v1/%zz', method: 'GET' }, status: 404, name: 'notFound' },
       { title: 'a service without a path', ask: { path: '/v1/services/jobs' }, status: 404, name: 'notFound' },
       { title: 'a wrong method', ask: { method: 'DELETE' }, status: 405, name: 'methodNotAllowed' },
-      { title: 'GET where POST is due', ask: { method: 'GET' }, status: 405, name: 'methodNotAllowed' },
-      { title: 'no JSON', ask: { body: '{"model":' }, status: 400, name: 'badRequest', errors: ['body: not JSON'] },
+      { title: 'GET on a POST route', ask: { method: 'GET' }, status: 405, name: 'methodNotAllowed' },
+      { title: 'malformed JSON', ask: { body: '{"model":' }, status: 400, name: 'badRequest', errors: ['body: not JSON'] },
       { title: 'bytes that are not UTF-8', ask: { body: Buffer.from([0x22, 0xff, 0x22]) }, status: 400, name: 'badRequest', errors: ['not UTF-8'] },
       { title: 'another content type', ask: { body: 'x', headers: { 'content-type': 'text/plain' } }, status: 400, name: 'badRequest', errors: ['header Content-Type'] },
       { title: 'an encoded body', ask: { body: 'x', headers: { 'content-encoding': 'gzip' } }, status: 400, name: 'badRequest', errors: ['header Content-Encoding'] },
       {
-        title: 'several mistakes',
+        title: 'several invalid fields',
         ask: {
           headers: { 'idempotency-key': 'a\tb', 'x-timeout-ms': '1.5' },
           body: JSON.stringify({ model: '', messages: [{ role: 'user', content: '' }, { role: 'robot', content: 3 }], max_tokens: 0 })
@@ -144,11 +144,11 @@
       { title: 'a timeout of 0', ask: { headers: { 'x-timeout-ms': '0' }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
       { title: 'a timeout over an hour', ask: { headers: { 'x-timeout-ms': '3600001' }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
       { title: 'a body over the limit', ask: { body: 'x'.repeat(1500) }, status: 413, name: 'bodyTooLarge' },
-      { title: 'a body without length over the limit', ask: { body: 'x'.repeat(1500), headers: { 'transfer-encoding': 'chunked' } }, status: 413, name: 'bodyTooLarge' },
+      { title: 'a chunked body over the limit', ask: { body: 'x'.repeat(1500), headers: { 'transfer-encoding': 'chunked' } }, status: 413, name: 'bodyTooLarge' },
       { title: 'dot segments in a service path', ask: { path: '/v1/services/jobs/x/../dispatch' }, status: 400, name: 'badRequest' },
       { title: 'encoded dot segments', ask: { path: '/v1/services/jobs/x/%2e%2e/dispatch' }, status: 400, name: 'badRequest' },
-      { title: 'a letter encoded without need', ask: { path: '/v1/services/jobs/%64ispatch' }, status: 400, name: 'badRequest' },
-      { title: 'a doubled slash', ask: { path: '/v1/services/jobs//dispatch' }, status: 400, name: 'badRequest' },
+      { title: 'an unnecessarily encoded letter', ask: { path: '/v1/services/jobs/%64ispatch' }, status: 400, name: 'badRequest' },
+      { title: 'a double slash', ask: { path: '/v1/services/jobs//dispatch' }, status: 400, name: 'badRequest' },
       { title: 'a backslash', ask: { path: '/v1/services/jobs/x\\dispatch' }, status: 400, name: 'badRequest' }
     ]
     for (const row of table) {
@@ -167,7 +167,7 @@
     }
   })
 
-  describe('answers the small routes', () => {
+  describe('serves the query routes', () => {
     const table: ReadonlyArray<{ path: string, key?: boolean, status: number, body: unknown, headers?: Record<string, string> }> = [
       { path: '/v1/models', status: 200, body: { object: 'list', data: [{ id: 'asistente', object: 'model', owned_by: 'rosemaryspread' }] } },
       { path: '/v1/addresses', key: false, status: 200, body: directory.addresses(), headers: { 'cache-control': 'max-age=9' } },
@@ -192,7 +192,7 @@
       { expect: '100-continue' }
     ]
     for (const headers of offers) {
-      it(`a whole completion although the caller sent ${JSON.stringify(headers)}`, async () => {
+      it(`serves a completion when the caller sends ${JSON.stringify(headers)}`, async () => {
         const { ask } = await rig()
         const reply = await ask({ body: JSON.stringify(okBody), headers })
         expect([reply.status, reply.text.includes('a las nueve')]).to.deep.equal([200, true])
@@ -207,7 +207,7 @@
   })
 
   describe('completions', () => {
-    it('passes the call on with digest, key and timeout', async () => {
+    it('passes digest, idempotency key and timeout to the service', async () => {
       let seen: CompletionCall | undefined
       const { ask } = await rig(async (call, sink) => {
         seen = call
@@ -227,7 +227,7 @@
       })
     })
 
-    it('streams a whole answer: role, content, finish with usage, [DONE]', async () => {
+    it('streams role, content, finish reason with usage, and [DONE]', async () => {
       const { ask } = await rig()
       const reply = await ask({ body: JSON.stringify({ ...okBody, stream: true }) })
       const data = sseData(reply.text)
@@ -244,15 +244,15 @@
       expect(new Set(chunks.map((chunk) => chunk.id))).to.deep.equal(new Set([reply.headers['x-request-id']]))
     })
 
-    const cut = new Failure('answerCut', 'the runner went away', { ran: 'unknown', retryAfterMs: 10 })
+    const cut = new Failure('answerCut', 'the runner disconnected', { ran: 'unknown', retryAfterMs: 10 })
     const endings: ReadonlyArray<{ title: string, complete: Complete, name: string, ran: string }> = [
       { title: 'the service fails', complete: async (_, sink) => sink.fail(cut), name: 'answerCut', ran: 'unknown' },
       { title: 'the service throws', complete: async () => { throw new Error('bug') }, name: 'internal', ran: 'unknown' },
-      { title: 'the service forgets to answer', complete: async () => undefined, name: 'internal', ran: 'unknown' },
-      { title: 'the end is followed by more', complete: async (_, sink) => { sink.fail(cut); sink.piece('x'); sink.finish('stop', usage) }, name: 'answerCut', ran: 'unknown' }
+      { title: 'the service returns without an answer', complete: async () => undefined, name: 'internal', ran: 'unknown' },
+      { title: 'the service continues after its failure', complete: async (_, sink) => { sink.fail(cut); sink.piece('x'); sink.finish('stop', usage) }, name: 'answerCut', ran: 'unknown' }
     ]
     for (const row of endings) {
-      it(`${row.title} before the stream began: a problem`, async () => {
+      it(`${row.title} before the stream has started: problem response`, async () => {
         for (const stream of [true, false]) {
           const { ask } = await rig(row.complete)
           const reply = await ask({ body: JSON.stringify({ ...okBody, stream }) })
@@ -261,7 +261,7 @@
         }
       })
 
-      it(`${row.title} within the stream: an error event without [DONE]`, async () => {
+      it(`${row.title} during the stream: error event without [DONE]`, async () => {
         const { ask } = await rig(async (call, sink) => {
           sink.begin('r1', 'asistente')
           sink.piece('a ')
@@ -275,14 +275,14 @@
       })
     }
 
-    it('sends no part of a whole answer that failed', async () => {
+    it('sends no partial text of a buffered answer that failed', async () => {
       const { ask } = await rig(async (_, sink) => { sink.begin('r', 'm'); sink.piece('secret'); sink.fail(cut) })
       const reply = await ask({ body: JSON.stringify(okBody) })
       expect([reply.status, reply.text.includes('secret')]).to.deep.equal([502, false])
     })
 
     for (const stream of [true, false]) {
-      it(`tells the service that the caller went away (stream ${stream})`, async () => {
+      it(`aborts the call when the caller disconnects (stream ${stream})`, async () => {
         let told = (): void => undefined
         const gone = new Promise<void>((resolve) => { told = resolve })
         let started = (): void => undefined
@@ -306,7 +306,7 @@
       })
     }
 
-    it('does not fire gone after a whole answer', async () => {
+    it('does not abort the call after a completed answer', async () => {
       let call: CompletionCall | undefined
       const { ask, server } = await rig(async (received, sink) => { call = received; await finishAtOnce(received, sink) })
       await ask({ body: JSON.stringify(okBody) })
@@ -314,7 +314,7 @@
       expect(call?.gone.aborted).to.equal(false)
     })
 
-    it('cuts a caller that does not read, and stops the run', async () => {
+    it('aborts the stream and the run of a caller that does not read', async () => {
       let stop = (): void => undefined
       const stopped = new Promise<void>((resolve) => { stop = resolve })
       const { raw, events } = await rig(async (call, sink) => {
@@ -341,7 +341,7 @@
   })
 
   describe('services', () => {
-    it('passes body, path, query and answer unchanged', async () => {
+    it('passes body, path, query and response through unchanged', async () => {
       const { ask, calls } = await rig()
       const body = Buffer.from([0, 1, 255, 13, 10])
       const path = "/v1/services/jobs/crews/a%2Fb?name=O'Neil&x=%41"
@@ -361,7 +361,7 @@
       expect(reply.headers).to.include({ 'content-type': 'application/x-thing', 'x-request-id': 'svc-1', 'idempotent-replayed': 'true' })
     })
 
-    it('refuses with Retry-After rounded up', async () => {
+    it('rounds Retry-After up to whole seconds', async () => {
       const { ask } = await rig()
       const reply = await ask({ path: '/v1/services/jobs/refuse', method: 'GET' })
       expect([reply.status, reply.headers['retry-after'], JSON.parse(reply.text).name]).to.deep.equal([503, '3', 'notClaimed'])
@@ -369,7 +369,7 @@
   })
 
   describe('connections', () => {
-    it('answers what is not HTTP with a problem and closes', async () => {
+    it('responds to malformed HTTP with a problem and closes the connection', async () => {
       const { raw } = await rig()
       const socket = raw()
       let text = ''
@@ -379,7 +379,7 @@
       expect(text).to.match(/^HTTP\/1.1 400 /).and.to.include('"RS-101"')
     })
 
-    it('refuses before the body came and takes the next request on the same connection', async () => {
+    it('rejects a request before its body arrives and serves the next one on the same connection', async () => {
       const { raw } = await rig()
       const socket = raw()
       const received: string[] = []
@@ -393,11 +393,11 @@
 
     const stuck: ReadonlyArray<{ title: string, sent: string, answer: RegExp }> = [
       { title: 'nothing', sent: '', answer: /^$/ },
-      { title: 'half of the headers', sent: 'GET /healthz HTTP/1.1\r\nHost', answer: /^$/ },
-      { title: 'half of the body', sent: post('/v1/chat/completions', '{}').slice(0, -1), answer: /^HTTP\/1.1 400 [^]*Connection: close[^]*"RS-101"/ }
+      { title: 'partial headers', sent: 'GET /healthz HTTP/1.1\r\nHost', answer: /^$/ },
+      { title: 'a partial body', sent: post('/v1/chat/completions', '{}').slice(0, -1), answer: /^HTTP\/1.1 400 [^]*Connection: close[^]*"RS-101"/ }
     ]
     for (const { title, sent, answer } of stuck) {
-      it(`closes although a caller has sent ${title} and stays`, async () => {
+      it(`closes within the request timeout when a caller has sent ${title} and stays connected`, async () => {
         const { raw, ask, server } = await rig(finishAtOnce, { headersMs: 100, requestMs: 100 })
         const socket = raw()
         const ended = once(socket, 'close')
@@ -413,7 +413,7 @@
       })
     }
 
-    it('answers what comes while it lingers, and asks the caller to leave', async () => {
+    it('serves requests while lingering and closes their connections', async () => {
       const { raw, server } = await rig()
       const socket = raw()
       let text = ''
@@ -425,7 +425,7 @@
       expect(text).to.match(/^HTTP\/1.1 200 [^]*Connection: close/)
     })
 
-    it('finishes the open stream on close, takes no new connection and ends the kept one', async () => {
+    it('on close, completes the open stream, refuses new connections and closes the keep-alive connection', async () => {
       let end = (): void => undefined
       const held = new Promise<void>((resolve) => { end = resolve })
       let started = (): void => undefined
--- a/packages/callers/src/api/callerServer.ts
+++ b/packages/callers/src/api/callerServer.ts
@@ -1,5 +1,6 @@
 /**
- * The HTTP API for callers. docs/API.md describes it for people.
+ * HTTP server of the caller API: completions, application services, models, addresses, usage,
+ * health and metrics. docs/API.md documents the routes.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -14,7 +15,6 @@
 import { CompletionRoute } from './completionRoute.js'
 import { ServiceRoute } from './serviceRoute.js'
 
-/** What the server needs. */
 export interface CallerServerDeps {
   readonly completions: CompletionService
   readonly services: ApplicationService
@@ -27,12 +27,10 @@
 const metricsType = 'text/plain; version=0.0.4; charset=utf-8'
 const notStored = { 'Cache-Control': 'no-store' }
 
-/** The server of the API for callers. */
 export class CallerServer {
   private readonly http: HttpServer
   private readonly directory: CallerDirectory
 
-  /** @param deps - services, log and limits */
   constructor (deps: CallerServerDeps) {
     this.directory = deps.directory
     this.http = new HttpServer(deps, new RestifyRouter())
@@ -50,24 +48,24 @@
   }
 
   /**
-   * Listens; resolves to the address in use.
-   * @param address - IPv4:port; port 0 takes any free one
+   * Starts listening; resolves to the bound address.
+   * @param address - IPv4:port; port 0 selects a free port
    */
   listen (address: string): Promise<string> {
     return this.http.listen(address)
   }
 
-  /** Goes on answering, and asks callers with each answer to use another address. */
+  /** Keeps serving requests, but closes each connection after its response so that callers move to another address. */
   linger (): void {
     this.http.linger()
   }
 
-  /** Stops accepting connections; resolves when all open requests are answered. */
+  /** Stops accepting connections; resolves when all open requests have completed. */
   close (): Promise<void> {
     return this.http.close()
   }
 
-  /** Requests that are not answered yet. */
+  /** Number of requests in progress. */
   openRequests (): number {
     return this.http.openRequests()
   }
--- a/packages/callers/src/api/completionAnswers.ts
+++ b/packages/callers/src/api/completionAnswers.ts
@@ -1,7 +1,6 @@
 /**
- * The two ways an answer reaches the caller: as a stream of events or as one JSON value. Both
- * take the first ending only, so that nothing follows a failure and a failure never follows the
- * end.
+ * Sinks that send an answer to the caller, as an event stream or as one JSON body. Only the first
+ * `finish` or `fail` takes effect: nothing follows a failure and no failure follows the end.
  */
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -12,7 +11,7 @@
 
 const msPerSecond = 1000
 
-/** A sink that knows whether it was ended. */
+/** Sink that records whether `finish` or `fail` was called. */
 export interface CompletionAnswer extends AnswerSink {
   readonly ended: boolean
 }
@@ -21,17 +20,12 @@
   return { requestId, model, created: Math.floor(Date.now() / msPerSecond) }
 }
 
-/** Streams the pieces; the stream begins with the first piece. */
+/** Streams the pieces as events. The response headers are sent with the first piece, so an earlier failure gets its own status. */
 export class StreamedAnswer implements CompletionAnswer {
   ended = false
   private head: AnswerHead
   private readonly stream: EventStream
 
-  /**
-   * @param exchange - where the answer goes
-   * @param model - model asked for
-   * @param log - told when a caller reads too slowly
-   */
   constructor (private readonly exchange: HttpExchange, model: string, private readonly log: EventLog) {
     this.head = headOf(exchange.requestId, model)
     this.stream = new EventStream(exchange)
@@ -75,23 +69,19 @@
   }
 
   private cutSlowCaller (): void {
-    const failure = new Failure('callerSlow', 'the answer was read too slowly and is cut here', { ran: 'yes' })
+    const failure = new Failure('callerSlow', 'the caller read the answer too slowly; the stream was aborted', { ran: 'yes' })
     this.log.write('requestFailed', { request: this.exchange.requestId, code: failure.code, ran: failure.ran })
     this.fail(failure)
     this.exchange.abandon(failure)
   }
 }
 
-/** Collects the pieces and sends them as one JSON value. */
+/** Buffers the pieces and sends them as one JSON body. */
 export class WholeAnswer implements CompletionAnswer {
   ended = false
   private head: AnswerHead
   private readonly pieces: string[] = []
 
-  /**
-   * @param exchange - where the answer goes
-   * @param model - model asked for
-   */
   constructor (private readonly exchange: HttpExchange, model: string) {
     this.head = headOf(exchange.requestId, model)
   }
--- a/packages/callers/src/api/completionChunks.ts
+++ b/packages/callers/src/api/completionChunks.ts
@@ -1,9 +1,9 @@
 /**
- * The JSON of chat completions, whole and in chunks, as OpenAI's clients read it.
+ * Builds the JSON bodies of chat completions, whole and chunked, in OpenAI's format.
  */
 import type { CompletionUsage } from '../completion/completionTypes.js'
 
-/** What is said of every chunk of one answer. */
+/** Fields common to all chunks of one answer. */
 export interface AnswerHead {
   readonly requestId: string
   readonly model: string
@@ -11,10 +11,8 @@
   readonly created: number
 }
 
-/** Why an answer ended. */
 export type FinishReason = 'stop' | 'length'
 
-/** New content of one chunk. */
 export interface ChunkDelta {
   readonly role?: 'assistant'
   readonly content?: string
@@ -28,11 +26,7 @@
   }
 }
 
-/**
- * One chunk of a streamed answer.
- * @param head - the answer it belongs to
- * @param delta - new content
- */
+/** One chunk of a streamed answer. */
 export function contentChunk (head: AnswerHead, delta: ChunkDelta): object {
   return {
     id: head.requestId,
@@ -43,12 +37,7 @@
   }
 }
 
-/**
- * The last chunk of a streamed answer.
- * @param head - the answer it belongs to
- * @param reason - why it ended
- * @param usage - tokens used
- */
+/** The last chunk of a streamed answer, with finish reason and usage. */
 export function finalChunk (head: AnswerHead, reason: FinishReason, usage: CompletionUsage): object {
   return {
     ...contentChunk(head, {}),
@@ -57,13 +46,7 @@
   }
 }
 
-/**
- * A whole answer.
- * @param head - the answer
- * @param content - its text
- * @param reason - why it ended
- * @param usage - tokens used
- */
+/** The body of an answer that is not streamed. */
 export function wholeCompletion (head: AnswerHead, content: string, reason: FinishReason, usage: CompletionUsage): object {
   return {
     id: head.requestId,
--- a/packages/callers/src/api/completionRoute.ts
+++ b/packages/callers/src/api/completionRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `POST /v1/chat/completions`.
+ * Route of `POST /v1/chat/completions`: validates the request and sends the result streamed or as one JSON body.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -14,23 +14,13 @@
 import { identifyCall, receiveCall, type ReceivedCall } from './callerCalls.js'
 import { StreamedAnswer, WholeAnswer, type CompletionAnswer } from './completionAnswers.js'
 
-/** Serves chat completions. */
 export class CompletionRoute {
-  /**
-   * @param completions - runs them
-   * @param directory - knows the keys
-   * @param log - told of faults
-   */
   constructor (
     private readonly completions: CompletionService,
     private readonly directory: CallerDirectory,
     private readonly log: EventLog
   ) {}
 
-  /**
-   * Answers one request.
-   * @param exchange - the request
-   */
   async serve (exchange: HttpExchange): Promise<Either<Failure, void>> {
     const received = await receiveCall(exchange, this.directory)
     const call = received.chain((parts) => checkCall(exchange, parts))
@@ -46,7 +36,7 @@
     } catch (err) {
       this.fault(exchange, answer, err)
     }
-    if (!answer.ended && !exchange.closed) this.fault(exchange, answer, new Error('the completion ended without an answer'))
+    if (!answer.ended && !exchange.closed) this.fault(exchange, answer, new Error('the completion service returned without finishing or failing the answer'))
   }
 
   private answerFor (exchange: HttpExchange, body: CompletionBody): CompletionAnswer {
--- a/packages/callers/src/api/serviceRoute.ts
+++ b/packages/callers/src/api/serviceRoute.ts
@@ -1,5 +1,5 @@
 /**
- * `GET` and `POST /v1/services/:service/*`: bodies go through unchanged in both directions.
+ * Route of `GET` and `POST /v1/services/:service/*`. Request and response bodies pass through unchanged.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -11,19 +11,9 @@
 import { identifyCall, receiveCall, type ReceivedCall } from './callerCalls.js'
 import { servicePath } from './servicePath.js'
 
-/** Serves calls to application services. */
 export class ServiceRoute {
-  /**
-   * @param services - runs the calls
-   * @param directory - knows the keys
-   */
   constructor (private readonly services: ApplicationService, private readonly directory: CallerDirectory) {}
 
-  /**
-   * Answers one request.
-   * @param method - its method
-   * @param exchange - the request
-   */
   async serve (method: RouteMethod, exchange: HttpExchange): Promise<Either<Failure, void>> {
     const received = await receiveCall(exchange, this.directory)
     const call = received.chain((parts) => toCall(method, exchange, parts))
--- a/packages/callers/src/completion/completionTypes.ts
+++ b/packages/callers/src/completion/completionTypes.ts
@@ -1,12 +1,12 @@
 /**
- * What the HTTP API for callers asks of the rest of the VM. The API package knows HTTP and
- * nothing of budgets or runners; the daemon binds the implementations.
+ * Interfaces between the caller API and the rest of the VM. The API handles HTTP only; the daemon
+ * supplies the implementations, which handle budgets and runners.
  */
 import * as z from 'zod'
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** Body of `POST /v1/chat/completions`; unknown members are ignored, as callers' libraries send many. */
+/** Body of `POST /v1/chat/completions`; unknown members are ignored, since client libraries send many. */
 export const completionBodySchema = z.object({
   model: z.string().min(1).max(128),
   messages: z.array(z.object({
@@ -20,35 +20,33 @@
 })
 export type CompletionBody = z.infer<typeof completionBodySchema>
 
-/** The team behind a bearer key. */
 export interface CallerIdentity {
   readonly team: string
 }
 
-/** A completion to be served. */
 export interface CompletionCall {
   readonly caller: CallerIdentity
   readonly body: CompletionBody
   /** Hex SHA-256 of the body as received. */
   readonly digest: string
-  /** As the caller reads it in `X-Request-Id`: the id of the key at every VM, or a fresh one for a call without key. */
+  /** Value of the `X-Request-Id` response header: derived from the idempotency key, equally on every VM, or random without a key. */
   readonly requestId?: string
   readonly idempotencyKey?: string
-  /** Milliseconds the caller is ready to wait; the configured timeout when absent. */
+  /** Timeout requested by the caller; the configured timeout when absent. */
   readonly timeoutMs?: number
-  /** Budget that pays: the team's, or a part of it named `budget:part`; the team's when absent. */
+  /** Budget to bill: the team's, or a share of it named `budget:part`; the team's when absent. */
   readonly budget?: string
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal
 }
 
-/** Usage as told to the caller. */
+/** Usage as reported to the caller. */
 export interface CompletionUsage {
   readonly promptTokens: number
   readonly completionTokens: number
 }
 
-/** Where the pieces of an answer go. `begin` comes before the first piece; then pieces; then one of `finish` or `fail`. */
+/** Receives an answer: `begin` before the first piece, then the pieces, then either `finish` or `fail`. */
 export interface AnswerSink {
   begin (requestId: string, model: string): void
   piece (text: string): void
@@ -56,39 +54,36 @@
   fail (failure: Failure): void
 }
 
-/** Serves completions. Resolves after `finish` or `fail`. */
+/** Runs completions; the promise resolves after `finish` or `fail` of the sink. */
 export interface CompletionService {
   complete (call: CompletionCall, sink: AnswerSink): Promise<void>
 }
 
-/** A call to an application service. */
 export interface ServiceCall {
   readonly caller: CallerIdentity
   readonly service: string
   readonly method: 'GET' | 'POST'
-  /** Path and query below the service, beginning with `/`. */
+  /** Path and query below the service, starting with `/`. */
   readonly path: string
   readonly contentType?: string
   readonly body: Buffer
   readonly digest: string
-  /** As the caller reads it in `X-Request-Id`: the id of the key at every VM, or a fresh one for a call without key. */
+  /** Value of the `X-Request-Id` response header, as in {@link CompletionCall}. */
   readonly requestId?: string
   readonly idempotencyKey?: string
   readonly timeoutMs?: number
   readonly gone: AbortSignal
 }
 
-/** The whole answer of an application service. */
 export interface ServiceAnswer {
   readonly status: number
   readonly contentType: string
   readonly body: Buffer
   readonly requestId: string
-  /** Whether this is the kept answer of an earlier call with the same key. */
+  /** Whether this is the stored answer of an earlier call with the same idempotency key. */
   readonly repeated: boolean
 }
 
-/** Serves calls to application services. */
 export interface ApplicationService {
   call (call: ServiceCall): Promise<Either<Failure, ServiceAnswer>>
 }
@@ -96,8 +91,9 @@
 /** Answer of `GET /v1/addresses`. */
 export interface AddressAnswer {
   readonly version: number
-  /** Base URLs in the order to try. */
+  /** Base URLs, most preferred first. */
   readonly addresses: readonly string[]
+  /** Milliseconds for which the caller may cache the list. */
   readonly keepMs: number
 }
 
@@ -110,16 +106,16 @@
   readonly allotted: number
 }
 
-/** Everything else the API asks. */
+/** Authentication and read-only queries of the caller API. */
 export interface CallerDirectory {
-  /** The team whose key hash fits; compared in constant time. */
+  /** Finds the team by the hash of the key, compared in constant time. Failure: `unauthorized`. */
   authenticate (bearer: string): Either<Failure, CallerIdentity>
   models (caller: CallerIdentity): readonly string[]
-  /** @param caller - the team, when the caller gave a valid key */
+  /** @param caller - absent without a valid key */
   addresses (caller?: CallerIdentity): AddressAnswer
   usage (caller: CallerIdentity): Promise<Either<Failure, UsageAnswer>>
-  /** Whether the VM takes new work: a configuration is in force and it does not drain. */
+  /** Fails unless the VM accepts new requests: a configuration is in force and the VM is not draining. */
   ready (): Either<Failure, void>
-  /** Plain-text metrics. */
+  /** Metrics in the Prometheus text format. */
   metrics (): string
 }
--- a/packages/infra/src/http/platformClients.spec.ts
+++ b/packages/infra/src/http/platformClients.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The object store, the weight store and the VM list under the answers that they may give.
+ * Responses of the object store, weight store and VM list, and the results or failures they map to.
  */
 import { Just, Maybe, Nothing } from 'purify-ts'
 import { expect } from 'chai'
@@ -27,17 +27,17 @@
 const cases: readonly [call: keyof typeof calls, title: string, handler: TestHandler, expected: unknown][] = [
   ['get', 'an object', res => { res.end('bytes') }, Just('bytes')],
   ['get', 'no object', answers(404, {}), Nothing],
-  ['get', 'half an object', breaksOff, 'platformUnavailable'],
-  ['put', 'an answer', noContent, undefined],
-  ['put', 'a lost answer', drops, 'platformOutcomeUnknown'],
+  ['get', 'a truncated object', breaksOff, 'platformUnavailable'],
+  ['put', 'a confirmation', noContent, undefined],
+  ['put', 'a dropped connection', drops, 'platformOutcomeUnknown'],
   ['put', 'an outage', answers(503, {}), 'platformUnavailable'],
-  ['describe', 'an answer', answers(200, INFO), INFO],
-  ['describe', 'other weights', answers(200, { ...INFO, version: '2' }), 'platformUnavailable'],
+  ['describe', 'a description', answers(200, INFO), INFO],
+  ['describe', 'a different version', answers(200, { ...INFO, version: '2' }), 'platformUnavailable'],
   ['describe', 'no weights', answers(404, {}), 'notFound'],
-  ['describe', 'the rate exceeded', answers(429, {}, { 'retry-after': '1' }), 'platformUnavailable'],
-  ['list', 'an answer', answers(200, { asOf: 1, now: 2, vms: [ENTRY] }), { asOf: 1, now: 2, vms: [ENTRY] }],
+  ['describe', 'a rate limit exceeded', answers(429, {}, { 'retry-after': '1' }), 'platformUnavailable'],
+  ['list', 'a list', answers(200, { asOf: 1, now: 2, vms: [ENTRY] }), { asOf: 1, now: 2, vms: [ENTRY] }],
   ['list', 'an unknown state', answers(200, { asOf: 1, now: 2, vms: [{ ...ENTRY, state: 'ill' }] }), 'platformUnavailable'],
-  ['list', 'a lost answer', drops, 'platformUnavailable']
+  ['list', 'a dropped connection', drops, 'platformUnavailable']
 ]
 
 function plain (result: unknown): unknown {
--- a/packages/infra/src/http/platformFailure.ts
+++ b/packages/infra/src/http/platformFailure.ts
@@ -1,47 +1,31 @@
 /**
- * How lost calls and statuses of the platform's services become failures.
+ * Maps transport errors and HTTP statuses of the platform's services to failures.
  */
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { retryAfterMs, type HttpAnswer, type LostCall } from './httpTransport.js'
 
-/**
- * Failure of a read: it changed nothing, so it is always safe to say "not available".
- * @param detail - what happened
- * @param retryMs - milliseconds after which to come back, when the service said so
- */
+/** Failure of a read. A read changes nothing, so any failure can be reported as `platformUnavailable`. */
 export function readFailed (detail: string, retryMs?: number): Failure {
   return new Failure('platformUnavailable', detail, { retryAfterMs: retryMs })
 }
 
-/**
- * Failure of a write without an answer: only when no connection was made is it known that nothing was written.
- * @param lost - the lost call
- */
+/** Failure of a write without a response. Only without a connection is it certain that nothing was written. */
 export function writeLost (lost: LostCall): Failure {
   return lost.connected ? outcomeUnknown(lost.detail) : new Failure('platformUnavailable', lost.detail)
 }
 
-/**
- * Failure of a write whose outcome is open.
- * @param detail - what happened
- */
+/** Failure of a write that may have taken effect. */
 export function outcomeUnknown (detail: string): Failure {
   return new Failure('platformOutcomeUnknown', detail, { ran: 'unknown' })
 }
 
-/**
- * Failure of a write by a status that the caller does not handle: 503 says that nothing was written, others say nothing.
- * @param answer - the answer
- */
+/** Failure of a write with an unexpected status. 503 guarantees that nothing was written; other statuses leave it open. */
 export function writeRefused (answer: HttpAnswer): Failure {
   if (answer.status !== 503) return outcomeUnknown(`status ${answer.status}`)
   return new Failure('platformUnavailable', 'status 503', { retryAfterMs: retryAfterMs(answer.headers) })
 }
 
-/**
- * Failure of a read by a status that the caller does not handle.
- * @param answer - the answer
- */
+/** Failure of a read with an unexpected status. */
 export function readRefused (answer: HttpAnswer): Failure {
   return readFailed(`status ${answer.status}`, retryAfterMs(answer.headers))
 }
--- a/packages/infra/src/http/testServer.spec.ts
+++ b/packages/infra/src/http/testServer.spec.ts
@@ -1,17 +1,16 @@
 /**
- * A small HTTP server for specs, whose handler misbehaves as the case demands.
+ * Test helper: an HTTP server on loopback with handlers for regular and faulty responses.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { text } from 'node:stream/consumers'
 
-/** Limit in milliseconds where an answer comes, so long that a busy machine keeps to it. */
+/** Timeout where a response is expected, long enough for a busy machine. */
 export const AMPLE_MS = 20_000
 
-/** Limit in milliseconds where none comes. */
+/** Timeout where no response is expected. */
 export const SHORT_MS = 300
 
-/** What the server received. */
 export interface ReceivedCall {
   readonly method: string
   readonly url: string
@@ -19,10 +18,9 @@
   readonly body: string
 }
 
-/** Handles a call whose body was read whole; `index` counts calls from 0. */
+/** Handles a call after its body was read; `index` counts calls from 0. */
 export type TestHandler = (res: ServerResponse, call: ReceivedCall, index: number) => void
 
-/** A server that listens on loopback. */
 export interface TestServer {
   /** IPv4:port. */
   readonly address: string
@@ -31,7 +29,6 @@
   readonly close: () => Promise<void>
 }
 
-/** Starts a server. */
 export async function startTestServer (handler: TestHandler): Promise<TestServer> {
   const calls: ReceivedCall[] = []
   let connections = 0
@@ -50,14 +47,14 @@
   return { address: `127.0.0.1:${port}`, calls, connections: () => connections, close }
 }
 
-/** An address on which nobody listens. */
+/** An address that refuses connections. */
 export async function closedAddress (): Promise<string> {
   const server = await startTestServer(() => {})
   await server.close()
   return server.address
 }
 
-/** Handler that answers with a status and a JSON body. */
+/** Creates a handler that responds with a status and a JSON body. */
 export function answers (status: number, body: unknown, headers: Record<string, string> = {}): TestHandler {
   return res => {
     res.writeHead(status, { 'content-type': 'application/json', ...headers })
@@ -65,14 +62,14 @@
   }
 }
 
-/** Handler that drops the connection after the call was received whole. */
+/** Drops the connection after the whole call was received. */
 export const drops: TestHandler = res => { res.destroy() }
 
-/** Handler that drops the connection in the middle of its answer. */
+/** Drops the connection in the middle of the response. */
 export const breaksOff: TestHandler = res => {
   res.writeHead(200, { 'content-length': '100' })
   res.write('{"rows":', () => res.destroy())
 }
 
-/** Handler that never answers. */
+/** Never responds. */
 export const hangs: TestHandler = () => {}
--- a/packages/infra/src/objects/httpObjectStore.ts
+++ b/packages/infra/src/objects/httpObjectStore.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's object store.
+ * HTTP client of the platform's object store.
  */
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -7,14 +7,13 @@
 import { readFailed, readRefused, writeLost, writeRefused } from '../http/platformFailure.js'
 import type { ObjectStore } from './objectTypes.js'
 
-/** The object store over HTTP. */
 export class HttpObjectStore implements ObjectStore {
   private readonly transport: HttpTransport
 
   /**
-   * @param baseUrl - where the store listens, without a slash at the end
-   * @param vm - name of this VM
-   * @param timeoutMs - milliseconds until a call is given up
+   * @param baseUrl - without a trailing slash
+   * @param vm - name of this VM, sent as `x-vm`
+   * @param timeoutMs - timeout of a whole call
    */
   constructor (private readonly baseUrl: string, vm: string, private readonly timeoutMs: number) {
     this.transport = new HttpTransport({ vm, connectMs: timeoutMs })
--- a/packages/infra/src/objects/objectTypes.ts
+++ b/packages/infra/src/objects/objectTypes.ts
@@ -1,10 +1,10 @@
 /**
- * The platform's object store as this project uses it: whole objects by name.
+ * Interface of the platform's object store: whole objects by name.
  */
 import type { Either, Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** The object store. Failures as for the table service, without conflicts. */
+/** Failures as of the table service, except `platformConflict`. */
 export interface ObjectStore {
   get (name: string): Promise<Either<Failure, Maybe<Buffer>>>
   put (name: string, body: Buffer): Promise<Either<Failure, void>>
--- a/packages/infra/src/table/httpTableStore.spec.ts
+++ b/packages/infra/src/table/httpTableStore.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Every way in which the table service may answer, or not answer, and what is concluded.
+ * All kinds of responses of the table service, including none, and the failures they map to.
  */
 import { expect } from 'chai'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -35,26 +35,26 @@
 }
 
 const cases: readonly [title: string, operation: Operation, handler: TestHandler, expected: string][] = [
-  ['an answer', 'transact', answers(200, { version: 4, now: 11 }), 'right'],
+  ['a commit', 'transact', answers(200, { version: 4, now: 11 }), 'right'],
   ['a conflict', 'transact', answers(409, { conflicts: [KEY] }), 'platformConflict no'],
-  ['a conflict that does not fit', 'transact', answers(409, { error: 'other service' }), 'platformOutcomeUnknown unknown'],
+  ['a malformed conflict', 'transact', answers(409, { error: 'other service' }), 'platformOutcomeUnknown unknown'],
   ['an outage', 'transact', answers(503, {}), 'platformUnavailable no'],
   ['an unexpected status', 'transact', answers(500, {}), 'platformOutcomeUnknown unknown'],
   ['a redirect', 'transact', redirect, 'platformOutcomeUnknown unknown'],
-  ['an answer that does not fit', 'transact', answers(200, { version: 'four' }), 'platformOutcomeUnknown unknown'],
-  ['an answer that is no JSON', 'transact', res => { res.end('<html>') }, 'platformOutcomeUnknown unknown'],
-  ['a lost answer', 'transact', drops, 'platformOutcomeUnknown unknown'],
-  ['half an answer', 'transact', breaksOff, 'platformOutcomeUnknown unknown'],
-  ['no answer in time', 'transact', hangs, 'platformOutcomeUnknown unknown'],
-  ['an answer', 'read', answers(200, { rows: [ROW], now: 11 }), 'right'],
-  ['no such row', 'read', answers(200, { rows: [null], now: 11 }), 'right'],
+  ['an invalid response', 'transact', answers(200, { version: 'four' }), 'platformOutcomeUnknown unknown'],
+  ['a response that is not JSON', 'transact', res => { res.end('<html>') }, 'platformOutcomeUnknown unknown'],
+  ['a dropped connection', 'transact', drops, 'platformOutcomeUnknown unknown'],
+  ['a truncated response', 'transact', breaksOff, 'platformOutcomeUnknown unknown'],
+  ['no response within the timeout', 'transact', hangs, 'platformOutcomeUnknown unknown'],
+  ['a row', 'read', answers(200, { rows: [ROW], now: 11 }), 'right'],
+  ['a missing row', 'read', answers(200, { rows: [null], now: 11 }), 'right'],
   ['too few rows', 'read', answers(200, { rows: [], now: 11 }), 'platformUnavailable no'],
-  ['another row', 'read', answers(200, { rows: [{ ...ROW, key: 'two' }], now: 11 }), 'platformUnavailable no'],
+  ['a different row', 'read', answers(200, { rows: [{ ...ROW, key: 'two' }], now: 11 }), 'platformUnavailable no'],
   ['an outage', 'read', answers(503, {}), 'platformUnavailable no'],
-  ['a lost answer', 'read', drops, 'platformUnavailable no'],
-  ['half an answer', 'read', breaksOff, 'platformUnavailable no'],
-  ['no answer in time', 'read', hangs, 'platformUnavailable no'],
-  ['an answer', 'scan', answers(200, { rows: [ROW], now: 11 }), 'right'],
+  ['a dropped connection', 'read', drops, 'platformUnavailable no'],
+  ['a truncated response', 'read', breaksOff, 'platformUnavailable no'],
+  ['no response within the timeout', 'read', hangs, 'platformUnavailable no'],
+  ['a row', 'scan', answers(200, { rows: [ROW], now: 11 }), 'right'],
   ['a row outside the prefix', 'scan', answers(200, { rows: [{ ...ROW, key: 'two' }], now: 11 }), 'platformUnavailable no']
 ]
 
@@ -70,11 +70,11 @@
     })
   }
 
-  it('knows that nothing was written when nobody listens', async () => {
+  it('reports that nothing was written when the connection is refused', async () => {
     expect(outcome(await run(`http://${await closedAddress()}`, 'transact'))).to.equal('platformUnavailable no')
   })
 
-  it('names the rows in conflict and the time to come back', async () => {
+  it('reports the conflicting rows and the retry time', async () => {
     const handlers = [answers(409, { conflicts: [KEY] }), answers(503, {}, { 'retry-after': '2' })]
     const server = await startTestServer((res, call, index) => handlers[index]?.(res, call, index))
     const conflict = await run(`http://${server.address}`, 'transact') as Failure
@@ -84,7 +84,7 @@
     expect(outage.retryAfterMs).to.equal(2000)
   })
 
-  it('does not take a reused connection that breaks for one that was never made', async () => {
+  it('treats a broken keep-alive connection as an unknown outcome', async () => {
     const server = await startTestServer((res, call, index) => index === 0 ? answers(200, { version: 4, now: 1 })(res, call, index) : drops(res, call, index))
     const store = new HttpTableStore(`http://${server.address}`, 'vm-1', AMPLE_MS)
     const results = [await store.transact(TX), await store.transact(TX)]
--- a/packages/infra/src/table/httpTableStore.ts
+++ b/packages/infra/src/table/httpTableStore.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the platform's table service. It never repeats a transaction by itself: when the
- * answer is lost, only the caller knows how to read back whether it took effect.
+ * HTTP client of the platform's table service. It never retries a transaction: after a lost
+ * response only the caller knows how to read back whether the transaction took effect.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import * as z from 'zod'
@@ -20,31 +20,30 @@
 
 function checkRead (keys: readonly RowKey[], answer: ReadAnswer): Either<string, ReadAnswer> {
   const fits = answer.rows.length === keys.length && answer.rows.every((row, index) => isRowOf(row, keys[index]))
-  return fits ? Right(answer) : Left('the answer has other rows than asked')
+  return fits ? Right(answer) : Left('the response does not match the requested keys')
 }
 
 function checkScan (req: ScanRequest, answer: ScanAnswer): Either<string, ScanAnswer> {
   const fits = answer.rows.every(row => row.table === req.table && row.key.startsWith(req.prefix))
-  return fits ? Right(answer) : Left('the answer has other rows than asked')
+  return fits ? Right(answer) : Left('the response contains rows outside the requested prefix')
 }
 
 function toConflict (answer: HttpAnswer): Failure {
   return parseJson(conflictAnswerSchema, answer.body).caseOf({
-    Left: detail => outcomeUnknown(`status 409, but ${detail}`),
+    Left: detail => outcomeUnknown(`status 409 without a valid list of conflicts: ${detail}`),
     Right: ({ conflicts }) => new Failure('platformConflict', 'a check failed and nothing was written', {
       errors: conflicts.map(item => `${item.table}/${item.key}`)
     })
   })
 }
 
-/** The table service over HTTP. */
 export class HttpTableStore implements TableStore {
   private readonly transport: HttpTransport
 
   /**
-   * @param baseUrl - where the service listens, without a slash at the end
-   * @param vm - name of this VM
-   * @param timeoutMs - milliseconds until a call is given up
+   * @param baseUrl - without a trailing slash
+   * @param vm - name of this VM, sent as `x-vm`
+   * @param timeoutMs - timeout of a whole call
    */
   constructor (private readonly baseUrl: string, vm: string, private readonly timeoutMs: number) {
     this.transport = new HttpTransport({ vm, connectMs: timeoutMs })
--- a/packages/infra/src/table/tableFeed.ts
+++ b/packages/infra/src/table/tableFeed.ts
@@ -1,40 +1,36 @@
 /**
- * A feed of the changes of one table, for stores that offer one. It takes the place of polls and
- * of messages between VMs: whoever writes a row is heard by all who follow its table.
+ * Interface of change feeds, for table stores that offer them. A feed replaces polling and messages
+ * between VMs: every write reaches all subscribers of the table.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** A row as the feed tells it; `value` is null when the row was deleted. */
+/** A row of the feed; `value` is null for a deleted row. */
 export interface FeedRow<T = unknown> {
   readonly key: string
   readonly value: T | null
   readonly version: number
 }
 
-/** Takes what the feed tells. */
 export interface FeedHandler<T = unknown> {
-  /** The whole table, read at the start and after a gap. */
+  /** All rows of the table, at the start and after a gap. */
   replaced (rows: ReadonlyArray<FeedRow<T>>): void
-  /** Rows that changed since, in order. */
+  /** Rows changed since the previous call, in order. */
   changed (rows: ReadonlyArray<FeedRow<T>>): void
-  /** The store could not be reached, or what it told could not be taken; the feed goes on trying. */
+  /** The store could not be reached or its response was invalid; the feed retries. */
   failed (failure: Failure): void
-  /** The store answered, also where nothing changed. */
+  /** The store responded, with or without changes. */
   answered? (): void
-  /** A row was left out because its value cannot be decoded. */
+  /** A row was skipped because its value cannot be decoded. */
   undecodable? (key: string, err: unknown): void
 }
 
-/** How a table is followed: `often` written tables are read in steps, `seldom` written ones wait long and tell at once. */
+/** How often a table is written: `often` reads in batches at intervals, `seldom` uses long polls that return at once on a change. */
 export type FeedPace = 'often' | 'seldom'
 
-/** Feeds of the tables of a store. */
 export interface TableFeed {
   /**
-   * Follows a table until the answer is called.
-   * @param table - name of the table
-   * @param handler - takes what the feed tells
-   * @param pace - how often the table is written; `often` unless given
+   * Subscribes to a table; the returned function unsubscribes.
+   * @param pace - defaults to `often`
    */
   follow (table: string, handler: FeedHandler, pace?: FeedPace): () => void
 }
--- a/packages/infra/src/table/tableTransact.spec.ts
+++ b/packages/infra/src/table/tableTransact.spec.ts
@@ -1,6 +1,7 @@
 /**
- * Transactions under lost, late and refused answers: every sequence of outcomes up to a length
- * is tried, and weaker ways of retrying are shown to break the promise on some of them.
+ * Guards against transactions applied twice or reported wrongly after lost, late and refused
+ * responses. All sequences of outcomes of a fixed length are tried; faulty retry strategies must
+ * violate the guarantee on some of them.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { expect } from 'chai'
@@ -8,7 +9,7 @@
 import { transactUntilKnown, type TransactBuild, type TransactSettled, type WasApplied } from './tableTransact.js'
 import type { ReadAnswer, Row, RowKey, TableStore, Transaction } from './tableTypes.js'
 
-/** What happens to a transaction; `late` ones take effect only after the next read. */
+/** Outcome of a transaction; a `late` one is applied only after the next read. */
 const OUTCOMES = ['ok', 'lostAfter', 'lostBefore', 'late', 'raced', 'down'] as const
 type Outcome = typeof OUTCOMES[number]
 
@@ -18,7 +19,7 @@
 const unknownOutcome = (): Failure => new Failure('platformOutcomeUnknown', 'lost', { ran: 'unknown' })
 const unavailable = (): Failure => new Failure('platformUnavailable', 'down')
 
-/** A table in memory that follows a script. */
+/** In-memory table with scripted outcomes. */
 class ScriptedTable implements TableStore {
   private readonly rows = new Map<string, Row>()
   private version = 0
@@ -52,7 +53,7 @@
     return applied ? Right({ version: this.version, now: 0 }) : Left(new Failure('platformConflict', 'raced'))
   }
 
-  /** Lets late transactions take effect, if their checks still hold. */
+  /** Applies late transactions whose checks still hold. */
   land (): void {
     this.late.forEach(tx => this.apply(tx))
     this.late = []
@@ -88,9 +89,9 @@
 
 type Way = (table: TableStore) => Promise<Either<Failure, unknown>>
 const product: Way = table => transactUntilKnown(table, increment, hasMarker, limits)
-/** Retries after a lost answer as after a conflict, without looking. */
+/** Faulty: retries after a lost response as after a conflict, without reading back. */
 const withoutReadBack: Way = table => transactUntilKnown(table, increment, () => false, limits)
-/** Reads back once and takes a missing marker for the proof that nothing will be written. */
+/** Faulty: reads back once and treats a missing marker as proof that nothing will be written. */
 const trustingOneReadBack: Way = async table => {
   const before = (await table.read(increment.keys)).map(read => increment.build(read).unsafeCoerce())
   if (before.isLeft()) return before
@@ -105,15 +106,15 @@
   return sequencesOf(items, length - 1).flatMap(rest => items.map(item => [item, ...rest]))
 }
 
-/** Runs a way on one script; undefined when the promise held, else how it broke. */
+/** Runs a strategy on one script and describes the violation of the guarantee, if any. */
 async function breach (way: Way, script: readonly Outcome[], readsDown: readonly boolean[]): Promise<string | undefined> {
   const table = new ScriptedTable(script, readsDown)
   const result = await way(table)
   table.land()
   const applied = table.counter()
   if (applied > 1) return `applied ${applied} times`
-  if (result.isRight()) return applied === 1 ? undefined : 'said applied and was not'
-  return applied === 1 && (result.extract() as Failure).ran === 'no' ? 'said not applied and was' : undefined
+  if (result.isRight()) return applied === 1 ? undefined : 'reported as applied but was not'
+  return applied === 1 && (result.extract() as Failure).ran === 'no' ? 'reported as not applied but was' : undefined
 }
 
 async function breaches (way: Way): Promise<string[]> {
@@ -155,21 +156,21 @@
     })
   }
 
-  it('finds what an earlier run applied', async () => {
+  it('detects a transaction applied by an earlier run', async () => {
     const table = new ScriptedTable([], [])
     await product(table)
     expect(howOrCode(await transactUntilKnown(table, increment, hasMarker, limits))).to.equal('before')
     expect(table.counter()).to.equal(1)
   })
 
-  it('refuses a transaction whose copies do not exclude each other', async () => {
+  it('rejects a transaction whose copies could both be applied', async () => {
     const table = new ScriptedTable([], [])
     const unguarded: TransactBuild = { ...increment, build: () => Right({ checks: [], writes: [{ ...COUNTER, value: 9 }] }) }
     expect(howOrCode(await transactUntilKnown(table, unguarded, hasMarker, limits))).to.equal('internal')
     expect(table.counter()).to.equal(0)
   })
 
-  it('holds over every sequence of outcomes', async () => {
+  it('reports the correct outcome for all sequences of outcomes', async () => {
     expect(await breaches(product)).to.deep.equal([])
   })
 
@@ -177,7 +178,7 @@
     expect(await breaches(withoutReadBack)).to.include('applied 2 times')
   })
 
-  it('would deny a late write when one read back were trusted (counter-example)', async () => {
-    expect(await breaches(trustingOneReadBack)).to.include('said not applied and was')
+  it('would report a late write as not applied after a single read back (counter-example)', async () => {
+    expect(await breaches(trustingOneReadBack)).to.include('reported as not applied but was')
   })
 })
--- a/packages/infra/src/table/tableTransact.ts
+++ b/packages/infra/src/table/tableTransact.ts
@@ -1,13 +1,12 @@
 /**
- * Runs a transaction until its outcome is known. The caller names the rows, builds the
- * transaction from them and can tell from them whether it took effect, usually by a marker row
- * that the transaction inserts.
+ * Retries a transaction until its outcome is known. The caller names the rows to read, builds the
+ * transaction from them and detects from them whether it was applied, usually by a marker row that
+ * the transaction inserts.
  *
- * After a lost answer the rows are read back before anything else. If the marker is there, the
- * transaction was applied. If not, it may still be under way; it is built again from fresh rows,
- * and because both copies check and write a common row, at most one of them can take effect.
- * When the attempts run out, "nothing was written" is said only if no earlier copy can still
- * land, that is if every copy checks a row that has moved on.
+ * After a lost response the rows are read back first. Without the marker, the transaction may still
+ * be in flight; it is rebuilt from the current rows. All copies check and write a common row, so at
+ * most one can be applied. When the attempts are used up, "nothing was written" is reported only if
+ * no earlier copy can still be applied, i.e. each one checks a row whose version has changed.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -15,40 +14,37 @@
 
 const BACKOFF_FACTOR = 2
 
-/** How the transaction is made. */
 export interface TransactBuild {
-  /** The rows that are read before each attempt: all that are checked, and the marker. */
+  /** Rows to read before each attempt: all checked rows and the marker. */
   readonly keys: readonly RowKey[]
   /**
-   * Makes the transaction. At least one row has to be both checked and written.
-   * @param read - the rows in the order of `keys`, and the service's clock
+   * Builds the transaction. At least one row must be both checked and written.
+   * @param read - rows in the order of `keys`, and the service's clock
    */
   build (read: ReadAnswer): Either<Failure, Transaction>
 }
 
-/** Tells from the rows of `keys`, in their order, whether the transaction took effect. */
+/** Detects from the rows, in the order of `keys`, whether the transaction was applied. */
 export type WasApplied = (rows: readonly (Row | null)[]) => boolean
 
-/** Bounds and waiting. */
 export interface TransactLimits {
-  /** Most transactions sent. */
+  /** Maximum number of transactions sent. */
   readonly attempts: number
-  /** Milliseconds before the second attempt; doubled before each further one. */
+  /** Backoff before the second attempt; doubled before each further one. */
   readonly pauseMs: number
   readonly maxPauseMs: number
-  /** Waits; bound to a timer by the daemon. */
   readonly pause: (ms: number) => Promise<void>
-  /** Numbers in [0, 1) that spread the pauses; without it they are not spread. */
+  /** Random numbers in [0, 1) for backoff jitter; no jitter without it. */
   readonly random?: () => number
 }
 
-/** A transaction that is known to have taken effect. */
+/** A transaction that is known to be applied. */
 export interface TransactSettled {
-  /** `answered` by the service, `readBack` after an attempt, or `before` the first attempt. */
+  /** `answered`: confirmed by the service; `readBack`: detected after an attempt; `before`: applied before the first attempt. */
   readonly how: 'answered' | 'readBack' | 'before'
-  /** The rows from which it was built when `answered`, else the rows that show it. */
+  /** When `answered`, the rows from which the transaction was built, else the rows that show that it was applied. */
   readonly read: ReadAnswer
-  /** What was sent, when `answered`. */
+  /** The transaction sent, when `answered`. */
   readonly tx?: Transaction
 }
 
@@ -69,7 +65,7 @@
 
 /** One run of {@link transactUntilKnown}. */
 class TransactRun {
-  /** Attempts without an answer that may still take effect. */
+  /** Attempts without a response that may still be applied. */
   private underWay: Transaction[] = []
   private sent = 0
 
@@ -81,7 +77,7 @@
   ) {}
 
   async run (): Promise<Either<Failure, TransactSettled>> {
-    let last = new Failure('platformUnavailable', 'no attempt was allowed')
+    let last = new Failure('platformUnavailable', 'the limit allows no attempt')
     for (let round = 0; round <= this.limits.attempts; round++) {
       if (round > 0) await this.limits.pause(this.pauseMs(round))
       const mayWrite = round < this.limits.attempts
@@ -119,7 +115,7 @@
 
   private conclude (failure: Failure): Failure {
     if (this.underWay.length === 0) return failure
-    return new Failure('platformOutcomeUnknown', `an attempt without an answer may still take effect; then: ${failure.message}`, { ran: 'unknown' })
+    return new Failure('platformOutcomeUnknown', `an attempt without a response may still take effect; last failure: ${failure.message}`, { ran: 'unknown' })
   }
 
   private pauseMs (round: number): number {
@@ -130,13 +126,9 @@
 }
 
 /**
- * Reads, builds and transacts until the outcome is known or the attempts are used up.
- * Failures: those of `build`; `platformConflict` and `platformUnavailable` when nothing was or
- * will be written; `platformOutcomeUnknown` when an attempt may have taken effect or still may.
- * @param store - the table service
- * @param make - the rows to read and how the transaction is made from them
- * @param wasApplied - tells from the rows whether it took effect
- * @param limits - bounds and waiting
+ * Reads, builds and sends the transaction until its outcome is known or the attempts are used up.
+ * Failures: those of `build`; `platformConflict` and `platformUnavailable` if nothing was or will
+ * be written; `platformOutcomeUnknown` if an attempt may have been applied or still may be.
  */
 export async function transactUntilKnown (
   store: TableStore, make: TransactBuild, wasApplied: WasApplied, limits: TransactLimits
--- a/packages/infra/src/vmList/httpVmList.ts
+++ b/packages/infra/src/vmList/httpVmList.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's list of VMs.
+ * HTTP client of the platform's VM list.
  */
 import { Left, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -7,14 +7,14 @@
 import { readFailed, readRefused } from '../http/platformFailure.js'
 import { vmListAnswerSchema, type VmList, type VmListAnswer } from './vmListTypes.js'
 
-/** The VM list over HTTP. Failure: `platformUnavailable`. */
+/** Failure: `platformUnavailable`. */
 export class HttpVmList implements VmList {
   private readonly transport: HttpTransport
 
   /**
-   * @param baseUrl - where the list is served, without a slash at the end
-   * @param vm - name of this VM
-   * @param timeoutMs - milliseconds until a call is given up
+   * @param baseUrl - without a trailing slash
+   * @param vm - name of this VM, sent as `x-vm`
+   * @param timeoutMs - timeout of a whole call
    */
   constructor (private readonly baseUrl: string, vm: string, private readonly timeoutMs: number) {
     this.transport = new HttpTransport({ vm, connectMs: timeoutMs })
--- a/packages/infra/src/vmList/vmListTypes.ts
+++ b/packages/infra/src/vmList/vmListTypes.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's list of live and leaving VMs. It lags: what it says is evidence with an age.
+ * Interface of the platform's VM list. The list lags behind, so entries are evidence with an age, not the current state.
  */
 import * as z from 'zod'
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** One entry; `gone` means that the platform ended the VM and it cannot wake. */
+/** One entry; `gone` means that the platform has terminated the VM and it cannot resume. */
 export const vmEntrySchema = z.object({
   vm: z.string(),
   domain: z.string(),
@@ -14,11 +14,10 @@
 })
 export type VmEntry = z.infer<typeof vmEntrySchema>
 
-/** The list and the wall time for which it held. */
+/** The list, the time at which it was valid (`asOf`) and the platform's clock (`now`), in wall-clock milliseconds. */
 export const vmListAnswerSchema = z.object({ asOf: z.number(), now: z.number(), vms: z.array(vmEntrySchema) })
 export type VmListAnswer = z.infer<typeof vmListAnswerSchema>
 
-/** The list service. */
 export interface VmList {
   list (): Promise<Either<Failure, VmListAnswer>>
 }
--- a/packages/infra/src/weights/httpWeightStore.ts
+++ b/packages/infra/src/weights/httpWeightStore.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the weight store. Going over its rate is a failure with the time to come back.
+ * HTTP client of the weight store. Exceeding its rate limit is a failure with a retry time.
  */
 import { Left, type Either } from 'purify-ts'
 import * as z from 'zod'
@@ -14,14 +14,14 @@
   bytes: z.number().int().nonnegative()
 })
 
-/** The weight store over HTTP. Failures: `notFound`, `platformUnavailable`. */
+/** Failures: `notFound`, `platformUnavailable`. */
 export class HttpWeightStore implements WeightStore {
   private readonly transport: HttpTransport
 
   /**
-   * @param baseUrl - where the store listens, without a slash at the end
-   * @param vm - name of this VM
-   * @param timeoutMs - milliseconds until a call is given up
+   * @param baseUrl - without a trailing slash
+   * @param vm - name of this VM, sent as `x-vm`
+   * @param timeoutMs - timeout of a whole call
    */
   constructor (private readonly baseUrl: string, vm: string, private readonly timeoutMs: number) {
     this.transport = new HttpTransport({ vm, connectMs: timeoutMs })
@@ -31,9 +31,9 @@
     const url = `${this.baseUrl}/weights/${encodeURIComponent(model)}/${encodeURIComponent(version)}`
     const answer = await this.transport.call({ method: 'GET', url, timeoutMs: this.timeoutMs })
     return answer.mapLeft(lost => readFailed(lost.detail)).chain(res => {
-      if (res.status === 404) return Left(new Failure('notFound', `no weights of ${model} ${version}`))
+      if (res.status === 404) return Left(new Failure('notFound', `no weights for model ${model} version ${version}`))
       if (res.status !== 200) return Left(readRefused(res))
-      const fits = weightInfoSchema.refine(info => info.model === model && info.version === version, 'other weights than asked')
+      const fits = weightInfoSchema.refine(info => info.model === model && info.version === version, 'weights of a different model or version')
       return parseJson(fits, res.body).mapLeft(detail => readFailed(detail))
     })
   }
--- a/packages/infra/src/weights/weightTypes.ts
+++ b/packages/infra/src/weights/weightTypes.ts
@@ -1,18 +1,16 @@
 /**
- * The weight store: where engines take model weights from. It is rate-limited; a load order that
- * exceeds the rate is refused with the time to come back.
+ * Interface of the weight store, from which engines load model weights. The store is rate-limited;
+ * a load order above the limit is refused with a retry time.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** What the store knows of one set of weights. */
 export interface WeightInfo {
   readonly model: string
   readonly version: string
   readonly bytes: number
 }
 
-/** The weight store. */
 export interface WeightStore {
   describe (model: string, version: string): Promise<Either<Failure, WeightInfo>>
 }
--- a/packages/operators/src/admin/adminQueries.ts
+++ b/packages/operators/src/admin/adminQueries.ts
@@ -1,5 +1,5 @@
 /**
- * What the admin API reads from URLs.
+ * Parses query and path parameters of the admin API.
  */
 import type { Either } from 'purify-ts'
 import * as z from 'zod'
@@ -27,25 +27,19 @@
   return Object.fromEntries(new URL(url, anyBase).searchParams)
 }
 
-/**
- * The version asked for, if any. Failure: `badRequest`.
- * @param url - URL of the request
- */
+/** Parses the optional query parameter `version`. Failure: `badRequest`. */
 export function versionQuery (url: string): Either<Failure, number | undefined> {
   return checkBy(versionQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.version)
 }
 
-/**
- * How many entries of the history are asked for. Failure: `badRequest`.
- * @param url - URL of the request
- */
+/** Parses the query parameter `limit` of the history. Failure: `badRequest`. */
 export function historyQuery (url: string): Either<Failure, number> {
   return checkBy(historyQuerySchema, queryOf(url), 'query').bimap(badRequest, (query) => query.limit)
 }
 
 /**
- * The budget named in the path. Failure: `badRequest`.
- * @param params - parameters of the path, decoded
+ * Validates the budget name in the path. Failure: `badRequest`.
+ * @param params - decoded path parameters
  */
 export function budgetParam (params: Readonly<Record<string, unknown>>): Either<Failure, string> {
   return checkBy(budgetNameSchema, params.budget, 'budget').mapLeft(badRequest)
--- a/packages/operators/src/admin/adminServer.spec.ts
+++ b/packages/operators/src/admin/adminServer.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The admin API over real connections on loopback, with a fake service behind it.
+ * The admin API over loopback connections, with a fake service: authentication, validation and responses.
  */
 import { expect } from 'chai'
 import got from 'got'
@@ -16,7 +16,7 @@
   readonly path: string
   readonly body?: unknown
   readonly status: number
-  /** Name of the problem, or the whole answer. */
+  /** Name of the problem, or the whole response body. */
   readonly answer: unknown
   readonly errors?: readonly string[]
 }
@@ -26,19 +26,19 @@
 const budget = { budget: 'viajes', paid: 1000, spent: 200, allotted: 300, inDoubt: 0, holders: [] }
 
 const table: readonly Row[] = [
-  { title: 'no key', key: '', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
-  { title: 'a wrong key', key: 'x', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
-  { title: 'no key on an unknown path', key: '', path: '/admin/v1/x', status: 404, answer: 'notFound' },
+  { title: 'a missing key', key: '', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
+  { title: 'an invalid key', key: 'x', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
+  { title: 'a missing key on an unknown path', key: '', path: '/admin/v1/x', status: 404, answer: 'notFound' },
   { title: 'a wrong method', method: 'PUT', path: '/admin/v1/config', status: 405, answer: 'methodNotAllowed' },
   { title: 'config', path: '/admin/v1/config', status: 200, answer: { version: 4, config: { teams: {} } } },
   { title: 'config of a version', path: '/admin/v1/config?version=2', status: 200, answer: { version: 2, config: { teams: {} } } },
-  { title: 'config of no version', path: '/admin/v1/config?version=two', status: 400, answer: 'badRequest', errors: ['version: use a whole number'] },
+  { title: 'config of an invalid version', path: '/admin/v1/config?version=two', status: 400, answer: 'badRequest', errors: ['version: use a whole number'] },
   { title: 'an unknown parameter', path: '/admin/v1/config?v=2', status: 400, answer: 'badRequest', errors: ['v: this member is not known'] },
-  { title: 'config that cannot be read', path: '/admin/v1/config?version=99', status: 404, answer: 'notFound' },
+  { title: 'config of an unknown version', path: '/admin/v1/config?version=99', status: 404, answer: 'notFound' },
   { title: 'a patch', method: 'POST', path: '/admin/v1/config/patches', body: patch, status: 200, answer: { version: 5, repeated: false, dryRun: false } },
   { title: 'a patch by a viewer', key: 'view', method: 'POST', path: '/admin/v1/config/patches', body: patch, status: 403, answer: 'forbidden' },
   {
-    title: 'a patch with several mistakes',
+    title: 'a patch with several invalid fields',
     method: 'POST',
     path: '/admin/v1/config/patches',
     body: { base: -1, patchId: '', patch: [], more: 1 },
@@ -46,11 +46,11 @@
     answer: 'badRequest',
     errors: ['base: ', 'patchId: ', 'author: ', 'patch: ', 'more: this member is not known']
   },
-  { title: 'a patch on an old base', method: 'POST', path: '/admin/v1/config/patches', body: { ...patch, base: 3 }, status: 409, answer: 'configConflict' },
+  { title: 'a patch on an outdated base', method: 'POST', path: '/admin/v1/config/patches', body: { ...patch, base: 3 }, status: 409, answer: 'configConflict' },
   { title: 'the history', path: '/admin/v1/config/history?limit=1', status: 200, answer: { entries: [{ version: 4, patchId: 'p0', author: 'ana', at: 0, patch: [{}] }] } },
-  { title: 'a history of 0', path: '/admin/v1/config/history?limit=0', status: 400, answer: 'badRequest', errors: ['limit: use 1 to 1000'] },
+  { title: 'a history with limit 0', path: '/admin/v1/config/history?limit=0', status: 400, answer: 'badRequest', errors: ['limit: use 1 to 1000'] },
   {
-    title: 'the status names who lags',
+    title: 'a status that marks lagging VMs',
     path: '/admin/v1/config/status',
     status: 200,
     answer: {
@@ -67,11 +67,11 @@
   { title: 'an unknown budget', path: '/admin/v1/budgets/nada', status: 404, answer: 'budgetUnknown' },
   { title: 'a top-up', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: topUp, status: 200, answer: { ...budget, paid: 1500 } },
   { title: 'a top-up by a viewer', key: 'view', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: topUp, status: 403, answer: 'forbidden' },
-  { title: 'a top-up of a half token', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: 0.5 }, status: 400, answer: 'badRequest', errors: ['tokens: '] },
-  { title: 'a top-up of nothing', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: 0 }, status: 400, answer: 'badRequest', errors: ['tokens: '] },
-  { title: 'a lowering', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -400 }, status: 200, answer: { ...budget, paid: 600 } },
-  { title: 'a lowering by a viewer', key: 'view', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -400 }, status: 403, answer: 'forbidden' },
-  { title: 'a lowering below what is committed', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -501 }, status: 409, answer: 'budgetBelowCommitted' },
+  { title: 'a top-up of half a token', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: 0.5 }, status: 400, answer: 'badRequest', errors: ['tokens: '] },
+  { title: 'a top-up of 0 tokens', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: 0 }, status: 400, answer: 'badRequest', errors: ['tokens: '] },
+  { title: 'a reduction', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -400 }, status: 200, answer: { ...budget, paid: 600 } },
+  { title: 'a reduction by a viewer', key: 'view', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -400 }, status: 403, answer: 'forbidden' },
+  { title: 'a reduction below the committed tokens', method: 'POST', path: '/admin/v1/budgets/viajes/topups', body: { ...topUp, tokens: -501 }, status: 409, answer: 'budgetBelowCommitted' },
   { title: 'the VMs', path: '/admin/v1/vms', status: 200, answer: { vms: fakeVms } },
   { title: 'a service that throws', path: '/admin/v1/runners', status: 500, answer: 'internal' },
   { title: 'the addresses', path: '/admin/v1/addresses', status: 200, answer: { addresses: ['http://127.0.0.1:8001'], keepMs: 10000 } }
@@ -116,7 +116,7 @@
     })
   }
 
-  it('logged the fault with its error', () => {
+  it('logs the error of a service that throws', () => {
     expect(faults.map((err) => (err as Error).message)).to.deep.equal(['bug'])
   })
 })
--- a/packages/operators/src/admin/adminServer.ts
+++ b/packages/operators/src/admin/adminServer.ts
@@ -1,6 +1,6 @@
 /**
- * The admin API: configuration, budgets and what runs. Every call needs a key, on loopback too;
- * viewers may read only. docs/API.md describes it for people.
+ * HTTP server of the admin API: configuration, budgets, VMs and runners. Every call requires a
+ * key, on loopback too; viewers have read access only. docs/API.md documents the routes.
  */
 import { EitherAsync, Left, Right, type Either } from 'purify-ts'
 import type { z } from 'zod'
@@ -19,22 +19,19 @@
 import { patchRequestSchema, topUpRequestSchema, type AdminService } from './adminTypes.js'
 import { configStatus, type ConfigStatus } from './configStatus.js'
 
-/** What the server needs. */
 export interface AdminServerDeps {
   readonly service: AdminService
   readonly log: EventLog
   readonly limits: HttpLimits
 }
 
-/** Works out the JSON answer of one route. */
+/** Computes the JSON response of one route. */
 type Answering = (exchange: HttpExchange) => Promise<Either<Failure, unknown>>
 
-/** The server of the admin API. */
 export class AdminServer {
   private readonly http: HttpServer
   private readonly service: AdminService
 
-  /** @param deps - service, log and limits */
   constructor (deps: AdminServerDeps) {
     this.service = deps.service
     this.http = new HttpServer(deps, new RestifyRouter())
@@ -50,19 +47,19 @@
   }
 
   /**
-   * Listens; resolves to the address in use.
-   * @param address - IPv4:port; port 0 takes any free one
+   * Starts listening; resolves to the bound address.
+   * @param address - IPv4:port; port 0 selects a free port
    */
   listen (address: string): Promise<string> {
     return this.http.listen(address)
   }
 
-  /** Stops accepting connections; resolves when all open requests are answered. */
+  /** Stops accepting connections; resolves when all open requests have completed. */
   close (): Promise<void> {
     return this.http.close()
   }
 
-  /** Requests that are not answered yet. */
+  /** Number of requests in progress. */
   openRequests (): number {
     return this.http.openRequests()
   }
@@ -81,7 +78,7 @@
     return operator.chain(({ operator: name, role }) => {
       exchange.client = name
       if (method === 'GET' || role === 'admin') return Right(undefined)
-      return Left(new Failure('forbidden', `the key of ${name} may only read`))
+      return Left(new Failure('forbidden', `operator ${name} has read access only`))
     })
   }
 
--- a/packages/operators/src/admin/adminTypes.ts
+++ b/packages/operators/src/admin/adminTypes.ts
@@ -1,6 +1,6 @@
 /**
- * What the admin API asks of the rest of the VM, and the answers both it and
- * `rosemaryspreadctl` understand. The daemon binds the implementations.
+ * Interface between the admin API and the rest of the VM, implemented by the daemon, and the
+ * message schemas shared by the API and `rosemaryspreadctl`.
  */
 import * as z from 'zod'
 import type { Either } from 'purify-ts'
@@ -17,15 +17,14 @@
 })
 export type PatchRequest = z.infer<typeof patchRequestSchema>
 
-/** Answer of an accepted patch. */
+/** Response to an accepted patch. */
 export const patchAnswerSchema = z.object({ version: z.number().int(), repeated: z.boolean(), dryRun: z.boolean() })
 export type PatchAnswer = z.infer<typeof patchAnswerSchema>
 
-/** Configuration in force or at a version. */
+/** Configuration in force or at a requested version. */
 export const configAnswerSchema = z.object({ version: z.number().int(), config: z.unknown() })
 export type ConfigAnswer = z.infer<typeof configAnswerSchema>
 
-/** One line of the history. */
 export const historyEntrySchema = z.object({
   version: z.number().int(),
   patchId: z.string(),
@@ -46,7 +45,7 @@
 })
 export type TopUpRequest = z.infer<typeof topUpRequestSchema>
 
-/** A budget as shown; all amounts in tokens. */
+/** Balance of a budget; all amounts in tokens. */
 export const budgetAnswerSchema = z.object({
   budget: z.string(),
   paid: z.number(),
@@ -57,7 +56,6 @@
 })
 export type BudgetAnswer = z.infer<typeof budgetAnswerSchema>
 
-/** A VM as shown. */
 export const vmAnswerSchema = z.object({
   vm: z.string(),
   domain: z.string(),
@@ -68,29 +66,27 @@
 })
 export type VmAnswer = z.infer<typeof vmAnswerSchema>
 
-/** A runner as shown. */
 export const runnerAnswerSchema = z.object({
   runner: z.string(),
   kind: z.enum(['model', 'application']),
   domain: z.string(),
   address: z.string(),
-  /** As the VM that answers sees it: active, leaving, ejected or notLoaded. */
+  /** State as seen by the responding VM: active, leaving, ejected or notLoaded. */
   state: z.string(),
-  /** Why the state is so; absent when the VM has no view of its own. */
+  /** Reason for the state; absent when the VM has no observation of its own. */
   reason: z.string().optional(),
   inFlight: z.number().int(),
-  /** Milliseconds since the last load report held; absent when the VM has none. */
+  /** Age of the last load report in milliseconds; absent when the VM has none. */
   reportAgeMs: z.number().optional()
 })
 export type RunnerAnswer = z.infer<typeof runnerAnswerSchema>
 
-/** The operator behind a key. */
 export interface OperatorIdentity {
   readonly operator: string
   readonly role: 'admin' | 'viewer'
 }
 
-/** Everything the admin API asks. */
+/** Operations behind the admin API. */
 export interface AdminService {
   authenticate (bearer: string): Either<Failure, OperatorIdentity>
   config (version?: number): Promise<Either<Failure, ConfigAnswer>>
--- a/packages/operators/src/admin/configStatus.ts
+++ b/packages/operators/src/admin/configStatus.ts
@@ -1,37 +1,35 @@
 /**
- * Which VM is at which configuration version, and who lags.
+ * Configuration version of each VM, and which VMs lag behind the newest one.
  */
 import * as z from 'zod'
 import type { VmAnswer } from './adminTypes.js'
 
-/** One VM's version. */
 export const vmStatusSchema = z.object({
   vm: z.string(),
   domain: z.string(),
   state: z.string(),
   configVersion: z.number().int().nullable(),
-  /** Whether the VM is behind the newest version; never said of one that is gone. */
+  /** Whether the VM is behind the newest version; always false for a terminated VM. */
   lags: z.boolean(),
-  /** Milliseconds since the VM was last heard of with this version. */
+  /** Milliseconds since the VM last reported this version. */
   ageMs: z.number()
 })
 export type VmStatus = z.infer<typeof vmStatusSchema>
 
 /** Answer of `GET /admin/v1/config/status`. */
 export const configStatusSchema = z.object({
-  /** The newest version known to the VM that answers. */
+  /** Newest version known to the responding VM. */
   version: z.number().int(),
   vms: z.array(vmStatusSchema)
 })
 export type ConfigStatus = z.infer<typeof configStatusSchema>
 
-/** State of a VM that the platform ended; nothing waits for it. */
+/** State of a VM that the platform has terminated. */
 const endedState = 'gone'
 
 /**
- * Compares the VMs with the newest version known.
- * @param inForce - version in force on the VM that answers
- * @param vms - all VMs
+ * Compares the versions of all VMs with the newest known one.
+ * @param localVersion - version in force on the responding VM
  */
 export function configStatus (inForce: number, vms: readonly VmAnswer[]): ConfigStatus {
   const version = Math.max(inForce, ...vms.map((vm) => vm.configVersion ?? 0))
--- a/packages/operators/src/admin/fakeAdminService.spec.ts
+++ b/packages/operators/src/admin/fakeAdminService.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A small admin service in memory for the specs: configuration by version, one budget, ids
- * remembered.
+ * Test helper: an in-memory admin service with a versioned configuration and one budget whose
+ * top-ups are deduplicated by operation id.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
--- a/packages/operators/src/ctl/adminClient.ts
+++ b/packages/operators/src/ctl/adminClient.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the admin API. Servers are tried in order. Every write carries an id, so a write
- * whose answer was lost is sent again, to another server first.
+ * Client of the admin API. Servers are tried in order. Every write carries an id, so a write whose
+ * response was lost is sent again, to the next server first.
  */
 import { Left, type Either } from 'purify-ts'
 import type { z } from 'zod'
@@ -9,9 +9,8 @@
 import { checkBy } from '@rosemaryspread/http/input/inputChecks.js'
 import { sendOnce, type AdminRequest } from './adminRequest.js'
 
-/** How a client reaches the system. */
 export interface AdminClientOptions {
-  /** Base URLs in the order to try. */
+  /** Base URLs, tried in order. */
   readonly servers: readonly string[]
   readonly key: string
   readonly timeoutMs: number
@@ -22,32 +21,24 @@
 const roundPauseMs = 250
 const serverErrorStatus = 500
 
-/** Failures of one server that another one may not have. */
+/** Failures of a single server, after which the next one is tried. */
 const tryElsewhere: ReadonlySet<ResultName> = new Set<ResultName>([
   'peerUnreachable', 'platformOutcomeUnknown', 'draining', 'configNotLoaded'
 ])
 
 const notAllowed: ReadonlySet<ResultName> = new Set<ResultName>(['unauthorized', 'forbidden'])
 
-/** The client. */
 export class AdminClient {
-  /** @param options - servers, key and timeout */
   constructor (private readonly options: AdminClientOptions) {}
 
-  /**
-   * Reads.
-   * @param path - path and query below the server
-   * @param schema - what the answer must be
-   */
+  /** @param path - path and query below the base URL */
   async get<S extends z.ZodType> (path: string, schema: S): Promise<Either<Failure, z.output<S>>> {
     return checkAnswer(schema, await this.send({ method: 'GET', path }))
   }
 
   /**
-   * Writes; the body must carry an id by which the system knows a repeat.
-   * @param path - path below the server
-   * @param body - a JSON value
-   * @param schema - what the answer must be
+   * @param path - path below the base URL
+   * @param body - must carry an id by which the server detects a repeated write
    */
   async post<S extends z.ZodType> (path: string, body: unknown, schema: S): Promise<Either<Failure, z.output<S>>> {
     return checkAnswer(schema, await this.send({ method: 'POST', path, body }))
@@ -64,7 +55,7 @@
     return Left(this.unreachable(failures))
   }
 
-  /** Tries each server once; the first definite answer counts. */
+  /** Tries each server once and returns the first definite response. */
   private async sendToAny (req: AdminRequest, failures: Failure[]): Promise<Either<Failure, unknown> | undefined> {
     for (const server of this.options.servers) {
       const answer = await sendOnce(server, this.options.key, this.options.timeoutMs, req)
@@ -81,7 +72,7 @@
     if (refusal !== undefined) return refusal
     const errors = [...new Set(failures.map((failure) => failure.message))]
     const ran = failures.some(isLost) ? 'unknown' : 'no'
-    return new Failure('peerUnreachable', 'no server gave an answer', { ran, errors })
+    return new Failure('peerUnreachable', 'no server responded', { ran, errors })
   }
 }
 
@@ -89,7 +80,7 @@
   return failure.ran === 'unknown'
 }
 
-/** A refusal after a lost answer says nothing about the attempt that was lost, unless it rests on the id. */
+/** A refusal after a lost response does not show the outcome of the lost attempt, unless the server compared the id. */
 function afterLosses (failure: Failure, earlier: readonly Failure[]): Failure {
   const definite = failure.entry.status < serverErrorStatus && !notAllowed.has(failure.code)
   if (definite || !earlier.some(isLost)) return failure
@@ -99,5 +90,5 @@
 
 function checkAnswer<S extends z.ZodType> (schema: S, answer: Either<Failure, unknown>): Either<Failure, z.output<S>> {
   return answer.chain((value) => checkBy(schema, value, 'answer').mapLeft((errors) =>
-    new Failure('internal', 'the answer of the server is not understood', { ran: 'unknown', errors })))
+    new Failure('internal', 'unexpected response of the server', { ran: 'unknown', errors })))
 }
--- a/packages/operators/src/ctl/adminRequest.ts
+++ b/packages/operators/src/ctl/adminRequest.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request to one server of the admin API.
+ * Sends one HTTP request to one admin server and converts problem responses to failures.
  */
 import got, { RequestError, TimeoutError } from 'got'
 import { Left, Right, type Either } from 'purify-ts'
@@ -7,7 +7,6 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { ranSchema, resultCodes, type ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
-/** What is asked. */
 export interface AdminRequest {
   readonly method: 'GET' | 'POST'
   readonly path: string
@@ -16,7 +15,7 @@
 
 const okStatus = 200
 
-/** Errors before a connection stood, so that nothing was sent. */
+/** Error codes of requests that failed before a connection was made, so that nothing was sent. */
 const notConnected: ReadonlySet<string> = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'EADDRNOTAVAIL'
 ])
@@ -32,12 +31,11 @@
 })
 
 /**
- * Sends a request to one server. `peerUnreachable` with `ran: unknown` means that the answer of
- * a write was lost.
+ * Sends a request without retries. `peerUnreachable` with `ran: unknown` means that the response
+ * to a write was lost.
  * @param server - base URL
  * @param key - bearer key
- * @param timeoutMs - milliseconds for the whole request
- * @param req - what is asked
+ * @param timeoutMs - timeout of the whole request
  */
 export async function sendOnce (server: string, key: string, timeoutMs: number, req: AdminRequest): Promise<Either<Failure, unknown>> {
   try {
@@ -79,7 +77,7 @@
   const value = parsed(text)
   if (status === okStatus && value !== undefined) return Right(value)
   const problem = problemSchema.safeParse(value)
-  if (!problem.success) return Left(new Failure('internal', `${server} answered HTTP ${status} in a form that is not understood`, { ran: 'unknown' }))
+  if (!problem.success) return Left(new Failure('internal', `${server} responded with HTTP ${status} and an unexpected body`, { ran: 'unknown' }))
   return Left(problemFailure(problem.data))
 }
 
--- a/packages/operators/src/ctl/budgetCommands.ts
+++ b/packages/operators/src/ctl/budgetCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl budget ...`
+ * Commands `budget topup`, `budget lower` and `budget show`.
  */
 import { budgetAnswerSchema, type BudgetAnswer } from '../admin/adminTypes.js'
 import type { CtlAction, CtlOutput } from './ctlTypes.js'
@@ -17,11 +17,7 @@
   return `/admin/v1/budgets/${encodeURIComponent(budget)}`
 }
 
-/**
- * `budget topup`: says the operation id first, so that a command that was broken off can be
- * repeated without adding twice.
- * @param args - arguments of the command
- */
+/** `budget topup`: prints the operation id before sending, so that an interrupted command can be repeated without adding twice. */
 export function topUpBudget (args: TopUpArgs): CtlAction {
   return async ({ client, io }) => {
     const { budget, tokens, author } = args
@@ -32,18 +28,12 @@
   }
 }
 
-/**
- * `budget lower`: a top-up of less than nothing, refused below what is spent and allotted.
- * @param args - arguments of the command
- */
+/** `budget lower`: a negative top-up, refused if it would go below the spent and allotted tokens. */
 export function lowerBudget (args: TopUpArgs): CtlAction {
   return topUpBudget({ ...args, tokens: -args.tokens })
 }
 
-/**
- * `budget show`
- * @param budget - budget id
- */
+/** `budget show` */
 export function showBudget (budget: string): CtlAction {
   return async ({ client }) => (await client.get(budgetPath(budget), budgetAnswerSchema)).map(budgetOutput)
 }
--- a/packages/operators/src/ctl/configCommands.ts
+++ b/packages/operators/src/ctl/configCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl config ...`
+ * Commands `config get`, `config patch`, `config history` and `config status`.
  */
 import { EitherAsync, Left, Right, type Either } from 'purify-ts'
 import { stringify } from 'yaml'
@@ -24,7 +24,7 @@
 
 /**
  * `config get`
- * @param version - a version; the one in force when absent
+ * @param version - defaults to the version in force
  */
 export function getConfig (version?: number): CtlAction {
   const query = version === undefined ? '' : `?version=${version}`
@@ -34,10 +34,7 @@
   }
 }
 
-/**
- * `config patch`
- * @param args - arguments of the command
- */
+/** `config patch` */
 export function patchConfig (args: PatchArgs): CtlAction {
   return (session) => EitherAsync.fromPromise(() => readPatch(session.io, args.file))
     .chain((patch) => withBase(session, args, patch))
@@ -46,10 +43,7 @@
     .run()
 }
 
-/**
- * `config history`
- * @param limit - entries at most, newest first
- */
+/** `config history`, newest first. */
 export function showHistory (limit: number): CtlAction {
   const schema = z.object({ entries: z.array(historyEntrySchema) })
   return async ({ client }) => {
@@ -64,19 +58,11 @@
   return answer.map((value) => ({ value, text: statusText(value) }))
 }
 
-/**
- * Sends a patch and says its id first, so that the command can be repeated.
- * @param session - client and output
- * @param req - the patch
- */
 export async function sendPatch ({ client }: CtlSession, req: PatchRequest): Promise<Either<Failure, PatchAnswer>> {
   return await client.post(`${configPath}/patches`, req, patchAnswerSchema)
 }
 
-/**
- * The configuration in force.
- * @param session - client and output
- */
+/** Fetches the configuration in force. */
 export async function currentConfig ({ client }: CtlSession): Promise<Either<Failure, z.output<typeof configAnswerSchema>>> {
   return await client.get(configPath, configAnswerSchema)
 }
@@ -85,7 +71,7 @@
   try {
     const value: unknown = JSON.parse(await io.read(file))
     return checkBy(patchRequestSchema.shape.patch, value, 'patch')
-      .mapLeft((errors) => new Failure('usage', `${file} is no list of RFC 6902 operations`, { errors }))
+      .mapLeft((errors) => new Failure('usage', `${file} is not a valid list of RFC 6902 operations`, { errors }))
   } catch (err) {
     return Left(new Failure('usage', `${file} cannot be read: ${(err as Error).message}`))
   }
@@ -107,7 +93,7 @@
 
 function patchText ({ version, repeated, dryRun }: PatchAnswer): string {
   if (dryRun) return `dry run: the patch would give version ${version}`
-  return repeated ? `version ${version} was accepted by an earlier attempt` : `version ${version} is accepted`
+  return repeated ? `version ${version} was accepted in an earlier attempt` : `version ${version} is accepted`
 }
 
 function historyText (entries: readonly HistoryEntry[]): string {
--- a/packages/operators/src/ctl/ctlMain.ts
+++ b/packages/operators/src/ctl/ctlMain.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The binary `rosemaryspreadctl`.
+ * Entry point of `rosemaryspreadctl`.
  */
 import { randomBytes, randomUUID } from 'node:crypto'
 import { readFile } from 'node:fs/promises'
--- a/packages/operators/src/ctl/ctlProgram.spec.ts
+++ b/packages/operators/src/ctl/ctlProgram.spec.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl` against an admin server on loopback: commands, exit codes and output.
+ * `rosemaryspreadctl` against an admin server on loopback: output, exit codes and retries of writes.
  */
 import { createHash } from 'node:crypto'
 import { createServer, type AddressInfo, type Server } from 'node:net'
@@ -43,7 +43,7 @@
   return { exit, out: out.join('\n'), err: err.join('\n') }
 }
 
-/** Accepts connections and closes each when the request has come, so that every answer is lost. */
+/** Closes each connection after receiving the request, so that every response is lost. */
 async function deafServer (): Promise<{ url: string, server: Server }> {
   const server = createServer((socket) => {
     socket.once('data', () => socket.destroy())
@@ -83,7 +83,7 @@
     { line: 'vm list --key a --key b', exit: 2, err: /^RS-702 .*--key may be given once/ },
     { line: 'vm list', env: { RSCTL_KEY: '' }, exit: 2, err: /^RS-702 .*RSCTL_KEY/ },
     { line: 'vm list', env: { RSCTL_SERVER: '' }, exit: 2, err: /^RS-702 .*RSCTL_SERVER/ },
-    { line: 'vm list', env: { RSCTL_SERVER: 'a b:c' }, exit: 2, err: /^RS-702 .*no base URL/ },
+    { line: 'vm list', env: { RSCTL_SERVER: 'a b:c' }, exit: 2, err: /^RS-702 .*invalid base URL/ },
     { line: 'config patch --file good.json', exit: 2, err: /^RS-702 .*author/ },
     { line: 'config patch --file none.json --author ana', exit: 2, err: /^RS-702 .*no such file/ },
     { line: 'config patch --file broken.json --author ana', exit: 2, err: /^RS-702 .*broken\.json/ },
@@ -129,18 +129,18 @@
   }
 
   describe('servers', () => {
-    it('tries the next one when one cannot be reached', async () => {
+    it('tries the next server when one is unreachable', async () => {
       const ran = await ctl(`--server ${closedUrl} --server http://${url}/ vm list`)
       expect(ran.exit).to.equal(0)
     })
 
-    it('exits 4 when none can be reached and nothing ran', async () => {
+    it('exits with 4 when no server is reachable and nothing ran', async () => {
       const ran = await ctl(`--server ${closedUrl} ${topUp}`)
       expect(ran.exit).to.equal(4)
       expect(ran.err).to.match(/\nRS-604 .*\n {2}http:\/\/127\.0\.0\.1:\d+: .*ECONNREFUSED/)
     })
 
-    it('repeats a write under the same id when its answer was lost', async () => {
+    it('repeats a write with the same id after its response was lost', async () => {
       const deaf = await deafServer()
       const ran = await ctl(`--server ${deaf.url} --server ${url} ${topUp}`)
       deaf.server.close()
@@ -148,7 +148,7 @@
       expect([...fake.topUps]).to.deep.equal([['id-1', 500]])
     })
 
-    it('counts a write once whose answer the platform lost', async () => {
+    it('applies a write once when its outcome on the platform is unknown', async () => {
       const { topUp: takeEffect } = fake
       let calls = 0
       fake.topUp = async (budget, req) => {
@@ -160,7 +160,7 @@
       expect([...fake.topUps]).to.deep.equal([['id-1', 500]])
     })
 
-    it('does not call a write refused that may have taken effect before', async () => {
+    it('does not report a write as refused if an earlier attempt may have taken effect', async () => {
       const deaf = await deafServer()
       fake.topUp = async () => Left(new Failure('platformUnavailable', 'the table is down'))
       const ran = await ctl(`--server ${deaf.url} --server ${url} ${topUp}`)
@@ -185,7 +185,7 @@
 
     const races: ReadonlyArray<{ lost: number, exit: number }> = [{ lost: 4, exit: 0 }, { lost: 5, exit: 5 }]
     for (const { lost, exit } of races) {
-      it(`loses ${lost} races: exit ${exit}, one patch id, each time the new base`, async () => {
+      it(`retries after ${lost} conflicts with the same patch id on the new base: exit ${exit}`, async () => {
         const { patch } = fake
         fake.patch = async (req) => {
           if (fake.patches.length < lost) fake.version++
@@ -197,14 +197,14 @@
       })
     }
 
-    it('leaves a team that exists as it is', async () => {
+    it('does not overwrite an existing team', async () => {
       fake.teams = { viajes: { displayName: 'Viajes', budget: 'viajes', keyHashes: ['0'.repeat(64)] } }
       const ran = await ctl(`--server ${url} ${create}`)
       expect([ran.exit, fake.patches.length]).to.deep.equal([3, 0])
       expect(ran.err).to.include('exists already')
     })
 
-    it('gives the key away when the outcome is not known', async () => {
+    it('prints the key when the outcome is unknown', async () => {
       const { patch } = fake
       fake.patch = async (req) => {
         await patch(req)
@@ -212,7 +212,7 @@
       }
       fake.config = async () => Right({ version: 4, config: { teams: {} } })
       const ran = await ctl(`--server ${url} ${create}`)
-      expect(ran.err).to.include('its key is then: secret')
+      expect(ran.err).to.include('in that case its key is: secret')
     })
   })
 })
--- a/packages/operators/src/ctl/ctlProgram.ts
+++ b/packages/operators/src/ctl/ctlProgram.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl` without its process: arguments in, exit code out.
+ * Runs a `rosemaryspreadctl` command: parses arguments, calls the admin API, prints the result and returns the exit code.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -8,7 +8,7 @@
 import type { CtlAction, CtlIo, CtlOutput } from './ctlTypes.js'
 import { exitCodeOf, exitCodes } from './exitCodes.js'
 
-/** Options of every command. */
+/** Options common to all commands. */
 interface GlobalArgs {
   readonly server?: readonly string[]
   readonly key?: string
@@ -16,10 +16,9 @@
   readonly timeoutMs: number
 }
 
-/** What the command line says. */
 interface Parsed {
   readonly globals: GlobalArgs
-  /** Absent when only help or the version was asked for. */
+  /** Absent for `--help` and `--version`. */
   readonly action?: CtlAction
 }
 
@@ -27,8 +26,7 @@
 
 /**
  * Runs one command and resolves to its exit code.
- * @param args - arguments after the program's name
- * @param io - the world outside
+ * @param args - arguments after the program name
  */
 export async function runCtl (args: readonly string[], io: CtlIo): Promise<number> {
   const parsed = await parse(args, io)
@@ -57,7 +55,7 @@
   }
 }
 
-/** The message of yargs may have several lines; the first is the detail, the others name the mistakes. */
+/** Messages of yargs may have several lines: a summary, then one line for each invalid argument. */
 function usageFailure (message: string): Failure {
   const [detail = '', ...errors] = message.split('\n').map((line) => line.trim()).filter((line) => line !== '')
   return new Failure('usage', `${detail.replace(/:$/, '')} (see --help)`, { errors })
@@ -69,14 +67,14 @@
   const wrong = names.filter((_, index) => servers[index] === undefined)
   const secret = key ?? io.env.RSCTL_KEY ?? ''
   if (timeoutMs === 0) return Left(usageFailure('--timeout-ms: use at least 1'))
-  if (servers.length === 0) return Left(usageFailure('name a server by --server or RSCTL_SERVER'))
-  if (wrong.length > 0) return Left(usageFailure(`no base URL: ${wrong.join(', ')}`))
-  if (secret === '') return Left(usageFailure('give the key by RSCTL_KEY or --key'))
+  if (servers.length === 0) return Left(usageFailure('no server given: use --server or RSCTL_SERVER'))
+  if (wrong.length > 0) return Left(usageFailure(`invalid base URL: ${wrong.join(', ')}`))
+  if (secret === '') return Left(usageFailure('no key given: use RSCTL_KEY or --key'))
   const urls = servers.filter((url) => url !== undefined)
   return Right(new AdminClient({ servers: urls, key: secret, timeoutMs, pause: (ms) => io.pause(ms) }))
 }
 
-/** The URL without a slash at its end; `IPv4:port` alone is taken as http. */
+/** Normalizes a server URL; `IPv4:port` without a scheme means http. Undefined if invalid. */
 function baseUrl (name: string): string | undefined {
   const text = /^https?:\/\//.test(name) ? name : `http://${name}`
   return URL.canParse(text) ? text.replace(/\/+$/, '') : undefined
@@ -93,7 +91,7 @@
   return exitCodeOf(failure)
 }
 
-/** The single mistakes, less one that the detail tells already. */
+/** Individual errors, except a single one that the message contains already. */
 function furtherErrors ({ errors, message }: Failure): readonly string[] {
   const [only] = errors
   return errors.length === 1 && only !== undefined && message.includes(only) ? [] : errors
--- a/packages/operators/src/ctl/ctlTypes.ts
+++ b/packages/operators/src/ctl/ctlTypes.ts
@@ -1,11 +1,11 @@
 /**
- * What the parts of `rosemaryspreadctl` share.
+ * Types shared by the commands of `rosemaryspreadctl`.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { AdminClient } from './adminClient.js'
 
-/** The world outside of the program; tests bind their own. */
+/** Environment, input, output, ids and timers of the process; tests substitute their own. */
 export interface CtlIo {
   readonly env: Readonly<Record<string, string | undefined>>
   out (text: string): void
@@ -15,24 +15,19 @@
    * @param file - path, or `-` for standard input
    */
   read (file: string): Promise<string>
-  /** A fresh id for an operation. */
+  /** Generates a unique operation id. */
   newId (): string
-  /** A fresh secret key. */
+  /** Generates a secret key. */
   newKey (): string
-  /**
-   * Waits.
-   * @param ms - milliseconds
-   */
   pause (ms: number): Promise<void>
 }
 
-/** What a command works with. */
 export interface CtlSession {
   readonly client: AdminClient
   readonly io: CtlIo
 }
 
-/** Result of a command: one value for scripts and one text for people. */
+/** Result of a command, as JSON value and as text. */
 export interface CtlOutput {
   readonly value: unknown
   readonly text: string
--- a/packages/operators/src/ctl/exitCodes.spec.ts
+++ b/packages/operators/src/ctl/exitCodes.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The exit codes as documented.
+ * Guards against exit codes that are missing from the documentation.
  */
 import { readFileSync } from 'node:fs'
 import { expect } from 'chai'
@@ -8,7 +8,7 @@
 const operatorsPage = new URL('../../../../docs/OPERATORS.md', import.meta.url)
 
 describe('exit codes of rosemaryspreadctl', () => {
-  it('are all in docs/OPERATORS.md', () => {
+  it('are all listed in docs/OPERATORS.md', () => {
     const rows = [...readFileSync(operatorsPage, 'utf8').matchAll(/^\| (\d+) \| \S.* \|$/gm)]
     expect(rows.map(([, code]) => Number(code))).to.deep.equal(Object.values(exitCodes))
   })
--- a/packages/operators/src/ctl/exitCodes.ts
+++ b/packages/operators/src/ctl/exitCodes.ts
@@ -1,28 +1,26 @@
 /**
- * Exit codes of `rosemaryspreadctl`. docs/OPERATORS.md lists them for people.
+ * Exit codes of `rosemaryspreadctl`, documented in docs/OPERATORS.md.
  */
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ResultName } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
-/** The exit codes by name. */
 export const exitCodes = {
-  /** The command did what was asked. */
+  /** The command succeeded. */
   ok: 0,
-  /** The program itself failed. */
+  /** Internal error of the program. */
   fault: 1,
-  /** The command line or the patch file is wrong; nothing was sent. */
+  /** The command line or the patch file is invalid; nothing was sent. */
   usage: 2,
-  /** The system refused. */
+  /** The server refused the command. */
   refused: 3,
-  /** No server could be reached, or every answer was lost. */
+  /** No server could be reached, or all responses were lost. */
   unreachable: 4,
-  /** Another change came first, or an id was used for something else. */
+  /** A concurrent change took precedence, or the id was used for a different operation. */
   conflict: 5,
-  /** The key is missing, not valid, or does not allow this. */
+  /** The key is missing, invalid or lacks permission. */
   notAllowed: 6
 } as const
 
-/** Name of an exit code. */
 export type ExitName = keyof typeof exitCodes
 
 const exitByResult: Partial<Record<ResultName, ExitName>> = {
@@ -37,10 +35,6 @@
   forbidden: 'notAllowed'
 }
 
-/**
- * The exit code for a failure.
- * @param failure - why the command failed
- */
 export function exitCodeOf (failure: Failure): number {
   return exitCodes[exitByResult[failure.code] ?? 'refused']
 }
--- a/packages/operators/src/ctl/fleetCommands.ts
+++ b/packages/operators/src/ctl/fleetCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl vm list`, `runner list` and `addresses`.
+ * Commands `vm list`, `runner list` and `addresses`.
  */
 import * as z from 'zod'
 import { runnerAnswerSchema, vmAnswerSchema } from '../admin/adminTypes.js'
--- a/packages/operators/src/ctl/teamCommands.ts
+++ b/packages/operators/src/ctl/teamCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `rosemaryspreadctl team ...`: teams live in the configuration, so creating one is a patch.
+ * Commands `team create` and `team list`. Teams are part of the configuration, so creating one sends a configuration patch.
  */
 import { createHash } from 'node:crypto'
 import { Left, Right, type Either } from 'purify-ts'
@@ -26,10 +26,10 @@
 const conflictTries = 5
 const conflictPauseMs = 200
 
-/** The part of a configuration that is read here. */
+/** The section of the configuration that lists the teams. */
 const teamsSchema = z.object({ teams: z.record(z.string(), teamSchema).default({}) })
 
-/** A team to be created and the ids of the operation. */
+/** Team to create, with the id and author of the patch. */
 interface TeamPlan {
   readonly id: string
   readonly team: TeamConfig
@@ -37,10 +37,7 @@
   readonly author: string
 }
 
-/**
- * `team create`: makes a key, stores its hash and shows the key once.
- * @param args - arguments of the command
- */
+/** `team create`: generates a key, stores only its hash and prints the key once. */
 export function createTeam (args: TeamArgs): CtlAction {
   return async (session) => {
     const key = session.io.newKey()
@@ -62,7 +59,7 @@
   const { id, displayName, budget, models, services, weight, author } = args
   const keyHashes = [createHash('sha256').update(key).digest('hex')]
   return checkBy(teamSchema, { displayName, keyHashes, budget, models, services, weight }, 'team')
-    .mapLeft((errors) => new Failure('usage', 'the team is not valid', { errors }))
+    .mapLeft((errors) => new Failure('usage', 'invalid team', { errors }))
     .map((team) => ({ id, team, patchId: io.newId(), author }))
 }
 
@@ -84,7 +81,7 @@
   return answer.map(({ version }) => version)
 }
 
-/** An `add` replaces a member that exists, so a team is added only on a base that has none of its name. */
+/** An `add` operation replaces an existing member, so the patch is built only on a base without a team of this name. */
 function addition (plan: TeamPlan, base: number, teams: Readonly<Record<string, TeamConfig>>): Either<Failure, PatchRequest> {
   const { id, team, patchId, author } = plan
   const ownHash = team.keyHashes[0] ?? ''
@@ -101,7 +98,7 @@
 }
 
 function keepKey ({ io }: CtlSession, id: string, key: string, failure: Failure): void {
-  if (failure.ran === 'unknown') io.err(`team ${id} may have been created; its key is then: ${key}`)
+  if (failure.ran === 'unknown') io.err(`team ${id} may have been created; in that case its key is: ${key}`)
 }
 
 function createdOutput (team: string, key: string, version: number): CtlOutput {
@@ -113,7 +110,7 @@
 
 function teamsOf (config: unknown): Either<Failure, Record<string, TeamConfig>> {
   return checkBy(teamsSchema, config, 'config').bimap(
-    (errors) => new Failure('internal', 'the configuration is not understood', { ran: 'unknown', errors }),
+    (errors) => new Failure('internal', 'invalid teams in the configuration', { ran: 'unknown', errors }),
     ({ teams }) => teams
   )
 }
--- a/packages/operators/src/ctl/textTable.ts
+++ b/packages/operators/src/ctl/textTable.ts
@@ -1,9 +1,8 @@
 /**
- * Tables for people, by cli-table3, without colours and lines so that they can be copied.
+ * Formats plain-text tables without colours and borders, so that they can be copied.
  */
 import Table from 'cli-table3'
 
-/** A value of a table. */
 export type Cell = string | number | boolean | null
 
 const noLines = {
@@ -29,9 +28,8 @@
 }
 
 /**
- * Renders rows under a head.
- * @param head - names of the columns
- * @param rows - values in the order of the head
+ * Formats rows under a header.
+ * @param rows - values in the order of the columns
  */
 export function textTable (head: readonly string[], rows: ReadonlyArray<readonly Cell[]>): string {
   const table = new Table({
@@ -46,10 +44,7 @@
 const msPerSecond = 1000
 const decimals = 1
 
-/**
- * An age as people read it.
- * @param ms - milliseconds
- */
+/** Formats a duration in seconds. */
 export function ageText (ms: number): string {
   return `${(ms / msPerSecond).toFixed(decimals)} s`
 }
--- a/packages/runners/src/application/applicationTypes.ts
+++ b/packages/runners/src/application/applicationTypes.ts
@@ -1,10 +1,9 @@
 /**
- * An application runner: a plain HTTP service to which calls are passed on whole.
+ * Types of application runners: plain HTTP services to which calls are forwarded unchanged.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** A call to pass on. */
 export interface ApplicationCall {
   readonly requestId: string
   readonly method: 'GET' | 'POST'
@@ -15,18 +14,17 @@
   readonly timeoutMs: number
 }
 
-/** The whole answer of an application runner. */
 export interface ApplicationAnswer {
   readonly status: number
   readonly contentType: string
   readonly body: Buffer
-  /** Milliseconds for which the runner wants no further call of this VM; absent where it names no time. */
+  /** Time for which the runner wants no further calls from this VM, from `Retry-After`; absent if not given. */
   readonly pauseMs?: number
 }
 
 /**
- * Calls application runners; never repeats a call by itself. Failure `runnerUnreachable` has
- * `ran: no` only when no connection was made.
+ * Client of application runners; never retries. Failure `runnerUnreachable` has `ran: no` only if
+ * no connection was made.
  */
 export interface ApplicationClient {
   call (address: string, call: ApplicationCall): Promise<Either<Failure, ApplicationAnswer>>
--- a/packages/runners/src/application/httpApplicationClient.spec.ts
+++ b/packages/runners/src/application/httpApplicationClient.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to application runners: whole answers, and what is known when there is none.
+ * Calls to application runners: complete responses, and which failure is reported without one.
  */
 import { gzipSync } from 'node:zlib'
 import { expect } from 'chai'
@@ -20,16 +20,16 @@
 }
 
 const cases: readonly [title: string, handler: TestHandler, expected: string][] = [
-  ['an answer', res => { res.end('done') }, '200 application/octet-stream done'],
-  ['an error of the service', answers(500, 'no'), '500 application/json "no"'],
+  ['a response', res => { res.end('done') }, '200 application/octet-stream done'],
+  ['an error response', answers(500, 'no'), '500 application/json "no"'],
   ['a redirect', redirects, '303 application/octet-stream '],
-  ['a compressed answer', compressed, '200 text/plain whole'],
-  ['an answer at the limit', res => { res.end('x'.repeat(MAX_BYTES)) }, `200 application/octet-stream ${'x'.repeat(MAX_BYTES)}`],
-  ['an answer above the limit', res => { res.end('x'.repeat(MAX_BYTES + 1)) }, 'runnerUnreachable unknown'],
-  ['an endless answer', res => { setInterval(() => res.write('x'.repeat(MAX_BYTES)), 1).unref() }, 'runnerUnreachable unknown'],
-  ['half an answer', breaksOff, 'runnerUnreachable unknown'],
-  ['a lost answer', drops, 'runnerUnreachable unknown'],
-  ['no answer in time', hangs, 'runnerUnreachable unknown']
+  ['a compressed response', compressed, '200 text/plain whole'],
+  ['a response at the size limit', res => { res.end('x'.repeat(MAX_BYTES)) }, `200 application/octet-stream ${'x'.repeat(MAX_BYTES)}`],
+  ['a response above the size limit', res => { res.end('x'.repeat(MAX_BYTES + 1)) }, 'runnerUnreachable unknown'],
+  ['an endless response', res => { setInterval(() => res.write('x'.repeat(MAX_BYTES)), 1).unref() }, 'runnerUnreachable unknown'],
+  ['a truncated response', breaksOff, 'runnerUnreachable unknown'],
+  ['a dropped connection', drops, 'runnerUnreachable unknown'],
+  ['no response within the timeout', hangs, 'runnerUnreachable unknown']
 ]
 
 async function run (address: string, call: ApplicationCall): Promise<string> {
@@ -59,7 +59,7 @@
     { status: 200, retryAfter: '3', pauseMs: undefined }
   ]
   for (const { status, retryAfter, pauseMs } of pauses) {
-    it(`reads ${pauseMs ?? 'no'} milliseconds without calls from a ${status} with '${retryAfter}'`, async () => {
+    it(`parses a pause of ${pauseMs ?? 'no'} ms from status ${status} with Retry-After '${retryAfter}'`, async () => {
       const server = await startTestServer(res => {
         res.writeHead(status, { 'retry-after': retryAfter })
         res.end()
@@ -72,11 +72,11 @@
     })
   }
 
-  it('knows that nothing ran when nobody listens', async () => {
+  it('reports that nothing ran when the connection is refused', async () => {
     expect(await run(await closedAddress(), CALL)).to.equal('runnerUnreachable no')
   })
 
-  it('sends GET without a body, and no path that leads to another host', async () => {
+  it('sends GET without a body, and rejects paths that resolve to another host', async () => {
     const server = await startTestServer(res => { res.end('ok') })
     expect(await run(server.address, { ...CALL, method: 'GET', body: Buffer.alloc(0) })).to.contain('ok')
     expect(await run(server.address, { ...CALL, path: '//127.0.0.2:1/x' })).to.contain('ok')
--- a/packages/runners/src/application/httpApplicationClient.ts
+++ b/packages/runners/src/application/httpApplicationClient.ts
@@ -1,6 +1,6 @@
 /**
- * Client of application runners over HTTP. Body and answer are passed on whole; a call is never
- * repeated or redirected. An answer that breaks off, or exceeds the limit, is no answer.
+ * HTTP client of application runners. Request and response bodies are passed on whole; calls are
+ * never retried or redirected. A truncated or oversized response counts as lost.
  */
 import { Left, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -9,17 +9,16 @@
 
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 
-/** Settings of the client. */
 export interface ApplicationClientSettings {
   /** Name of this VM, sent as `x-vm`. */
   readonly vm: string
-  /** Milliseconds for making a connection. */
+  /** Connect timeout. */
   readonly connectMs: number
-  /** Largest answer, in bytes. */
+  /** Maximum size of a response body. */
   readonly maxBytes: number
 }
 
-/** Application runners over HTTP. Addresses are `IPv4:port`. Failures: `badRequest`, `runnerUnreachable`. */
+/** Addresses are `IPv4:port`. Failures: `badRequest`, `runnerUnreachable`. */
 export class HttpApplicationClient implements ApplicationClient {
   private readonly transport: HttpTransport
 
@@ -28,7 +27,7 @@
   }
 
   async call (address: string, call: ApplicationCall): Promise<Either<Failure, ApplicationAnswer>> {
-    if (!call.path.startsWith('/')) return Left(new Failure('badRequest', 'the path has to begin with a slash'))
+    if (!call.path.startsWith('/')) return Left(new Failure('badRequest', 'the path must start with a slash'))
     const answer = await this.transport.call({
       method: call.method,
       url: `http://${address}${call.path}`,
--- a/packages/runners/src/engine/answerAssembler.spec.ts
+++ b/packages/runners/src/engine/answerAssembler.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The assembler on pieces that overlap, are missing, or belong elsewhere.
+ * Guards against answers assembled from duplicate, missing or foreign pieces. `!` marks a rejected step, `.` the end.
  */
 import { expect } from 'chai'
 import { AnswerAssembler } from './answerAssembler.js'
@@ -7,11 +7,11 @@
 type Step = readonly [sequence: number | 'end', text: string, requestId?: string]
 
 const cases: readonly [title: string, steps: readonly Step[], expected: string][] = [
-  ['in order', [[0, 'a'], [1, 'b'], ['end', '']], 'ab.'],
-  ['overlap after a resumption', [[0, 'a'], [1, 'b'], [0, 'a'], [1, 'b'], [2, 'c'], ['end', '']], 'abc.'],
-  ['overlap with other text', [[0, 'a'], [1, 'b'], [1, 'x']], 'ab!'],
+  ['pieces in order', [[0, 'a'], [1, 'b'], ['end', '']], 'ab.'],
+  ['repeated pieces after a resumption', [[0, 'a'], [1, 'b'], [0, 'a'], [1, 'b'], [2, 'c'], ['end', '']], 'abc.'],
+  ['a repeated piece with different text', [[0, 'a'], [1, 'b'], [1, 'x']], 'ab!'],
   ['a gap', [[0, 'a'], [2, 'c']], 'a!'],
-  ['another request', [[0, 'a'], [1, 'b', 'req-2']], 'a!'],
+  ['a piece of another request', [[0, 'a'], [1, 'b', 'req-2']], 'a!'],
   ['an end of another request', [[0, 'a'], ['end', '', 'req-2']], 'a!'],
   ['a second end', [[0, 'a'], ['end', ''], ['end', '']], 'a.!'],
   ['a piece after the end', [['end', ''], [0, 'a']], '.!']
--- a/packages/runners/src/engine/answerAssembler.ts
+++ b/packages/runners/src/engine/answerAssembler.ts
@@ -1,7 +1,7 @@
 /**
- * Puts one answer together from the pieces of a stream and of its resumptions, each piece
- * exactly once. A piece that comes again is dropped if its text is the same; a piece of another
- * request, a gap, or other text under a known number means that the stream cannot be trusted.
+ * Assembles one answer from the pieces of a stream and its resumptions, each piece exactly once.
+ * A repeated piece with the same text is dropped. A piece of another request, a gap, or a repeated
+ * number with different text fails with `answerMixed`, since the stream cannot be trusted.
  */
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -11,38 +11,32 @@
   return new Failure('answerMixed', detail, { ran: 'yes' })
 }
 
-/** Assembler of one answer. */
 export class AnswerAssembler {
   private readonly texts: string[] = []
   private ended = false
 
-  /** @param requestId - the only request whose pieces are taken */
   constructor (private readonly requestId: string) {}
 
-  /** Number of the next piece that is needed. */
+  /** Sequence number of the next missing piece. */
   get next (): number {
     return this.texts.length
   }
 
   /**
-   * Takes a piece. Failure: `answerMixed`.
-   * @param piece - the piece as it arrived
-   * @returns the text to pass on, or nothing when it was passed on before
+   * Adds a piece. Failure: `answerMixed`.
+   * @returns the text to pass on, or nothing for a repeated piece
    */
   accept (piece: AnswerPiece): Either<Failure, Maybe<string>> {
-    if (piece.requestId !== this.requestId) return Left(mixed('a piece belongs to another request'))
-    if (this.ended) return Left(mixed('a piece follows the end'))
-    if (piece.sequence > this.next) return Left(mixed(`piece ${piece.sequence} where ${this.next} was due`))
+    if (piece.requestId !== this.requestId) return Left(mixed('piece of a different request'))
+    if (this.ended) return Left(mixed('piece after the end of the answer'))
+    if (piece.sequence > this.next) return Left(mixed(`piece ${piece.sequence} received, expected ${this.next}`))
     return piece.sequence === this.next ? this.append(piece.text) : this.compare(piece)
   }
 
-  /**
-   * Takes the end of the answer. Failure: `answerMixed` for another request or a second end.
-   * @param requestId - the request whose answer ended
-   */
+  /** Marks the answer as complete. Failure: `answerMixed` for another request or a second end. */
   finish (requestId: string): Either<Failure, void> {
-    if (requestId !== this.requestId) return Left(mixed('the end belongs to another request'))
-    if (this.ended) return Left(mixed('a second end'))
+    if (requestId !== this.requestId) return Left(mixed('end of a different request'))
+    if (this.ended) return Left(mixed('second end of the answer'))
     this.ended = true
     return Right(undefined)
   }
@@ -54,6 +48,6 @@
 
   private compare (piece: AnswerPiece): Either<Failure, Maybe<string>> {
     const same = this.texts[piece.sequence] === piece.text
-    return same ? Right(Nothing) : Left(mixed(`piece ${piece.sequence} came again with another text`))
+    return same ? Right(Nothing) : Left(mixed(`piece ${piece.sequence} repeated with different text`))
   }
 }
--- a/packages/runners/src/engine/engineAnswer.spec.ts
+++ b/packages/runners/src/engine/engineAnswer.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Whole answers over connections that break: the text comes once, or the failure says so.
+ * Guards against duplicated or missing text when the connection breaks and the run is resumed.
  */
 import { expect } from 'chai'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -23,7 +23,7 @@
   }
 }
 
-/** Counter-example: glues the texts of all connections together. */
+/** Counter-example: concatenates the texts of all connections without removing repeated pieces. */
 async function collectNaively (address: string): Promise<string> {
   let seen = ''
   const client = testClient()
@@ -42,20 +42,20 @@
 const cases: readonly [title: string, script: readonly Connection[], expected: string, calls: number][] = [
   ['one connection', [[whole, 'close']], 'vm-1~a:ab.', 1],
   ['resumed at the next piece', [[[piece(0, 'a')], 'break'], [[piece(1, 'b'), last(2), DONE], 'close']], 'vm-1~a:ab.', 2],
-  ['resumed with an overlap', overlapping, 'vm-1~a:ab.', 2],
-  ['closed early, then resumed', [[[piece(0, 'a')], 'close'], [whole, 'close']], 'vm-1~a:ab.', 2],
-  ['only the end was missing', [[whole.slice(0, 2), 'break'], [[last(2), DONE], 'close']], 'vm-1~a:ab.', 2],
-  ['a submit without an answer is joined by the next', ['drop', [whole, 'close']], 'vm-1~a:ab.', 2],
-  ['a resumption without an answer', [[[piece(0, 'a')], 'break'], 'drop', [whole, 'close']], 'vm-1~a:ab.', 3],
-  ['broken every time', [[[piece(0, 'a')], 'break']], 'vm-1~a:a answerCut yes', 3],
-  ['stalled, then the run is forgotten', [[[piece(0, 'a')], 'hang'], 404], 'vm-1~a:a answerCut yes', 2],
+  ['resumed with repeated pieces', overlapping, 'vm-1~a:ab.', 2],
+  ['closed before the end, then resumed', [[[piece(0, 'a')], 'close'], [whole, 'close']], 'vm-1~a:ab.', 2],
+  ['only the end event is missing', [[whole.slice(0, 2), 'break'], [[last(2), DONE], 'close']], 'vm-1~a:ab.', 2],
+  ['a submit without a response is joined by the next submit', ['drop', [whole, 'close']], 'vm-1~a:ab.', 2],
+  ['a resumption without a response', [[[piece(0, 'a')], 'break'], 'drop', [whole, 'close']], 'vm-1~a:ab.', 3],
+  ['every connection breaks', [[[piece(0, 'a')], 'break']], 'vm-1~a:a answerCut yes', 3],
+  ['stalled, then the engine has no record of the run', [[[piece(0, 'a')], 'hang'], 404], 'vm-1~a:a answerCut yes', 2],
   ['a gap after the resumption', [[[piece(0, 'a')], 'break'], [[piece(2, 'c'), last(3), DONE], 'close']], 'vm-1~a:a answerMixed yes', 2],
   ['another request after the resumption', [[[piece(0, 'a')], 'break'], [[piece(1, 'x', OTHER), last(2), DONE], 'close']], 'vm-1~a:a answerMixed yes', 2],
-  ['another text after the resumption', [[[piece(0, 'a')], 'break'], [[piece(0, 'x'), last(1), DONE], 'close']], 'vm-1~a:a answerMixed yes', 2],
+  ['different text after the resumption', [[[piece(0, 'a')], 'break'], [[piece(0, 'x'), last(1), DONE], 'close']], 'vm-1~a:a answerMixed yes', 2],
   ['an earlier end after the resumption', [[[piece(0, 'a'), piece(1, 'b')], 'break'], [[last(1), DONE], 'close']], 'vm-1~a:ab answerMixed yes', 2],
   ['refused', [503], ' runnerRefused no', 1],
-  ['sent without an answer, then refused', ['drop', 503], ' runnerRefused unknown', 2],
-  ['accepted, then nothing', [[[], 'break'], 404], 'vm-1~a: answerCut unknown', 2]
+  ['sent without a response, then refused', ['drop', 503], ' runnerRefused unknown', 2],
+  ['accepted, then no event', [[[], 'break'], 404], 'vm-1~a: answerCut unknown', 2]
 ]
 
 describe('streamWhole', () => {
@@ -70,17 +70,17 @@
     })
   }
 
-  it('would repeat text without the assembler (counter-example)', async () => {
+  it('would duplicate text without the assembler (counter-example)', async () => {
     const engine = await startTestEngine(overlapping)
     expect(await collectNaively(engine.address)).to.equal('aab')
     await engine.close()
   })
 
-  it('does not try again where no connection was made', async () => {
+  it('does not retry when the connection is refused', async () => {
     expect(await collect(await closedAddress())).to.equal(' runnerUnreachable no')
   })
 
-  it('asks for the piece after the last one', async () => {
+  it('resumes at the piece after the last received one', async () => {
     const engine = await startTestEngine([[[piece(0, 'a'), piece(1, 'b')], 'break'], [[last(2), DONE], 'close']])
     await collect(engine.address)
     await engine.close()
@@ -90,7 +90,7 @@
   const late = new Failure('deadlineExceeded', 'late')
   const aborts: readonly [title: string, script: readonly Connection[], events: number, reason: unknown, expected: string][] = [
     ['before anything was sent', [[whole, 'close']], 0, late, 'deadlineExceeded no 0'],
-    ['before the engine answered', ['hang'], 0, late, 'deadlineExceeded unknown 1'],
+    ['before the engine responded', ['hang'], 0, late, 'deadlineExceeded unknown 1'],
     ['between pieces', [[[piece(0, 'a')], 'hang']], 2, undefined, 'callerGone yes 1']
   ]
   for (const [title, script, events, reason, expected] of aborts) {
--- a/packages/runners/src/engine/engineAnswer.ts
+++ b/packages/runners/src/engine/engineAnswer.ts
@@ -1,7 +1,7 @@
 /**
- * The whole answer of one run from one engine. When the connection breaks, the same run is
- * resumed where it stopped, a bounded number of times. Either the end arrives, and then every
- * piece before it was yielded once and in order, or the generator throws a {@link Failure}.
+ * Streams the answer of one run and resumes it after a broken connection, a bounded number of
+ * times. Either the end arrives and every piece was yielded once and in order, or the generator
+ * throws a {@link Failure}.
  */
 import type { Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -9,25 +9,23 @@
 import { toStreamFailure } from './httpEngineStream.js'
 import type { AnswerEnd, EngineClient, EngineEvent, EngineRequest, EngineStream } from './engineTypes.js'
 
-/** How an answer is followed. */
 export interface StreamWholeOptions {
-  /** Most connections made after the first. */
+  /** Connections after the first. */
   readonly resumes: number
-  /** Milliseconds before each of them. */
+  /** Delay before each resumption. */
   readonly pauseMs: number
-  /** Waits; bound to a timer by the daemon. */
   readonly pause: (ms: number) => Promise<void>
-  /** Stops following at once when aborted; throws the code of its reason when that is a {@link Failure}, else `callerGone`. */
+  /** Stops the stream when aborted; throws the code of its reason if that is a {@link Failure}, else `callerGone`. */
   readonly signal?: AbortSignal
 }
 
-/** What {@link streamWhole} yields: once who started the run, then text, then one end. */
+/** Events of {@link streamAnswer}: the holder that started the run, then text, then one end. */
 export type WholeEvent =
   | { readonly kind: 'started', readonly holder: string }
   | { readonly kind: 'text', readonly text: string }
   | { readonly kind: 'end', readonly end: AnswerEnd }
 
-const CALLER_GONE = { code: 'callerGone', message: 'the caller went away' } as const
+const CALLER_GONE = { code: 'callerGone', message: 'the caller disconnected' } as const
 
 const RESUMABLE: readonly string[] = ['answerCut', 'runnerUnreachable']
 
@@ -36,15 +34,14 @@
   return result.unsafeCoerce()
 }
 
-/** Follows one run over its connections. */
+/** Follows one run across connections. */
 class RunFollower {
   private readonly assembler: AnswerAssembler
   private stream: EngineStream | undefined
   /** Whether the engine accepted the run. */
   private accepted = false
-  /** Whether an earlier submit may have started the run. */
   private maybeStarted = false
-  /** Whether a submit is under way or was made. */
+  /** Whether a submit was sent or is in progress. */
   private submitted = false
 
   constructor (
@@ -86,7 +83,7 @@
       if (next !== undefined) yield next
       if (next?.kind === 'end') return
     }
-    throw new Failure('answerCut', 'the stream stopped without an end', { ran: 'yes' })
+    throw new Failure('answerCut', 'the stream stopped without an end event', { ran: 'yes' })
   }
 
   private async open (): Promise<Either<Failure, EngineStream>> {
@@ -107,7 +104,7 @@
     return { kind: 'end', end: event.end }
   }
 
-  /** Waits before the next connection, or throws what the answer failed with. */
+  /** Waits before the next connection, or throws the failure of the answer. */
   private async beforeNext (failure: Failure, tries: number): Promise<void> {
     this.throwIfAborted()
     if (failure.ran !== 'no') this.maybeStarted = true
@@ -119,10 +116,10 @@
     return RESUMABLE.includes(failure.code) && (this.accepted || this.maybeStarted)
   }
 
-  /** A later refusal must not hide that an earlier connection reached the engine. */
+  /** Combines the last failure with earlier connections: a late refusal must not report `ran: no` after an earlier submit reached the engine. */
   private conclude (failure: Failure): Failure {
     if (failure.code === 'answerMixed') return failure
-    if (this.accepted) return new Failure('answerCut', `given up: ${failure.message}`, { ran: this.ranOnceAccepted(failure) })
+    if (this.accepted) return new Failure('answerCut', `could not be resumed: ${failure.message}`, { ran: this.ranOnceAccepted(failure) })
     if (!this.maybeStarted || failure.ran !== 'no') return failure
     return new Failure(failure.code, failure.message, { ran: 'unknown', retryAfterMs: failure.retryAfterMs })
   }
@@ -135,7 +132,7 @@
     if (this.options.signal?.aborted === true) throw this.aborted(this.options.signal)
   }
 
-  /** Waits for the work, but not beyond the abort. */
+  /** Awaits the promise, but rejects at once when the signal is aborted. */
   private async untilAborted<T> (work: Promise<T>): Promise<T> {
     const signal = this.options.signal
     if (signal === undefined) return await work
@@ -155,15 +152,12 @@
 }
 
 /**
- * Runs a request on an engine and yields its whole answer. Closing the generator early closes
- * the connection and leaves the run to the engine. Throws {@link Failure}: those of
+ * Runs a request on an engine and yields its answer. Closing the generator early closes the
+ * connection; the run continues on the engine. Throws {@link Failure}: those of
  * `EngineClient.submit`; `answerCut` when the stream broke and could not be resumed;
- * `answerMixed` when it brought what does not belong to the answer; when aborted, the reason or
+ * `answerMixed` when it contained data of another answer; when aborted, the reason or
  * `callerGone`, with `ran: no` only if nothing was sent.
- * @param client - the engine client
  * @param address - IPv4:port of the engine
- * @param req - the request
- * @param options - bounds and waiting
  */
 export function streamWhole (
   client: EngineClient, address: string, req: EngineRequest, options: StreamWholeOptions
--- a/packages/runners/src/engine/engineEvents.ts
+++ b/packages/runners/src/engine/engineEvents.ts
@@ -1,8 +1,7 @@
 /**
- * Reads an engine's stream strictly. An event that does not belong to the answer, or a stream
- * that does not follow the protocol, ends the iteration with a {@link Failure}: `answerMixed`
+ * Validates the events of an engine's stream. Violations throw a {@link Failure}: `answerMixed`
  * for pieces of another answer, numbers out of order, a second end or a malformed event;
- * `answerCut` when the stream stops or stalls before its end. The end is handed on only after
+ * `answerCut` when the stream stops or stalls before its end. The end is passed on only after
  * `[DONE]`, and only if nothing follows it.
  */
 import * as z from 'zod'
@@ -26,54 +25,44 @@
 })
 type WireEvent = z.infer<typeof wireEventSchema>
 
-/** Checks the events of one stream in order. Every method throws a {@link Failure} at the first one that does not fit. */
+/** Validates the events of one stream in order; throws a {@link Failure} at the first invalid one. */
 export class EngineEventCheck {
   private expected: number | undefined
   private finalEvents: readonly EngineEvent[] | undefined
   private done = false
 
-  /**
-   * @param requestId - the only id that may occur
-   * @param from - piece number that was asked for; the stream may begin earlier when it was resumed, never later
-   */
+  /** @param from - requested piece number; a resumed stream may start earlier, never later */
   constructor (private readonly requestId: string, private readonly from: number) {}
 
-  /** Whether any event fitted, so that the run is known to have begun. */
+  /** Whether a valid event was received, which proves that the run was started. */
   get begun (): boolean {
     return this.expected !== undefined
   }
 
-  /** The end, with the last piece ahead of it if there is one; undefined until `[DONE]` came. */
+  /** The end, preceded by the last piece if its event had text; undefined before `[DONE]`. */
   get whole (): readonly EngineEvent[] | undefined {
     return this.done ? this.finalEvents : undefined
   }
 
   /**
-   * Takes the next event.
-   * @param event - as parsed from the stream
-   * @returns the piece to hand on, if it is one; pieces of the last event are kept for `whole`
+   * Validates the next event.
+   * @returns the piece to pass on, if any; a piece of the last event is held back for `whole`
    */
   accept (event: EventSourceMessage): EngineEvent | undefined {
-    if (this.done) throw this.mixed('an event follows the end')
+    if (this.done) throw this.mixed('event after the end of the stream')
     if (event.data === DONE) return this.finish()
-    if (this.finalEvents !== undefined) throw this.mixed('an event follows the last one')
+    if (this.finalEvents !== undefined) throw this.mixed('event after the last event')
     const wire = this.parse(event.data)
     const sequence = this.sequenceOf(event)
     return this.toEvent(wire, sequence)
   }
 
-  /**
-   * Failure for a stream that stopped here.
-   * @param detail - how it stopped
-   */
+  /** Failure for a stream that stopped early. */
   cut (detail: string): Failure {
     return new Failure('answerCut', detail, { ran: this.begun ? 'yes' : 'unknown' })
   }
 
-  /**
-   * Failure for a stream that does not follow the protocol.
-   * @param detail - what does not fit
-   */
+  /** Failure for a stream that violates the protocol. */
   mixed (detail: string): Failure {
     return new Failure('answerMixed', detail, { ran: 'yes' })
   }
@@ -88,18 +77,18 @@
     try {
       value = JSON.parse(data)
     } catch {
-      throw this.mixed('an event is no JSON')
+      throw this.mixed('event is not valid JSON')
     }
     const parsed = wireEventSchema.safeParse(value)
-    if (!parsed.success) throw this.mixed(`an event does not fit: ${parsed.error.issues[0]?.message ?? ''}`)
-    if (parsed.data.id !== this.requestId) throw this.mixed('an event belongs to another request')
+    if (!parsed.success) throw this.mixed(`invalid event: ${parsed.error.issues[0]?.message ?? ''}`)
+    if (parsed.data.id !== this.requestId) throw this.mixed('event of a different request')
     return parsed.data
   }
 
   private sequenceOf (event: EventSourceMessage): number {
     const sequence = /^\d+$/.test(event.id ?? '') ? Number(event.id) : NaN
     const fits = this.expected === undefined ? sequence <= this.from : sequence === this.expected
-    if (!fits) throw this.mixed(`event ${event.id ?? 'without a number'} where ${this.expected ?? this.from} was due`)
+    if (!fits) throw this.mixed(`event ${event.id ?? 'without a number'} received, expected ${this.expected ?? this.from}`)
     this.expected = sequence + 1
     return sequence
   }
@@ -110,7 +99,7 @@
     const finishReason = choice?.finish_reason ?? null
     const piece: EngineEvent = { kind: 'piece', piece: { requestId: this.requestId, sequence, text } }
     if (finishReason === null) return piece
-    if (sequence < this.from) throw this.mixed('the answer ends before the piece that was asked for')
+    if (sequence < this.from) throw this.mixed('the answer ends before the requested piece')
     const end = this.toEnd(finishReason, wire.usage)
     this.finalEvents = [...(text === '' ? [] : [piece]), { kind: 'end', requestId: this.requestId, end }]
     return undefined
@@ -118,7 +107,7 @@
 
   private toEnd (finishReason: AnswerEnd['finishReason'], usage: unknown): AnswerEnd {
     const parsed = wireUsageSchema.safeParse(usage)
-    if (!parsed.success) throw this.mixed('the usage is missing or no whole number')
+    if (!parsed.success) throw this.mixed('the usage is missing or not a non-negative integer')
     return { finishReason, usage: parsed.data }
   }
 }
--- a/packages/runners/src/engine/engineTypes.ts
+++ b/packages/runners/src/engine/engineTypes.ts
@@ -1,22 +1,20 @@
 /**
- * A model engine as this project meets it: OpenAI-style chat completions over SSE, with a
- * request id by which a run is joined, resumed, cancelled, looked up or sealed.
+ * Types and client interface of model engines: OpenAI-style chat completions over SSE, with a
+ * request id by which a run can be joined, resumed, cancelled, looked up or sealed.
  */
 import * as z from 'zod'
 import type { Either, Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
-/** One message of a conversation. */
 export const chatMessageSchema = z.object({
   role: z.enum(['system', 'user', 'assistant']),
   content: z.string().max(1_000_000)
 })
 export type ChatMessage = z.infer<typeof chatMessageSchema>
 
-/** What is sent to the engine. */
 export interface EngineRequest {
   readonly requestId: string
-  /** Digest of the caller's body; a run joined under the id must have the same. */
+  /** Digest of the caller's body; joining an existing run requires the same digest. */
   readonly digest: string
   /** Holder whose allotment pays for the run. */
   readonly holder: string
@@ -25,12 +23,12 @@
   readonly model: string
   readonly adapter?: string
   readonly messages: readonly ChatMessage[]
-  /** Hard cap of generated tokens. */
+  /** Upper bound of generated tokens. */
   readonly maxTokens: number
   readonly priority: number
 }
 
-/** State of one run by the engine's own record. */
+/** State of one run as recorded by the engine. */
 export const runRecordSchema = z.object({
   requestId: z.string(),
   digest: z.string(),
@@ -51,27 +49,27 @@
 })
 export type Usage = z.infer<typeof usageSchema>
 
-/** One piece of a stream, numbered from 0 without gaps. */
+/** One piece of an answer; sequence numbers start at 0 and have no gaps. */
 export interface AnswerPiece {
   readonly requestId: string
   readonly sequence: number
   readonly text: string
 }
 
-/** Last event of a whole answer. */
+/** Last event of a complete answer. */
 export interface AnswerEnd {
   readonly finishReason: 'stop' | 'length'
   readonly usage: Usage
 }
 
-/** What an engine stream yields: pieces, then exactly one end; a stream that stops without an end was cut. */
+/** Event of an engine stream: pieces, then exactly one end. A stream that stops without an end is incomplete. */
 export type EngineEvent =
   | { readonly kind: 'piece', readonly piece: AnswerPiece }
   | { readonly kind: 'end', readonly requestId: string, readonly end: AnswerEnd }
 
-/** Lagging report of load. */
+/** Load of an engine; the report lags behind. */
 export const loadReportSchema = z.object({
-  /** Wall milliseconds at the engine when the figures held. */
+  /** Wall-clock milliseconds of the engine when the load was measured. */
   asOf: z.number(),
   running: z.number().int().nonnegative(),
   waiting: z.number().int().nonnegative(),
@@ -81,14 +79,14 @@
 })
 export type LoadReport = z.infer<typeof loadReportSchema>
 
-/** Cache events since a number; numbers may be missing. */
+/** Prefix cache events after a sequence number; numbers may be missing. */
 export const cacheEventsSchema = z.object({
   next: z.number().int(),
   events: z.array(z.object({ sequence: z.number().int(), kind: z.enum(['stored', 'evicted']), prefixHash: z.string() }))
 })
 export type CacheEvents = z.infer<typeof cacheEventsSchema>
 
-/** An order to an engine; idempotent by its id. */
+/** An order to an engine, idempotent by `orderId`; `fencing` rejects orders of a former leader. */
 export const engineOrderSchema = z.object({
   orderId: z.string(),
   fencing: z.number().int(),
@@ -100,7 +98,7 @@
 })
 export type EngineOrder = z.infer<typeof engineOrderSchema>
 
-/** Load that an engine tells with an answer, in its header `x-engine-load`. */
+/** Load from the response header `x-engine-load`. */
 export interface StreamLoad {
   readonly running: number
   readonly waiting: number
@@ -108,9 +106,9 @@
 
 /** A stream in progress. */
 export interface EngineStream {
-  /** Holder that started the run, by the engine's header `x-run-holder`; another's when the submit joined a run. */
+  /** Holder that started the run, from the header `x-run-holder`; another holder when the submit joined its run. */
   readonly holder: string
-  /** Absent when the engine does not tell it. */
+  /** Absent when the engine does not report it. */
   readonly load?: StreamLoad
   readonly events: AsyncIterable<EngineEvent>
   /** Closes the connection without cancelling the run. */
@@ -118,26 +116,25 @@
 }
 
 /**
- * One engine. Failures: `runnerUnreachable` with `ran: no` when no connection was made and
- * `ran: unknown` when the answer was lost, `keyReused` when the run has another digest,
+ * Client of model engines. Failures: `runnerUnreachable`, with `ran: no` when no connection was
+ * made and `ran: unknown` when the response was lost; `keyReused` when the run has another digest;
  * `runnerRefused` when the id was sealed or the engine refuses.
  */
 export interface EngineClient {
   /**
-   * Starts the run, or joins it when the id is known; pieces come from number 0.
+   * Starts the run, or joins the existing run with this id; pieces start at number 0.
    * @param address - IPv4:port
-   * @param req - the request
-   * @param onLeaving - told when the engine refuses since it is leaving
+   * @param onLeaving - called when the engine refuses because it is leaving
    */
   submit (address: string, req: EngineRequest, onLeaving?: () => void): Promise<Either<Failure, EngineStream>>
-  /** Goes on with a known run from a piece number. */
+  /** Continues the stream of an existing run at a piece number. */
   resume (address: string, requestId: string, sequence: number): Promise<Either<Failure, EngineStream>>
-  /** The engine's record of a run. */
+  /** Record of a run; nothing if the engine has none. */
   find (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>>
-  /** All records whose holder is the given one. */
+  /** Records of all runs started by a holder. */
   listByHolder (address: string, holder: string): Promise<Either<Failure, readonly RunRecord[]>>
   cancel (address: string, requestId: string): Promise<Either<Failure, RunRecord>>
-  /** Leaves a mark that refuses a later submit of this id; answers the record when a run is known already. */
+  /** Makes the engine refuse later submits of this id. If a run exists already, it is not sealed and its record is returned. */
   seal (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>>
   load (address: string): Promise<Either<Failure, LoadReport>>
   cacheEvents (address: string, after: number): Promise<Either<Failure, CacheEvents>>
--- a/packages/runners/src/engine/eventReader.ts
+++ b/packages/runners/src/engine/eventReader.ts
@@ -1,24 +1,22 @@
 /**
- * Reads server-sent events from a byte stream, in batches as they arrive, with a limit on the
- * time without an event. Comments and partial events do not extend it. Nothing is read ahead of
- * the consumer, so a slow caller slows the engine's connection and not the memory of this VM.
+ * Reads server-sent events from a byte stream in batches, with a timeout per event that comments
+ * and partial events do not extend. Nothing is read ahead of the consumer, so a slow caller
+ * applies backpressure to the engine's connection instead of filling memory.
  */
 import type { Readable } from 'node:stream'
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 
-/** Longest event, in characters. */
 const MAX_EVENT_CHARS = 4 * 1024 * 1024
 
-/** The events that one read brought: at least one, or none at the end of the stream. */
+/** Events of one read: at least one, or none at the end of the stream. */
 export interface EventBatch {
   readonly events: readonly EventSourceMessage[]
   readonly ended: boolean
 }
 
-/** Thrown when no event came in time. */
+/** Thrown when no complete event arrives within the timeout. */
 export class EventTimeout extends Error {}
 
-/** Reader of one stream. */
 export class EventReader {
   private readonly chunks: AsyncIterator<Buffer>
   private readonly decoder = new TextDecoder('utf-8', { fatal: true })
@@ -36,8 +34,8 @@
   }
 
   /**
-   * Waits for the next events. Throws {@link EventTimeout} when none came, and whatever the stream failed with.
-   * @param timeoutMs - milliseconds for the next event to be complete
+   * Waits for the next events. Throws {@link EventTimeout} after the timeout, or the error of the stream.
+   * @param timeoutMs - time until one event must be complete
    */
   async next (timeoutMs: number): Promise<EventBatch> {
     const timer = setTimeout(() => this.body.destroy(new EventTimeout(`no event for ${timeoutMs} ms`)), timeoutMs)
--- a/packages/runners/src/engine/httpEngineClient.spec.ts
+++ b/packages/runners/src/engine/httpEngineClient.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The engine client against engines that misbehave: what is yielded, and what is concluded.
+ * The engine client against faulty engines: which events are yielded, and which failure is reported.
  */
 import { expect } from 'chai'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -10,7 +10,7 @@
 const OTHER = { id: 'req-2' }
 const RECORD = { requestId: 'req-1', digest: 'd', holder: 'h', team: 't', budget: 'b', model: 'm', state: 'finished', promptTokens: 3, completionTokens: 2 }
 
-/** Everything a stream yields as one string: texts, then the end or the failure. */
+/** Reads a stream to its end and formats it: texts, then the end or the failure. */
 async function drain (stream: EngineStream): Promise<string> {
   let seen = ''
   try {
@@ -23,7 +23,7 @@
   }
 }
 
-/** Counter-example: takes whatever content comes. */
+/** Counter-example: accepts any content without checking its request id. */
 async function drainNaively (address: string): Promise<string> {
   const res = await fetch(`http://${address}/v1/chat/completions`, { method: 'POST', body: '{}' })
   const text = await res.text()
@@ -31,23 +31,23 @@
 }
 
 const streams: readonly [title: string, frames: readonly string[], ending: Ending, expected: string][] = [
-  ['a whole answer', [piece(0, 'a'), piece(1, 'b'), last(2), DONE], 'close', 'ab stop 2'],
+  ['a complete answer', [piece(0, 'a'), piece(1, 'b'), last(2), DONE], 'close', 'ab stop 2'],
   ['text in the last event', [piece(0, 'a'), last(1, { choices: [{ delta: { content: 'b' }, finish_reason: 'length' }] }), DONE], 'close', 'ab length 2'],
-  ['usage above the cap, passed on', [last(0, { usage: { prompt_tokens: 3, completion_tokens: 999 } }), DONE], 'close', ' stop 999'],
+  ['usage above the limit, passed on', [last(0, { usage: { prompt_tokens: 3, completion_tokens: 999 } }), DONE], 'close', ' stop 999'],
   ['a connection left open after the end', [piece(0, 'a'), last(1), DONE], 'hang', 'a stop 2'],
   ['a connection broken after the end', [piece(0, 'a'), last(1), DONE], 'break', 'a stop 2'],
   ['a piece of another request', [piece(0, 'a'), piece(1, 'x', OTHER), last(2), DONE], 'close', 'a answerMixed yes'],
   ['an end of another request', [piece(0, 'a'), last(1, OTHER), DONE], 'close', 'a answerMixed yes'],
   ['a gap', [piece(0, 'a'), piece(2, 'c'), last(3), DONE], 'close', 'a answerMixed yes'],
-  ['a repeat', [piece(0, 'a'), piece(0, 'a'), last(1), DONE], 'close', 'a answerMixed yes'],
-  ['a start in the middle', [piece(1, 'b'), last(2), DONE], 'close', ' answerMixed yes'],
+  ['a repeated piece', [piece(0, 'a'), piece(0, 'a'), last(1), DONE], 'close', 'a answerMixed yes'],
+  ['a stream that starts after the requested piece', [piece(1, 'b'), last(2), DONE], 'close', ' answerMixed yes'],
   ['a gap before the end', [piece(0, 'a'), last(2), DONE], 'close', 'a answerMixed yes'],
-  ['no number', [piece('', 'a'), last(1), DONE], 'close', ' answerMixed yes'],
-  ['a negative number', [piece(-1, 'a'), last(1), DONE], 'close', ' answerMixed yes'],
+  ['a missing sequence number', [piece('', 'a'), last(1), DONE], 'close', ' answerMixed yes'],
+  ['a negative sequence number', [piece(-1, 'a'), last(1), DONE], 'close', ' answerMixed yes'],
   ['two last events', [piece(0, 'a'), last(1), last(2), DONE], 'close', 'a answerMixed yes'],
   ['two ends', [piece(0, 'a'), last(1), DONE, last(1), DONE], 'close', 'a answerMixed yes'],
   ['a piece after the last event', [last(0), piece(1, 'b'), DONE], 'close', ' answerMixed yes'],
-  ['no JSON', ['id: 0\ndata: {"id":"req-1"\n\n'], 'close', ' answerMixed yes'],
+  ['malformed JSON', ['id: 0\ndata: {"id":"req-1"\n\n'], 'close', ' answerMixed yes'],
   ['an unknown finish reason', [last(0, { choices: [{ delta: {}, finish_reason: 'tired' }] }), DONE], 'close', ' answerMixed yes'],
   ['missing usage', [last(0, { usage: undefined }), DONE], 'close', ' answerMixed yes'],
   ['negative usage', [last(0, { usage: { prompt_tokens: 3, completion_tokens: -1 } }), DONE], 'close', ' answerMixed yes'],
@@ -56,7 +56,7 @@
   ['broken before the last event', [piece(0, 'a')], 'break', 'a answerCut yes'],
   ['[DONE] without a last event', [piece(0, 'a'), DONE], 'close', 'a answerCut yes'],
   ['closed before [DONE]', [piece(0, 'a'), last(1)], 'close', 'a answerCut yes'],
-  ['half a last event', [piece(0, 'a'), last(1).slice(0, -1)], 'close', 'a answerCut yes'],
+  ['a truncated last event', [piece(0, 'a'), last(1).slice(0, -1)], 'close', 'a answerCut yes'],
   ['stalled between events', [piece(0, 'a')], 'hang', 'a answerCut yes'],
   ['stalled before the first event', [], 'hang', ' answerCut unknown'],
   ['closed before the first event', [], 'close', ' answerCut unknown']
@@ -70,8 +70,8 @@
   ['409', answers(409, {}), 'keyReused no'],
   ['410', answers(410, {}), 'runnerRefused no sealed'],
   ['another content type', answers(200, {}), 'runnerRefused unknown'],
-  ['a lost answer', drops, 'runnerUnreachable unknown'],
-  ['no answer in time', hangs, 'runnerUnreachable unknown']
+  ['a dropped connection', drops, 'runnerUnreachable unknown'],
+  ['no response within the timeout', hangs, 'runnerUnreachable unknown']
 ]
 
 function code (failure: unknown): string {
@@ -91,7 +91,7 @@
     })
   }
 
-  it('would pass off the text of another request when read naively (counter-example)', async () => {
+  it('would accept the text of another request without checking ids (counter-example)', async () => {
     const engine = await startTestEngine([[[piece(0, 'a'), piece(1, 'x', OTHER), last(2), DONE], 'close']])
     expect(await drainNaively(engine.address)).to.equal('ax')
     await engine.close()
@@ -108,7 +108,7 @@
     })
   }
 
-  it('knows that nothing ran when nobody listens', async () => {
+  it('reports that nothing ran when the connection is refused', async () => {
     expect(code((await testClient().submit(await closedAddress(), REQUEST)).extract())).to.equal('runnerUnreachable no')
   })
 
@@ -119,7 +119,7 @@
     { header: 'busy', load: undefined }
   ]
   for (const { header, load } of loads) {
-    it(`reads the load told as ${header}`, async () => {
+    it(`parses the load header ${header}`, async () => {
       const engine = await startTestServer(res => {
         res.writeHead(200, { 'content-type': 'text/event-stream', ...(header === undefined ? {} : { 'x-engine-load': header }) })
         res.end(last(0) + DONE)
@@ -131,7 +131,7 @@
     })
   }
 
-  it('reads text whose characters are split between packets, and reuses the connection', async () => {
+  it('decodes characters split across packets, and reuses the connection', async () => {
     const bytes = Buffer.from(piece(0, 'Tường Sạch ñ 🌿') + last(1) + DONE)
     const engine = await startTestServer(res => {
       res.writeHead(200, { 'content-type': 'text/event-stream' })
@@ -150,7 +150,7 @@
     expect(engine.connections()).to.equal(1)
   })
 
-  it('sends the headers of the run and resumes from the piece asked for or before', async () => {
+  it('sends the run headers and accepts a resumed stream from the requested piece or before', async () => {
     const engine = await startTestEngine([[[last(0), DONE], 'close'], [[piece(1, 'b'), last(2), DONE], 'close'], [[last(1), DONE], 'close'], [[piece(3, 'd')], 'close']])
     const client = testClient()
     const seen = [await drain((await client.submit(engine.address, REQUEST)).unsafeCoerce())]
@@ -167,22 +167,22 @@
   const LOAD = { asOf: 1, running: 0, waiting: 0, slots: 1, models: [], leaving: false }
   const calls: readonly [title: string, call: (address: string) => Promise<{ extract: () => unknown }>, handler: TestHandler, expected: string][] = [
     ['find', address => client.find(address, 'req-1'), answers(200, RECORD), 'right'],
-    ['find of no run', address => client.find(address, 'req-1'), answers(404, {}), 'right'],
-    ['find that brings another run', address => client.find(address, 'req-9'), answers(200, RECORD), 'runnerRefused unknown'],
+    ['find without a run', address => client.find(address, 'req-1'), answers(404, {}), 'right'],
+    ['find that returns another run', address => client.find(address, 'req-9'), answers(200, RECORD), 'runnerRefused unknown'],
     ['list', address => client.listByHolder(address, 'h'), answers(200, { runs: [RECORD] }), 'right'],
     ['list of another holder', address => client.listByHolder(address, 'i'), answers(200, { runs: [RECORD] }), 'runnerRefused unknown'],
     ['cancel', address => client.cancel(address, 'req-1'), answers(200, RECORD), 'right'],
-    ['cancel of no run', address => client.cancel(address, 'req-1'), answers(404, {}), 'notFound unknown'],
+    ['cancel without a run', address => client.cancel(address, 'req-1'), answers(404, {}), 'notFound unknown'],
     ['seal', address => client.seal(address, 'req-1'), answers(200, { sealed: true }), 'right'],
-    ['seal of a known run', address => client.seal(address, 'req-1'), answers(409, RECORD), 'right'],
-    ['seal without a mark', address => client.seal(address, 'req-1'), answers(200, {}), 'runnerRefused unknown'],
-    ['seal whose answer is lost', address => client.seal(address, 'req-1'), drops, 'runnerUnreachable unknown'],
+    ['seal of an existing run', address => client.seal(address, 'req-1'), answers(409, RECORD), 'right'],
+    ['seal without confirmation', address => client.seal(address, 'req-1'), answers(200, {}), 'runnerRefused unknown'],
+    ['seal with a dropped connection', address => client.seal(address, 'req-1'), drops, 'runnerUnreachable unknown'],
     ['load', address => client.load(address), answers(200, LOAD), 'right'],
-    ['load that does not fit', address => client.load(address), answers(200, { ...LOAD, slots: 0 }), 'runnerRefused unknown'],
+    ['invalid load report', address => client.load(address), answers(200, { ...LOAD, slots: 0 }), 'runnerRefused unknown'],
     ['cache events', address => client.cacheEvents(address, 3), answers(200, { next: 3, events: [] }), 'right'],
     ['order', address => client.order(address, order), answers(200, {}), 'right'],
-    ['order with an old fencing number', address => client.order(address, order), answers(412, {}), 'leaseLost no'],
-    ['order over the rate of weights', address => client.order(address, order), answers(429, {}), 'runnerRefused no']
+    ['order with an outdated fencing number', address => client.order(address, order), answers(412, {}), 'leaseLost no'],
+    ['order above the rate limit of the weight store', address => client.order(address, order), answers(429, {}), 'runnerRefused no']
   ]
   for (const [title, call, handler, expected] of calls) {
     it(`${title}: ${expected}`, async () => {
--- a/packages/runners/src/engine/httpEngineClient.ts
+++ b/packages/runners/src/engine/httpEngineClient.ts
@@ -1,6 +1,6 @@
 /**
- * Client of model engines over HTTP. One client serves all engines of a VM. It repeats nothing
- * by itself; going on with a broken stream is decided in engineAnswer.ts.
+ * HTTP client of model engines; one client per VM serves all engines. It never retries by itself:
+ * engineAnswer.ts decides whether a broken stream is resumed.
  */
 import type { Request, Response } from 'got'
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
@@ -20,7 +20,6 @@
 const runListSchema = z.object({ runs: z.array(runRecordSchema) })
 const sealedSchema = z.object({ sealed: z.literal(true) })
 
-/** Settings of the client; all times in milliseconds. */
 export interface EngineClientSettings extends StreamLimits {
   /** Name of this VM, sent as `x-vm`. */
   readonly vm: string
@@ -33,13 +32,13 @@
 
 const LOAD_HEADER = /^running=(\d{1,6});waiting=(\d{1,6})$/
 
-/** The load in a header; a header of another form is left aside. */
+/** Parses `x-engine-load`; a malformed header is ignored. */
 function readLoad (header: string | string[] | undefined): StreamLoad | undefined {
   const match = typeof header === 'string' ? LOAD_HEADER.exec(header) : null
   return match === null ? undefined : { running: Number(match[1]), waiting: Number(match[2]) }
 }
 
-/** Waits for the status and headers of a streamed answer. */
+/** Waits for status and headers of a streamed response. */
 function responseOf (req: Request): Promise<Response> {
   return new Promise((resolve, reject) => {
     req.once('response', resolve)
@@ -75,13 +74,13 @@
 }
 
 function recordOf (requestId: string) {
-  return runRecordSchema.refine(record => record.requestId === requestId, 'a record of another run')
+  return runRecordSchema.refine(record => record.requestId === requestId, 'record of a different run')
 }
 
-/** Status with which an engine that is leaving refuses new runs. */
+/** Status of an engine that refuses new runs because it is leaving. */
 const LEAVING_STATUS = 503
 
-/** Engines over HTTP. Addresses are `IPv4:port`. */
+/** Addresses are `IPv4:port`. */
 export class HttpEngineClient implements EngineClient {
   private readonly transport: HttpTransport
 
@@ -123,7 +122,7 @@
 
   async listByHolder (address: string, holder: string): Promise<Either<Failure, readonly RunRecord[]>> {
     const answer = await this.call(address, 'GET', `/v1/runs?holder=${encodeURIComponent(holder)}`)
-    const schema = runListSchema.refine(list => list.runs.every(run => run.holder === holder), 'a record of another holder')
+    const schema = runListSchema.refine(list => list.runs.every(run => run.holder === holder), 'record of a different holder')
     return answer.chain(res => this.read(res, schema)).map(list => list.runs)
   }
 
@@ -155,7 +154,7 @@
     return answer.chain(res => res.status === 200 ? Right(undefined) : Left(orderRefused(res.status, res.headers)))
   }
 
-  /** Closes all connections; streams in progress are cut. */
+  /** Closes all connections; streams in progress fail. */
   close (): void {
     this.transport.close()
   }
@@ -178,7 +177,7 @@
   private unfit (res: Response, refused: Refusal): Failure | undefined {
     if (res.statusCode !== 200) return refused(res.statusCode, res.headers)
     const contentType = res.headers['content-type'] ?? ''
-    return contentType.startsWith(EVENT_STREAM) ? undefined : answerUnfit(`content type '${contentType}'`)
+    return contentType.startsWith(EVENT_STREAM) ? undefined : answerUnfit(`unexpected content type '${contentType}'`)
   }
 
   private toStream (req: Request, res: Response, subject: Omit<StreamSubject, 'holder' | 'load'>): EngineStream {
--- a/packages/runners/src/engine/httpEngineStream.ts
+++ b/packages/runners/src/engine/httpEngineStream.ts
@@ -1,6 +1,5 @@
 /**
- * An engine's answer as it arrives over HTTP: strictly checked events, or a {@link Failure}
- * thrown from the iteration.
+ * Event stream of an engine over HTTP. The iteration yields validated events or throws a {@link Failure}.
  */
 import type { Request } from 'got'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -8,25 +7,25 @@
 import { EventReader, type EventBatch } from './eventReader.js'
 import type { EngineEvent, EngineStream, StreamLoad } from './engineTypes.js'
 
-/** Limits of a stream, in milliseconds. */
+/** Timeouts of a stream. */
 export interface StreamLimits {
   readonly firstEventMs: number
   readonly betweenEventsMs: number
-  /** How long the engine may take to close the stream after its end. */
+  /** Time for the engine to close the stream after its end. */
   readonly afterEndMs: number
 }
 
-/** What the stream answers. */
+/** Run and position of a stream. */
 export interface StreamSubject {
   readonly requestId: string
-  /** Piece number that was asked for. */
+  /** Requested piece number. */
   readonly from: number
   /** Holder that started the run. */
   readonly holder: string
   readonly load?: StreamLoad
 }
 
-/** One stream. The events can be iterated once. */
+/** The events can be iterated only once. */
 export class HttpEngineStream implements EngineStream {
   readonly holder: string
   readonly load?: StreamLoad
@@ -73,17 +72,14 @@
     }
   }
 
-  /** After `[DONE]` the stream has to close; when it breaks or stays open the answer is whole all the same. */
+  /** After `[DONE]` the stream must close. If it breaks or stays open instead, the answer is complete nevertheless. */
   private async expectNothing (): Promise<void> {
     const batch = await this.reader.next(this.limits.afterEndMs).catch((): EventBatch => ({ events: [], ended: true }))
-    if (batch.events.length > 0) throw this.check.mixed('an event follows the end')
+    if (batch.events.length > 0) throw this.check.mixed('event after the end of the stream')
   }
 }
 
-/**
- * Turns anything thrown by an iteration of events into a failure.
- * @param err - what was thrown
- */
+/** Converts anything thrown while iterating over events to a failure. */
 export function toStreamFailure (err: unknown): Failure {
   if (err instanceof Failure) return err
   return new Failure('answerCut', err instanceof Error ? err.message : String(err), { ran: 'unknown' })
--- a/packages/runners/src/engine/testEngine.spec.ts
+++ b/packages/runners/src/engine/testEngine.spec.ts
@@ -1,12 +1,11 @@
 /**
- * Frames of an engine's stream for specs, and a server that sends them as a script says.
+ * Test helpers: SSE frames of an engine, and an engine server that sends scripted frames.
  */
 import type { ServerResponse } from 'node:http'
 import { AMPLE_MS, startTestServer, type TestServer } from '@rosemaryspread/infra/http/testServer.spec.js'
 import { HttpEngineClient, type EngineClientSettings } from './httpEngineClient.js'
 import type { EngineRequest } from './engineTypes.js'
 
-/** The request of all specs. */
 export const REQUEST: EngineRequest = {
   requestId: 'req-1',
   digest: 'd',
@@ -26,20 +25,20 @@
   return `id: ${sequence}\ndata: ${JSON.stringify(data)}\n\n`
 }
 
-/** Frame of one piece; `rest` overrides members of the data. */
+/** SSE frame of one piece; `rest` overrides members of the data. */
 export const piece = (sequence: number | string, content: string, rest: object = {}): string =>
   frame(sequence, { delta: { content }, finish_reason: null }, rest)
 
-/** Last frame of an answer; `rest` overrides members of the data. */
+/** SSE frame of the last event; `rest` overrides members of the data. */
 export const last = (sequence: number | string, rest: object = {}): string =>
   frame(sequence, { delta: {}, finish_reason: 'stop' }, { usage: USAGE, ...rest })
 
 export const DONE = 'data: [DONE]\n\n'
 
-/** What the engine does after the frames. */
+/** How the connection ends after the frames. */
 export type Ending = 'close' | 'break' | 'hang'
 
-/** One connection: the frames, or a status that refuses, or no answer at all. */
+/** Script of one connection: frames, a refusing status, or no response at all. */
 export type Connection = readonly [frames: readonly string[], ending: Ending] | number | 'drop' | 'hang'
 
 function sendStream (res: ServerResponse, frames: readonly string[], ending: Ending): void {
@@ -58,12 +57,12 @@
   if (Array.isArray(connection)) sendStream(res, ...connection as [readonly string[], Ending])
 }
 
-/** Starts an engine that serves one scripted connection after the other, the last one again and again. */
+/** Starts an engine that serves the scripted connections in order and repeats the last one. */
 export function startTestEngine (script: readonly Connection[]): Promise<TestServer> {
   return startTestServer((res, call, index) => serve(res, script[Math.min(index, script.length - 1)] ?? 'drop'))
 }
 
-/** A client whose limits matter only where the engine hangs. */
+/** Creates a client with long timeouts, which matter only where the engine hangs. */
 export function testClient (limits: Partial<EngineClientSettings> = {}): HttpEngineClient {
   const ample = { connectMs: AMPLE_MS, callMs: AMPLE_MS, firstEventMs: AMPLE_MS, betweenEventsMs: AMPLE_MS, afterEndMs: 50 }
   return new HttpEngineClient({ vm: 'vm-1', ...ample, ...limits })
