--- a/packages/operators/src/ctl/ctlProgram.ts
+++ b/packages/operators/src/ctl/ctlProgram.ts
@@ -68,7 +68,7 @@
   const secret = key ?? io.env.RSCTL_KEY ?? ''
   if (timeoutMs === 0) return Left(usageFailure('--timeout-ms: use at least 1'))
   if (servers.length === 0) return Left(usageFailure('no server given: use --server or RSCTL_SERVER'))
-  if (wrong.length > 0) return Left(usageFailure(`invalid base URL: ${wrong.join(', ')}`))
+  if (wrong.length > 0) return Left(usageFailure(`no base URL: ${wrong.join(', ')}`))
   if (secret === '') return Left(usageFailure('no key given: use RSCTL_KEY or --key'))
   const urls = servers.filter((url) => url !== undefined)
   return Right(new AdminClient({ servers: urls, key: secret, timeoutMs, pause: (ms) => io.pause(ms) }))
