--- a/packages/infra/src/table/tableFeed.ts
+++ b/packages/infra/src/table/tableFeed.ts
@@ -30,7 +30,7 @@
 export interface TableFeed {
   /**
    * Subscribes to a table; the returned function unsubscribes.
-   * @param pace - defaults to `often`
+   * @param writeFrequency - defaults to `often`
    */
   follow (table: string, handler: FeedHandler, pace?: FeedPace): () => void
 }
