--- a/packages/callers/src/api/callerCalls.ts
+++ b/packages/callers/src/api/callerCalls.ts
@@ -18,7 +18,7 @@
 }
 
 /** Authenticates the bearer key and records the team as client of the exchange. Failure: `unauthorized`. */
-export function callerOf (exchange: HttpExchange, directory: CallerDirectory): Either<Failure, CallerIdentity> {
+export function authenticateCaller (exchange: HttpExchange, directory: CallerDirectory): Either<Failure, CallerIdentity> {
   const caller = bearerKey(exchange.req.headers).chain((key) => directory.authenticate(key))
   caller.ifRight(({ team }) => {
     exchange.client = team
@@ -28,14 +28,14 @@
 
 /** Authenticates the caller, then reads the body, so that no body is buffered for an invalid key. */
 export async function receiveCall (exchange: HttpExchange, directory: CallerDirectory): Promise<Either<Failure, ReceivedCall>> {
-  const caller = callerOf(exchange, directory)
+  const caller = authenticateCaller(exchange, directory)
   if (caller.isLeft()) return Left(caller.extract())
   const body = await readBody(exchange.req, exchange.limits)
-  return caller.chain((identity) => body.map((bytes) => ({ caller: identity, body: bytes, digest: bodyDigest(bytes) })))
+  return caller.chain((authenticated) => body.map((bytes) => ({ caller: authenticated, body: bytes, digest: bodyDigest(bytes) })))
 }
 
 /** Sets the request id of a call with an idempotency key to the one that every VM derives from the key. */
-export function identifyCall (exchange: HttpExchange, caller: CallerIdentity, headers: CallHeaders): void {
+export function assignRequestId (exchange: HttpExchange, caller: CallerIdentity, headers: CallHeaders): void {
   if (headers.idempotencyKey === undefined) return
   exchange.requestId = keyedRequestId(caller.team, headers.idempotencyKey)
 }
--- a/packages/callers/src/api/callerServer.spec.ts
+++ b/packages/callers/src/api/callerServer.spec.ts
@@ -14,10 +14,10 @@
 } from '../completion/completionTypes.js'
 import { CallerServer } from './callerServer.js'
 
-type Complete = (call: CompletionCall, sink: AnswerSink) => Promise<void>
+type CompleteFunction = (call: CompletionCall, sink: AnswerSink) => Promise<void>
 
 const usage = { promptTokens: 7, completionTokens: 2 }
-const okBody = { model: 'asistente', messages: [{ role: 'user', content: '¿A qué hora sale?' }] }
+const validBody = { model: 'asistente', messages: [{ role: 'user', content: '¿A qué hora sale?' }] }
 
 const directory: CallerDirectory = {
   authenticate: (bearer) => bearer === 'good' ? Right({ team: 'manos' }) : Left(new Failure('unauthorized', 'no such key')),
@@ -28,7 +28,7 @@
   metrics: () => 'requests 3\n'
 }
 
-interface Ask {
+interface RequestOptions {
   readonly method?: string
   readonly path?: string
   readonly headers?: Record<string, string>
@@ -41,18 +41,18 @@
   readonly text: string
 }
 
-interface Rig {
+interface Harness {
   readonly server: CallerServer
   readonly address: string
   readonly events: string[]
   readonly calls: ServiceCall[]
-  ask (ask: Ask): Promise<Reply>
+  ask (ask: RequestOptions): Promise<Reply>
   raw (): Socket
 }
 
-let opened: CallerServer[] = []
+let openServers: CallerServer[] = []
 
-const finishAtOnce: Complete = async (call, sink) => {
+const finishImmediately: CompleteFunction = async (call, sink) => {
   sink.begin(call.requestId ?? 'none', call.body.model)
   sink.piece('a las ')
   sink.piece('nueve')
@@ -63,7 +63,7 @@
   status: 418, contentType: 'application/x-thing', body: Buffer.from([0, 255, 10]), requestId: 'svc-1', repeated: true
 }
 
-async function rig (complete: Complete = finishAtOnce, limits: Partial<HttpLimits> = {}): Promise<Rig> {
+async function startHarness (complete: CompleteFunction = finishImmediately, limits: Partial<HttpLimits> = {}): Promise<Harness> {
   const events: string[] = []
   const calls: ServiceCall[] = []
   const server = new CallerServer({
@@ -78,13 +78,13 @@
     log: { write: (event, fields) => { events.push(`${event} ${String(fields.code ?? '')}`.trim()) } },
     limits: httpLimitsSchema.parse(limits)
   })
-  opened.push(server)
+  openServers.push(server)
   const address = await server.listen('127.0.0.1:0')
   const port = Number(address.split(':')[1])
-  return { server, address, events, calls, ask: (ask) => send(port, ask), raw: () => connect(port, '127.0.0.1') }
+  return { server, address, events, calls, ask: (ask) => sendRequest(port, ask), raw: () => connect(port, '127.0.0.1') }
 }
 
-function send (port: number, ask: Ask): Promise<Reply> {
+function sendRequest (port: number, ask: RequestOptions): Promise<Reply> {
   const { method = 'POST', path = '/v1/chat/completions', body = '' } = ask
   const headers = { authorization: 'Bearer good', 'content-type': 'application/json', ...ask.headers }
   return new Promise((resolve, reject) => {
@@ -99,7 +99,7 @@
   })
 }
 
-function post (path: string, body: string, extra = ''): string {
+function rawPost (path: string, body: string, extra = ''): string {
   const head = `POST ${path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer good\r\nContent-Type: application/json\r\n${extra}`
   return `${head}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`
 }
@@ -110,12 +110,12 @@
 
 describe('CallerServer', () => {
   afterEach(async () => {
-    await Promise.all(opened.map((server) => server.close()))
-    opened = []
+    await Promise.all(openServers.map((server) => server.close()))
+    openServers = []
   })
 
   describe('rejects invalid input with its code and all invalid fields', () => {
-    const table: ReadonlyArray<{ title: string, ask: Ask, status: number, name: string, errors?: string[] }> = [
+    const table: ReadonlyArray<{ title: string, ask: RequestOptions, status: number, name: string, errors?: string[] }> = [
       { title: 'a missing key', ask: { headers: { authorization: '' } }, status: 401, name: 'unauthorized' },
       { title: 'an invalid key', ask: { headers: { authorization: 'Bearer bad' } }, status: 401, name: 'unauthorized' },
       { title: 'a large body without a key', ask: { headers: { authorization: '' }, body: 'x'.repeat(3_000_000) }, status: 401, name: 'unauthorized' },
@@ -139,10 +139,10 @@
         name: 'badRequest',
         errors: ['header Idempotency-Key', 'header X-Timeout-Ms', 'model', 'messages[1].role', 'messages[1].content', 'max_tokens']
       },
-      { title: 'a key of 257 characters', ask: { headers: { 'idempotency-key': 'k'.repeat(257) }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header Idempotency-Key'] },
-      { title: 'an empty key', ask: { headers: { 'idempotency-key': '' }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header Idempotency-Key'] },
-      { title: 'a timeout of 0', ask: { headers: { 'x-timeout-ms': '0' }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
-      { title: 'a timeout over an hour', ask: { headers: { 'x-timeout-ms': '3600001' }, body: JSON.stringify(okBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
+      { title: 'a key of 257 characters', ask: { headers: { 'idempotency-key': 'k'.repeat(257) }, body: JSON.stringify(validBody) }, status: 400, name: 'badRequest', errors: ['header Idempotency-Key'] },
+      { title: 'an empty key', ask: { headers: { 'idempotency-key': '' }, body: JSON.stringify(validBody) }, status: 400, name: 'badRequest', errors: ['header Idempotency-Key'] },
+      { title: 'a timeout of 0', ask: { headers: { 'x-timeout-ms': '0' }, body: JSON.stringify(validBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
+      { title: 'a timeout over an hour', ask: { headers: { 'x-timeout-ms': '3600001' }, body: JSON.stringify(validBody) }, status: 400, name: 'badRequest', errors: ['header X-Timeout-Ms'] },
       { title: 'a body over the limit', ask: { body: 'x'.repeat(1500) }, status: 413, name: 'bodyTooLarge' },
       { title: 'a chunked body over the limit', ask: { body: 'x'.repeat(1500), headers: { 'transfer-encoding': 'chunked' } }, status: 413, name: 'bodyTooLarge' },
       { title: 'dot segments in a service path', ask: { path: '/v1/services/jobs/x/../dispatch' }, status: 400, name: 'badRequest' },
@@ -153,7 +153,7 @@
     ]
     for (const row of table) {
       it(row.title, async () => {
-        const { ask, calls } = await rig(finishAtOnce, { bodyBytes: 1000 })
+        const { ask, calls } = await startHarness(finishImmediately, { bodyBytes: 1000 })
         const reply = await ask(row.ask)
         const problem = JSON.parse(reply.text)
         expect([reply.status, problem.name, problem.ran]).to.deep.equal([row.status, row.name, 'no'])
@@ -179,7 +179,7 @@
     ]
     for (const row of table) {
       it(`${row.path} ${row.status}`, async () => {
-        const { ask } = await rig()
+        const { ask } = await startHarness()
         const reply = await ask({ method: 'GET', path: row.path, headers: row.key === false ? { authorization: '' } : {} })
         expect(reply.status).to.equal(row.status)
         if (row.body !== undefined) expect(JSON.parse(reply.text)).to.deep.equal(row.body)
@@ -187,20 +187,20 @@
       })
     }
 
-    const offers: ReadonlyArray<Record<string, string>> = [
+    const ignoredHeaders: ReadonlyArray<Record<string, string>> = [
       { connection: 'Upgrade, HTTP2-Settings', upgrade: 'h2c', 'http2-settings': 'AAMAAABk' },
       { expect: '100-continue' }
     ]
-    for (const headers of offers) {
+    for (const headers of ignoredHeaders) {
       it(`serves a completion when the caller sends ${JSON.stringify(headers)}`, async () => {
-        const { ask } = await rig()
-        const reply = await ask({ body: JSON.stringify(okBody), headers })
+        const { ask } = await startHarness()
+        const reply = await ask({ body: JSON.stringify(validBody), headers })
         expect([reply.status, reply.text.includes('a las nueve')]).to.deep.equal([200, true])
       })
     }
 
     it('/metrics 200', async () => {
-      const { ask } = await rig()
+      const { ask } = await startHarness()
       const reply = await ask({ method: 'GET', path: '/metrics' })
       expect([reply.status, reply.text]).to.deep.equal([200, 'requests 3\n'])
     })
@@ -209,15 +209,15 @@
   describe('completions', () => {
     it('passes digest, idempotency key and timeout to the service', async () => {
       let seen: CompletionCall | undefined
-      const { ask } = await rig(async (call, sink) => {
+      const { ask } = await startHarness(async (call, sink) => {
         seen = call
-        await finishAtOnce(call, sink)
+        await finishImmediately(call, sink)
       })
-      const body = JSON.stringify({ ...okBody, unknown: 1 })
+      const body = JSON.stringify({ ...validBody, unknown: 1 })
       const reply = await ask({ body, headers: { 'idempotency-key': 'k 1', 'x-timeout-ms': '2500', 'content-type': 'application/json; charset=UTF-8' } })
       const requestId = keyedRequestId('manos', 'k 1')
       expect(seen).to.include({ digest: bodyDigest(body), idempotencyKey: 'k 1', timeoutMs: 2500, requestId })
-      expect(seen?.body).to.deep.equal({ ...okBody, stream: false })
+      expect(seen?.body).to.deep.equal({ ...validBody, stream: false })
       expect(reply.headers['x-request-id']).to.equal(requestId)
       expect(JSON.parse(reply.text)).to.deep.include({
         id: requestId,
@@ -228,8 +228,8 @@
     })
 
     it('streams role, content, finish reason with usage, and [DONE]', async () => {
-      const { ask } = await rig()
-      const reply = await ask({ body: JSON.stringify({ ...okBody, stream: true }) })
+      const { ask } = await startHarness()
+      const reply = await ask({ body: JSON.stringify({ ...validBody, stream: true }) })
       const data = sseData(reply.text)
       const chunks = data.slice(0, -1).map((text) => JSON.parse(text))
       expect(reply.headers['content-type']).to.match(/^text\/event-stream/)
@@ -244,30 +244,30 @@
       expect(new Set(chunks.map((chunk) => chunk.id))).to.deep.equal(new Set([reply.headers['x-request-id']]))
     })
 
-    const cut = new Failure('answerCut', 'the runner disconnected', { ran: 'unknown', retryAfterMs: 10 })
-    const endings: ReadonlyArray<{ title: string, complete: Complete, name: string, ran: string }> = [
-      { title: 'the service fails', complete: async (_, sink) => sink.fail(cut), name: 'answerCut', ran: 'unknown' },
+    const cutFailure = new Failure('answerCut', 'the runner disconnected', { ran: 'unknown', retryAfterMs: 10 })
+    const endings: ReadonlyArray<{ title: string, complete: CompleteFunction, name: string, ran: string }> = [
+      { title: 'the service fails', complete: async (_, sink) => sink.fail(cutFailure), name: 'answerCut', ran: 'unknown' },
       { title: 'the service throws', complete: async () => { throw new Error('bug') }, name: 'internal', ran: 'unknown' },
       { title: 'the service returns without an answer', complete: async () => undefined, name: 'internal', ran: 'unknown' },
-      { title: 'the service continues after its failure', complete: async (_, sink) => { sink.fail(cut); sink.piece('x'); sink.finish('stop', usage) }, name: 'answerCut', ran: 'unknown' }
+      { title: 'the service continues after its failure', complete: async (_, sink) => { sink.fail(cutFailure); sink.piece('x'); sink.finish('stop', usage) }, name: 'answerCut', ran: 'unknown' }
     ]
     for (const row of endings) {
       it(`${row.title} before the stream has started: problem response`, async () => {
         for (const stream of [true, false]) {
-          const { ask } = await rig(row.complete)
-          const reply = await ask({ body: JSON.stringify({ ...okBody, stream }) })
+          const { ask } = await startHarness(row.complete)
+          const reply = await ask({ body: JSON.stringify({ ...validBody, stream }) })
           const problem = JSON.parse(reply.text)
           expect([reply.status, problem.name, problem.ran]).to.deep.equal([problem.status, row.name, row.ran])
         }
       })
 
       it(`${row.title} during the stream: error event without [DONE]`, async () => {
-        const { ask } = await rig(async (call, sink) => {
+        const { ask } = await startHarness(async (call, sink) => {
           sink.begin('r1', 'asistente')
           sink.piece('a ')
           await row.complete(call, sink)
         })
-        const reply = await ask({ body: JSON.stringify({ ...okBody, stream: true }) })
+        const reply = await ask({ body: JSON.stringify({ ...validBody, stream: true }) })
         const last = reply.text.split('\n\n').at(-2) ?? ''
         expect(last.startsWith('event: error\ndata: ')).to.equal(true)
         expect(JSON.parse(last.slice('event: error\ndata: '.length))).to.include({ name: row.name, ran: row.ran })
@@ -276,31 +276,31 @@
     }
 
     it('sends no partial text of a buffered answer that failed', async () => {
-      const { ask } = await rig(async (_, sink) => { sink.begin('r', 'm'); sink.piece('secret'); sink.fail(cut) })
-      const reply = await ask({ body: JSON.stringify(okBody) })
+      const { ask } = await startHarness(async (_, sink) => { sink.begin('r', 'm'); sink.piece('secret'); sink.fail(cutFailure) })
+      const reply = await ask({ body: JSON.stringify(validBody) })
       expect([reply.status, reply.text.includes('secret')]).to.deep.equal([502, false])
     })
 
     for (const stream of [true, false]) {
       it(`aborts the call when the caller disconnects (stream ${stream})`, async () => {
-        let told = (): void => undefined
-        const gone = new Promise<void>((resolve) => { told = resolve })
+        let notifyAborted = (): void => undefined
+        const aborted = new Promise<void>((resolve) => { notifyAborted = resolve })
         let started = (): void => undefined
         const running = new Promise<void>((resolve) => { started = resolve })
-        const { raw, server } = await rig(async (call, sink) => {
+        const { raw, server } = await startHarness(async (call, sink) => {
           sink.begin('r', 'm')
           sink.piece('x')
           started()
           if (!call.gone.aborted) await once(call.gone, 'abort')
-          told()
+          notifyAborted()
           sink.piece('y')
           sink.fail(new Failure('callerGone', 'gone', { ran: 'yes' }))
         })
         const socket = raw()
-        socket.write(post('/v1/chat/completions', JSON.stringify({ ...okBody, stream })))
+        socket.write(rawPost('/v1/chat/completions', JSON.stringify({ ...validBody, stream })))
         await running
         socket.destroy()
-        await gone
+        await aborted
         await server.close()
         expect(server.openRequests()).to.equal(0)
       })
@@ -308,8 +308,8 @@
 
     it('does not abort the call after a completed answer', async () => {
       let call: CompletionCall | undefined
-      const { ask, server } = await rig(async (received, sink) => { call = received; await finishAtOnce(received, sink) })
-      await ask({ body: JSON.stringify(okBody) })
+      const { ask, server } = await startHarness(async (received, sink) => { call = received; await finishImmediately(received, sink) })
+      await ask({ body: JSON.stringify(validBody) })
       await server.close()
       expect(call?.gone.aborted).to.equal(false)
     })
@@ -317,7 +317,7 @@
     it('aborts the stream and the run of a caller that does not read', async () => {
       let stop = (): void => undefined
       const stopped = new Promise<void>((resolve) => { stop = resolve })
-      const { raw, events } = await rig(async (call, sink) => {
+      const { raw, events } = await startHarness(async (call, sink) => {
         sink.begin('r', 'm')
         while (!call.gone.aborted) {
           sink.piece('x'.repeat(65_536))
@@ -328,7 +328,7 @@
       }, { bufferedBytes: 200_000 })
       const socket = raw()
       socket.pause()
-      socket.write(post('/v1/chat/completions', JSON.stringify({ ...okBody, stream: true })))
+      socket.write(rawPost('/v1/chat/completions', JSON.stringify({ ...validBody, stream: true })))
       while (events.length === 0) await new Promise(setImmediate)
       expect(events).to.deep.equal(['requestFailed callerSlow'])
       await stopped
@@ -342,7 +342,7 @@
 
   describe('services', () => {
     it('passes body, path, query and response through unchanged', async () => {
-      const { ask, calls } = await rig()
+      const { ask, calls } = await startHarness()
       const body = Buffer.from([0, 1, 255, 13, 10])
       const path = "/v1/services/jobs/crews/a%2Fb?name=O'Neil&x=%41"
       const reply = await ask({ path, body, headers: { 'content-type': 'image/x', 'idempotency-key': 'k' } })
@@ -362,7 +362,7 @@
     })
 
     it('rounds Retry-After up to whole seconds', async () => {
-      const { ask } = await rig()
+      const { ask } = await startHarness()
       const reply = await ask({ path: '/v1/services/jobs/refuse', method: 'GET' })
       expect([reply.status, reply.headers['retry-after'], JSON.parse(reply.text).name]).to.deep.equal([503, '3', 'notClaimed'])
     })
@@ -370,7 +370,7 @@
 
   describe('connections', () => {
     it('responds to malformed HTTP with a problem and closes the connection', async () => {
-      const { raw } = await rig()
+      const { raw } = await startHarness()
       const socket = raw()
       let text = ''
       socket.setEncoding('utf8').on('data', (data: string) => { text += data })
@@ -380,7 +380,7 @@
     })
 
     it('rejects a request before its body arrives and serves the next one on the same connection', async () => {
-      const { raw } = await rig()
+      const { raw } = await startHarness()
       const socket = raw()
       const received: string[] = []
       socket.setEncoding('utf8').on('data', (data: string) => { received.push(data) })
@@ -391,14 +391,14 @@
       socket.destroy()
     })
 
-    const stuck: ReadonlyArray<{ title: string, sent: string, answer: RegExp }> = [
+    const incompleteRequests: ReadonlyArray<{ title: string, sent: string, answer: RegExp }> = [
       { title: 'nothing', sent: '', answer: /^$/ },
       { title: 'partial headers', sent: 'GET /healthz HTTP/1.1\r\nHost', answer: /^$/ },
-      { title: 'a partial body', sent: post('/v1/chat/completions', '{}').slice(0, -1), answer: /^HTTP\/1.1 400 [^]*Connection: close[^]*"RS-101"/ }
+      { title: 'a partial body', sent: rawPost('/v1/chat/completions', '{}').slice(0, -1), answer: /^HTTP\/1.1 400 [^]*Connection: close[^]*"RS-101"/ }
     ]
-    for (const { title, sent, answer } of stuck) {
+    for (const { title, sent, answer } of incompleteRequests) {
       it(`closes within the request timeout when a caller has sent ${title} and stays connected`, async () => {
-        const { raw, ask, server } = await rig(finishAtOnce, { headersMs: 100, requestMs: 100 })
+        const { raw, ask, server } = await startHarness(finishImmediately, { headersMs: 100, requestMs: 100 })
         const socket = raw()
         const ended = once(socket, 'close')
         const received: string[] = []
@@ -414,27 +414,27 @@
     }
 
     it('serves requests while lingering and closes their connections', async () => {
-      const { raw, server } = await rig()
+      const { raw, server } = await startHarness()
       const socket = raw()
       let text = ''
       socket.setEncoding('utf8').on('data', (data: string) => { text += data })
       const ended = once(socket, 'close')
       server.linger()
-      socket.write(post('/v1/chat/completions', JSON.stringify(okBody)))
+      socket.write(rawPost('/v1/chat/completions', JSON.stringify(validBody)))
       await ended
       expect(text).to.match(/^HTTP\/1.1 200 [^]*Connection: close/)
     })
 
     it('on close, completes the open stream, refuses new connections and closes the keep-alive connection', async () => {
-      let end = (): void => undefined
-      const held = new Promise<void>((resolve) => { end = resolve })
+      let resume = (): void => undefined
+      const resumed = new Promise<void>((resolve) => { resume = resolve })
       let started = (): void => undefined
       const running = new Promise<void>((resolve) => { started = resolve })
-      const { raw, ask, server } = await rig(async (call, sink) => {
+      const { raw, ask, server } = await startHarness(async (call, sink) => {
         sink.begin('r', 'm')
         sink.piece('a las ')
         started()
-        await held
+        await resumed
         sink.piece('nueve')
         sink.finish('stop', usage)
       })
@@ -442,13 +442,13 @@
       let text = ''
       socket.setEncoding('utf8').on('data', (data: string) => { text += data })
       const ended = once(socket, 'close')
-      socket.write(post('/v1/chat/completions', JSON.stringify({ ...okBody, stream: true })))
+      socket.write(rawPost('/v1/chat/completions', JSON.stringify({ ...validBody, stream: true })))
       await running
       const closed = server.close()
       expect(server.openRequests()).to.equal(1)
-      const late = await ask({ body: JSON.stringify(okBody) }).then(() => 'answered', (err: NodeJS.ErrnoException) => err.code)
+      const late = await ask({ body: JSON.stringify(validBody) }).then(() => 'answered', (err: NodeJS.ErrnoException) => err.code)
       expect(late).to.equal('ECONNREFUSED')
-      end()
+      resume()
       await ended
       expect(text).to.include('nueve').and.to.include('[DONE]')
       await closed
--- a/packages/callers/src/api/callerServer.ts
+++ b/packages/callers/src/api/callerServer.ts
@@ -11,7 +11,7 @@
 import { HttpServer } from '@rosemaryspread/http/server/httpServer.js'
 import { RestifyRouter } from '@rosemaryspread/http/server/restifyRouter.js'
 import type { ApplicationService, CallerDirectory, CallerIdentity, CompletionService } from '../completion/completionTypes.js'
-import { callerOf } from './callerCalls.js'
+import { authenticateCaller } from './callerCalls.js'
 import { CompletionRoute } from './completionRoute.js'
 import { ServiceRoute } from './serviceRoute.js'
 
@@ -24,8 +24,8 @@
 }
 
 const msPerSecond = 1000
-const metricsType = 'text/plain; version=0.0.4; charset=utf-8'
-const notStored = { 'Cache-Control': 'no-store' }
+const metricsContentType = 'text/plain; version=0.0.4; charset=utf-8'
+const noStoreHeaders = { 'Cache-Control': 'no-store' }
 
 export class CallerServer {
   private readonly http: HttpServer
@@ -71,9 +71,9 @@
   }
 
   private async models (exchange: HttpExchange): Promise<Either<Failure, void>> {
-    return callerOf(exchange, this.directory)
+    return authenticateCaller(exchange, this.directory)
       .map((caller) => this.modelList(caller))
-      .map((list) => exchange.sendJson(200, list, notStored))
+      .map((list) => exchange.sendJson(200, list, noStoreHeaders))
   }
 
   private modelList (caller: CallerIdentity): object {
@@ -90,24 +90,24 @@
   }
 
   private async usage (exchange: HttpExchange): Promise<Either<Failure, void>> {
-    const caller = callerOf(exchange, this.directory)
+    const caller = authenticateCaller(exchange, this.directory)
     if (caller.isLeft()) return Left(caller.extract())
     const usage = await this.directory.usage(caller.unsafeCoerce())
-    return usage.map((answer) => exchange.sendJson(200, answer, notStored))
+    return usage.map((answer) => exchange.sendJson(200, answer, noStoreHeaders))
   }
 
   private async live (exchange: HttpExchange): Promise<Either<Failure, void>> {
-    exchange.sendJson(200, { live: true }, notStored)
+    exchange.sendJson(200, { live: true }, noStoreHeaders)
     return Right(undefined)
   }
 
   private async ready (exchange: HttpExchange): Promise<Either<Failure, void>> {
-    return this.directory.ready().ifRight(() => exchange.sendJson(200, { ready: true }, notStored))
+    return this.directory.ready().ifRight(() => exchange.sendJson(200, { ready: true }, noStoreHeaders))
   }
 
   private async metrics (exchange: HttpExchange): Promise<Either<Failure, void>> {
     const text = Buffer.from(this.directory.metrics())
-    exchange.sendBytes(200, text, { 'Content-Type': metricsType, ...notStored })
+    exchange.sendBytes(200, text, { 'Content-Type': metricsContentType, ...noStoreHeaders })
     return Right(undefined)
   }
 }
--- a/packages/callers/src/api/completionAnswers.ts
+++ b/packages/callers/src/api/completionAnswers.ts
@@ -7,7 +7,7 @@
 import type { HttpExchange } from '@rosemaryspread/http/server/httpExchange.js'
 import { EventStream } from '@rosemaryspread/http/sse/eventStream.js'
 import type { AnswerSink, CompletionUsage } from '../completion/completionTypes.js'
-import { contentChunk, finalChunk, wholeCompletion, type AnswerHead, type FinishReason } from './completionChunks.js'
+import { contentChunk, finalChunk, completionBody, type AnswerMetadata, type FinishReason } from './completionChunks.js'
 
 const msPerSecond = 1000
 
@@ -16,39 +16,39 @@
   readonly ended: boolean
 }
 
-function headOf (requestId: string, model: string): AnswerHead {
+function createMetadata (requestId: string, model: string): AnswerMetadata {
   return { requestId, model, created: Math.floor(Date.now() / msPerSecond) }
 }
 
 /** Streams the pieces as events. The response headers are sent with the first piece, so an earlier failure gets its own status. */
 export class StreamedAnswer implements CompletionAnswer {
   ended = false
-  private head: AnswerHead
+  private metadata: AnswerMetadata
   private readonly stream: EventStream
 
   constructor (private readonly exchange: HttpExchange, model: string, private readonly log: EventLog) {
-    this.head = headOf(exchange.requestId, model)
+    this.metadata = createMetadata(exchange.requestId, model)
     this.stream = new EventStream(exchange)
   }
 
   begin (requestId: string, model: string): void {
     if (this.stream.open) return
     this.exchange.requestId = requestId
-    this.head = headOf(requestId, model)
+    this.metadata = createMetadata(requestId, model)
   }
 
   piece (text: string): void {
     if (this.ended || this.exchange.closed) return
     this.open()
-    this.send(contentChunk(this.head, { content: text }))
-    if (this.stream.isBufferFull) this.cutSlowCaller()
+    this.send(contentChunk(this.metadata, { content: text }))
+    if (this.stream.isBufferFull) this.failSlowCaller()
   }
 
   finish (finishReason: FinishReason, usage: CompletionUsage): void {
     if (this.ended) return
     this.ended = true
     this.open()
-    this.send(finalChunk(this.head, finishReason, usage))
+    this.send(finalChunk(this.metadata, finishReason, usage))
     this.stream.send('[DONE]')
     this.stream.end()
   }
@@ -61,14 +61,14 @@
   }
 
   private open (): void {
-    if (!this.stream.open) this.send(contentChunk(this.head, { role: 'assistant', content: '' }))
+    if (!this.stream.open) this.send(contentChunk(this.metadata, { role: 'assistant', content: '' }))
   }
 
   private send (chunk: object): void {
     this.stream.send(JSON.stringify(chunk))
   }
 
-  private cutSlowCaller (): void {
+  private failSlowCaller (): void {
     const failure = new Failure('callerSlow', 'the caller read the answer too slowly; the stream was aborted', { ran: 'yes' })
     this.log.write('requestFailed', { request: this.exchange.requestId, code: failure.code, ran: failure.ran })
     this.fail(failure)
@@ -77,18 +77,18 @@
 }
 
 /** Buffers the pieces and sends them as one JSON body. */
-export class WholeAnswer implements CompletionAnswer {
+export class BufferedAnswer implements CompletionAnswer {
   ended = false
-  private head: AnswerHead
+  private metadata: AnswerMetadata
   private readonly pieces: string[] = []
 
   constructor (private readonly exchange: HttpExchange, model: string) {
-    this.head = headOf(exchange.requestId, model)
+    this.metadata = createMetadata(exchange.requestId, model)
   }
 
   begin (requestId: string, model: string): void {
     this.exchange.requestId = requestId
-    this.head = headOf(requestId, model)
+    this.metadata = createMetadata(requestId, model)
   }
 
   piece (text: string): void {
@@ -98,7 +98,7 @@
   finish (finishReason: FinishReason, usage: CompletionUsage): void {
     if (this.ended) return
     this.ended = true
-    this.exchange.sendJson(200, wholeCompletion(this.head, this.pieces.join(''), finishReason, usage))
+    this.exchange.sendJson(200, completionBody(this.metadata, this.pieces.join(''), finishReason, usage))
   }
 
   fail (failure: Failure): void {
--- a/packages/callers/src/api/completionChunks.ts
+++ b/packages/callers/src/api/completionChunks.ts
@@ -4,7 +4,7 @@
 import type { CompletionUsage } from '../completion/completionTypes.js'
 
 /** Fields common to all chunks of one answer. */
-export interface AnswerHead {
+export interface AnswerMetadata {
   readonly requestId: string
   readonly model: string
   /** Seconds since the Unix epoch. */
@@ -18,7 +18,7 @@
   readonly content?: string
 }
 
-function usageBody (usage: CompletionUsage): object {
+function usageJson (usage: CompletionUsage): object {
   return {
     prompt_tokens: usage.promptTokens,
     completion_tokens: usage.completionTokens,
@@ -27,33 +27,33 @@
 }
 
 /** One chunk of a streamed answer. */
-export function contentChunk (head: AnswerHead, delta: ChunkDelta): object {
+export function contentChunk (metadata: AnswerMetadata, delta: ChunkDelta): object {
   return {
-    id: head.requestId,
+    id: metadata.requestId,
     object: 'chat.completion.chunk',
-    created: head.created,
-    model: head.model,
+    created: metadata.created,
+    model: metadata.model,
     choices: [{ index: 0, delta, finish_reason: null }]
   }
 }
 
 /** The last chunk of a streamed answer, with finish reason and usage. */
-export function finalChunk (head: AnswerHead, reason: FinishReason, usage: CompletionUsage): object {
+export function finalChunk (metadata: AnswerMetadata, reason: FinishReason, usage: CompletionUsage): object {
   return {
-    ...contentChunk(head, {}),
+    ...contentChunk(metadata, {}),
     choices: [{ index: 0, delta: {}, finish_reason: reason }],
-    usage: usageBody(usage)
+    usage: usageJson(usage)
   }
 }
 
 /** The body of an answer that is not streamed. */
-export function wholeCompletion (head: AnswerHead, content: string, reason: FinishReason, usage: CompletionUsage): object {
+export function completionBody (metadata: AnswerMetadata, content: string, reason: FinishReason, usage: CompletionUsage): object {
   return {
-    id: head.requestId,
+    id: metadata.requestId,
     object: 'chat.completion',
-    created: head.created,
-    model: head.model,
+    created: metadata.created,
+    model: metadata.model,
     choices: [{ index: 0, message: { role: 'assistant', content }, finish_reason: reason }],
-    usage: usageBody(usage)
+    usage: usageJson(usage)
   }
 }
--- a/packages/callers/src/api/completionRoute.ts
+++ b/packages/callers/src/api/completionRoute.ts
@@ -11,8 +11,8 @@
 import {
   completionBodySchema, type CallerDirectory, type CompletionBody, type CompletionCall, type CompletionService
 } from '../completion/completionTypes.js'
-import { identifyCall, receiveCall, type ReceivedCall } from './callerCalls.js'
-import { StreamedAnswer, WholeAnswer, type CompletionAnswer } from './completionAnswers.js'
+import { assignRequestId, receiveCall, type ReceivedCall } from './callerCalls.js'
+import { StreamedAnswer, BufferedAnswer, type CompletionAnswer } from './completionAnswers.js'
 
 export class CompletionRoute {
   constructor (
@@ -23,14 +23,14 @@
 
   async serve (exchange: HttpExchange): Promise<Either<Failure, void>> {
     const received = await receiveCall(exchange, this.directory)
-    const call = received.chain((parts) => checkCall(exchange, parts))
+    const call = received.chain((receivedCall) => parseCall(exchange, receivedCall))
     if (call.isLeft()) return Left(call.extract())
     await this.run(exchange, call.unsafeCoerce())
     return Right(undefined)
   }
 
   private async run (exchange: HttpExchange, call: CompletionCall): Promise<void> {
-    const answer = this.answerFor(exchange, call.body)
+    const answer = this.createAnswer(exchange, call.body)
     try {
       await this.completions.complete(call, answer)
     } catch (err) {
@@ -39,9 +39,9 @@
     if (!answer.ended && !exchange.closed) this.fault(exchange, answer, new Error('the completion service returned without finishing or failing the answer'))
   }
 
-  private answerFor (exchange: HttpExchange, body: CompletionBody): CompletionAnswer {
+  private createAnswer (exchange: HttpExchange, body: CompletionBody): CompletionAnswer {
     if (body.stream) return new StreamedAnswer(exchange, body.model, this.log)
-    return new WholeAnswer(exchange, body.model)
+    return new BufferedAnswer(exchange, body.model)
   }
 
   private fault (exchange: HttpExchange, answer: CompletionAnswer, err: unknown): void {
@@ -50,15 +50,15 @@
   }
 }
 
-function checkCall (exchange: HttpExchange, received: ReceivedCall): Either<Failure, CompletionCall> {
+function parseCall (exchange: HttpExchange, received: ReceivedCall): Either<Failure, CompletionCall> {
   const { headers } = exchange.req
   return combineChecks(parseCallHeaders(headers), parseJsonBody(completionBodySchema, headers, received.body))
     .mapLeft(badRequest)
-    .map(([callHead, body]) => toCall(exchange, received, callHead, body))
+    .map(([checkedHeaders, body]) => toCall(exchange, received, checkedHeaders, body))
 }
 
 function toCall (exchange: HttpExchange, received: ReceivedCall, headers: CallHeaders, body: CompletionBody): CompletionCall {
-  identifyCall(exchange, received.caller, headers)
+  assignRequestId(exchange, received.caller, headers)
   return {
     caller: received.caller,
     body,
--- a/packages/callers/src/api/servicePath.ts
+++ b/packages/callers/src/api/servicePath.ts
@@ -7,8 +7,8 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 
 const servicePattern = /^\/v1\/services\/([^/?]+)(\/.*)$/
-const encodedUnreserved = /%(?:2d|2e|5f|7e|3[0-9]|[46][1-9a-f]|[57][0-9a])/i
-const anyBase = 'http://service.invalid'
+const encodedUnreservedPattern = /%(?:2d|2e|5f|7e|3[0-9]|[46][1-9a-f]|[57][0-9a])/i
+const placeholderBase = 'http://service.invalid'
 
 export interface ServicePath {
   readonly service: string
@@ -16,17 +16,17 @@
   readonly path: string
 }
 
-function isNormal (path: string): boolean {
+function isNormalized (path: string): boolean {
   const [pathname = ''] = path.split('?')
-  if (pathname.startsWith('//') || path.includes('#') || encodedUnreserved.test(pathname)) return false
-  return new URL(pathname, anyBase).pathname === pathname
+  if (pathname.startsWith('//') || path.includes('#') || encodedUnreservedPattern.test(pathname)) return false
+  return new URL(pathname, placeholderBase).pathname === pathname
 }
 
 /** Extracts service and path from a request URL without decoding them. Failures: `notFound`, `badRequest`. */
-export function servicePath (url: string): Either<Failure, ServicePath> {
+export function parseServicePath (url: string): Either<Failure, ServicePath> {
   const match = servicePattern.exec(url)
   const [, service, path] = match ?? []
   if (service === undefined || path === undefined) return Left(new Failure('notFound', `${url} is not a service path`))
-  if (!isNormal(path)) return Left(new Failure('badRequest', 'path: must be normalized, without dot segments, empty first segment, fragment or unnecessary percent-encoding'))
+  if (!isNormalized(path)) return Left(new Failure('badRequest', 'path: must be normalized, without dot segments, empty first segment, fragment or unnecessary percent-encoding'))
   return Right({ service, path })
 }
--- a/packages/infra/src/http/httpTransport.ts
+++ b/packages/infra/src/http/httpTransport.ts
@@ -9,12 +9,12 @@
 import type { z } from 'zod'
 
 /** Default size limit of a response body. */
-export const DEFAULT_MAX_BYTES = 16 * 1024 * 1024
+export const DEFAULT_MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
-const DEFAULT_CONNECT_MS = 1000
+const DEFAULT_CONNECT_TIMEOUT_MS = 1000
 const MAX_IDLE_CONNECTIONS = 64
 const MS_PER_SECOND = 1000
-const SECONDS = /^\d+(\.\d+)?$/
+const SECONDS_PATTERN = /^\d+(\.\d+)?$/
 
 export interface TransportSettings {
   /** Name of this VM, sent as `x-vm` if given. */
@@ -44,14 +44,14 @@
 }
 
 /** Why a call got no complete response. */
-export interface LostCall {
+export interface TransportError {
   /** False if no connection was made, so that the server cannot have received anything. */
   readonly connected: boolean
   readonly detail: string
 }
 
 /** Converts an error thrown by got. */
-export function toLostCall (err: unknown): LostCall {
+export function toTransportError (err: unknown): TransportError {
   if (!(err instanceof RequestError)) return { connected: true, detail: String(err) }
   return { connected: err.timings?.connect !== undefined, detail: `${err.code}: ${err.message}` }
 }
@@ -59,11 +59,11 @@
 /** Milliseconds of a `Retry-After` header in seconds; undefined if absent or not a number. */
 export function retryAfterMs (headers: HttpAnswer['headers']): number | undefined {
   const text = headers['retry-after']
-  return typeof text === 'string' && SECONDS.test(text) ? Number(text) * MS_PER_SECOND : undefined
+  return typeof text === 'string' && SECONDS_PATTERN.test(text) ? Number(text) * MS_PER_SECOND : undefined
 }
 
 /** Whether a status means that the server is overloaded or unavailable. */
-export function isTurnedAway (status: number | undefined): boolean {
+export function isUnavailableStatus (status: number | undefined): boolean {
   return status === 429 || status === 503
 }
 
@@ -86,31 +86,31 @@
   constructor (private readonly settings: TransportSettings) {}
 
   /** Makes one call and reads the whole response. */
-  async call (call: HttpCall): Promise<Either<LostCall, HttpAnswer>> {
-    const maxBytes = call.maxBytes ?? DEFAULT_MAX_BYTES
-    const tooLarge = new AbortController()
+  async call (call: HttpCall): Promise<Either<TransportError, HttpAnswer>> {
+    const maxBytes = call.maxBytes ?? DEFAULT_MAX_RESPONSE_BYTES
+    const sizeAbort = new AbortController()
     try {
       const pending = got(call.url, {
-        ...this.options(call),
+        ...this.gotOptions(call),
         timeout: { connect: this.connectMs, request: call.timeoutMs },
         responseType: 'buffer',
-        signal: tooLarge.signal
+        signal: sizeAbort.signal
       })
       pending.on('downloadProgress', progress => {
-        if (progress.transferred > maxBytes) tooLarge.abort()
+        if (progress.transferred > maxBytes) sizeAbort.abort()
       })
       const res = await pending
       return Right({ status: res.statusCode, headers: res.headers, body: res.body as Buffer })
     } catch (err) {
-      if (tooLarge.signal.aborted) return Left({ connected: true, detail: `the response exceeds ${maxBytes} bytes` })
-      return Left(toLostCall(err))
+      if (sizeAbort.signal.aborted) return Left({ connected: true, detail: `the response exceeds ${maxBytes} bytes` })
+      return Left(toTransportError(err))
     }
   }
 
   /** Starts one call whose response is read as a stream; `timeoutMs` limits the wait for the headers only. */
   stream (call: HttpCall): Request {
     return got.stream(call.url, {
-      ...this.options(call),
+      ...this.gotOptions(call),
       timeout: { connect: this.connectMs, response: call.timeoutMs }
     })
   }
@@ -121,10 +121,10 @@
   }
 
   private get connectMs (): number {
-    return this.settings.connectMs ?? DEFAULT_CONNECT_MS
+    return this.settings.connectMs ?? DEFAULT_CONNECT_TIMEOUT_MS
   }
 
-  private options (call: HttpCall) {
+  private gotOptions (call: HttpCall) {
     return {
       method: call.method,
       headers: { 'user-agent': undefined, ...call.headers, ...(this.settings.vm === undefined ? {} : { 'x-vm': this.settings.vm }) },
--- a/packages/infra/src/http/platformFailure.ts
+++ b/packages/infra/src/http/platformFailure.ts
@@ -2,30 +2,30 @@
  * Maps transport errors and HTTP statuses of the platform's services to failures.
  */
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { retryAfterMs, type HttpAnswer, type LostCall } from './httpTransport.js'
+import { retryAfterMs, type HttpAnswer, type TransportError } from './httpTransport.js'
 
 /** Failure of a read. A read changes nothing, so any failure can be reported as `platformUnavailable`. */
-export function readFailed (detail: string, retryMs?: number): Failure {
+export function readFailure (detail: string, retryMs?: number): Failure {
   return new Failure('platformUnavailable', detail, { retryAfterMs: retryMs })
 }
 
 /** Failure of a write without a response. Only without a connection is it certain that nothing was written. */
-export function writeLost (lost: LostCall): Failure {
-  return lost.connected ? outcomeUnknown(lost.detail) : new Failure('platformUnavailable', lost.detail)
+export function lostWriteFailure (error: TransportError): Failure {
+  return error.connected ? unknownOutcomeFailure(error.detail) : new Failure('platformUnavailable', error.detail)
 }
 
 /** Failure of a write that may have taken effect. */
-export function outcomeUnknown (detail: string): Failure {
+export function unknownOutcomeFailure (detail: string): Failure {
   return new Failure('platformOutcomeUnknown', detail, { ran: 'unknown' })
 }
 
 /** Failure of a write with an unexpected status. 503 guarantees that nothing was written; other statuses leave it open. */
-export function writeRefused (answer: HttpAnswer): Failure {
-  if (answer.status !== 503) return outcomeUnknown(`status ${answer.status}`)
+export function writeStatusFailure (answer: HttpAnswer): Failure {
+  if (answer.status !== 503) return unknownOutcomeFailure(`status ${answer.status}`)
   return new Failure('platformUnavailable', 'status 503', { retryAfterMs: retryAfterMs(answer.headers) })
 }
 
 /** Failure of a read with an unexpected status. */
-export function readRefused (answer: HttpAnswer): Failure {
-  return readFailed(`status ${answer.status}`, retryAfterMs(answer.headers))
+export function readStatusFailure (answer: HttpAnswer): Failure {
+  return readFailure(`status ${answer.status}`, retryAfterMs(answer.headers))
 }
--- a/packages/infra/src/http/testServer.spec.ts
+++ b/packages/infra/src/http/testServer.spec.ts
@@ -6,10 +6,10 @@
 import { text } from 'node:stream/consumers'
 
 /** Timeout where a response is expected, long enough for a busy machine. */
-export const AMPLE_MS = 20_000
+export const LONG_TIMEOUT_MS = 20_000
 
 /** Timeout where no response is expected. */
-export const SHORT_MS = 300
+export const SHORT_TIMEOUT_MS = 300
 
 export interface ReceivedCall {
   readonly method: string
@@ -48,14 +48,14 @@
 }
 
 /** An address that refuses connections. */
-export async function closedAddress (): Promise<string> {
+export async function refusingAddress (): Promise<string> {
   const server = await startTestServer(() => {})
   await server.close()
   return server.address
 }
 
 /** Creates a handler that responds with a status and a JSON body. */
-export function answers (status: number, body: unknown, headers: Record<string, string> = {}): TestHandler {
+export function respondWith (status: number, body: unknown, headers: Record<string, string> = {}): TestHandler {
   return res => {
     res.writeHead(status, { 'content-type': 'application/json', ...headers })
     res.end(JSON.stringify(body))
@@ -63,13 +63,13 @@
 }
 
 /** Drops the connection after the whole call was received. */
-export const drops: TestHandler = res => { res.destroy() }
+export const dropConnection: TestHandler = res => { res.destroy() }
 
 /** Drops the connection in the middle of the response. */
-export const breaksOff: TestHandler = res => {
+export const dropMidResponse: TestHandler = res => {
   res.writeHead(200, { 'content-length': '100' })
   res.write('{"rows":', () => res.destroy())
 }
 
 /** Never responds. */
-export const hangs: TestHandler = () => {}
+export const neverRespond: TestHandler = () => {}
--- a/packages/infra/src/objects/httpObjectStore.ts
+++ b/packages/infra/src/objects/httpObjectStore.ts
@@ -4,7 +4,7 @@
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { HttpTransport } from '../http/httpTransport.js'
-import { readFailed, readRefused, writeLost, writeRefused } from '../http/platformFailure.js'
+import { readFailure, readStatusFailure, lostWriteFailure, writeStatusFailure } from '../http/platformFailure.js'
 import type { ObjectStore } from './objectTypes.js'
 
 export class HttpObjectStore implements ObjectStore {
@@ -20,17 +20,17 @@
   }
 
   async get (name: string): Promise<Either<Failure, Maybe<Buffer>>> {
-    const answer = await this.transport.call({ method: 'GET', url: this.urlOf(name), timeoutMs: this.timeoutMs })
-    return answer.mapLeft(lost => readFailed(lost.detail)).chain(res => {
+    const answer = await this.transport.call({ method: 'GET', url: this.objectUrl(name), timeoutMs: this.timeoutMs })
+    return answer.mapLeft(error => readFailure(error.detail)).chain(res => {
       if (res.status === 404) return Right(Nothing)
-      return res.status === 200 ? Right(Just(res.body)) : Left(readRefused(res))
+      return res.status === 200 ? Right(Just(res.body)) : Left(readStatusFailure(res))
     })
   }
 
   async put (name: string, body: Buffer): Promise<Either<Failure, void>> {
     const headers = { 'content-type': 'application/octet-stream' }
-    const answer = await this.transport.call({ method: 'PUT', url: this.urlOf(name), headers, body, timeoutMs: this.timeoutMs })
-    return answer.mapLeft(writeLost).chain(res => res.status === 204 ? Right(undefined) : Left(writeRefused(res)))
+    const answer = await this.transport.call({ method: 'PUT', url: this.objectUrl(name), headers, body, timeoutMs: this.timeoutMs })
+    return answer.mapLeft(lostWriteFailure).chain(res => res.status === 204 ? Right(undefined) : Left(writeStatusFailure(res)))
   }
 
   /** Closes all connections. */
@@ -38,7 +38,7 @@
     this.transport.close()
   }
 
-  private urlOf (name: string): string {
+  private objectUrl (name: string): string {
     return `${this.baseUrl}/objects/${encodeURIComponent(name)}`
   }
 }
--- a/packages/infra/src/table/httpTableStore.ts
+++ b/packages/infra/src/table/httpTableStore.ts
@@ -5,8 +5,8 @@
 import { Left, Right, type Either } from 'purify-ts'
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { HttpTransport, parseJson, type HttpAnswer, type LostCall } from '../http/httpTransport.js'
-import { outcomeUnknown, readFailed, readRefused, writeLost, writeRefused } from '../http/platformFailure.js'
+import { HttpTransport, parseJson, type HttpAnswer, type TransportError } from '../http/httpTransport.js'
+import { unknownOutcomeFailure, readFailure, readStatusFailure, lostWriteFailure, writeStatusFailure } from '../http/platformFailure.js'
 import {
   readAnswerSchema, rowKeySchema, scanAnswerSchema, transactAnswerSchema,
   type ReadAnswer, type Row, type RowKey, type ScanAnswer, type ScanRequest, type TableStore, type TransactAnswer, type Transaction
@@ -14,23 +14,23 @@
 
 const conflictAnswerSchema = z.object({ conflicts: z.array(rowKeySchema) })
 
-function isRowOf (row: Row | null, key: RowKey | undefined): boolean {
+function matchesKey (row: Row | null, key: RowKey | undefined): boolean {
   return row === null || (row.table === key?.table && row.key === key.key)
 }
 
-function checkRead (keys: readonly RowKey[], answer: ReadAnswer): Either<string, ReadAnswer> {
-  const fits = answer.rows.length === keys.length && answer.rows.every((row, index) => isRowOf(row, keys[index]))
-  return fits ? Right(answer) : Left('the response does not match the requested keys')
+function validateRead (keys: readonly RowKey[], answer: ReadAnswer): Either<string, ReadAnswer> {
+  const isValid = answer.rows.length === keys.length && answer.rows.every((row, index) => matchesKey(row, keys[index]))
+  return isValid ? Right(answer) : Left('the response does not match the requested keys')
 }
 
-function checkScan (req: ScanRequest, answer: ScanAnswer): Either<string, ScanAnswer> {
-  const fits = answer.rows.every(row => row.table === req.table && row.key.startsWith(req.prefix))
-  return fits ? Right(answer) : Left('the response contains rows outside the requested prefix')
+function validateScan (req: ScanRequest, answer: ScanAnswer): Either<string, ScanAnswer> {
+  const isValid = answer.rows.every(row => row.table === req.table && row.key.startsWith(req.prefix))
+  return isValid ? Right(answer) : Left('the response contains rows outside the requested prefix')
 }
 
-function toConflict (answer: HttpAnswer): Failure {
+function toConflictFailure (answer: HttpAnswer): Failure {
   return parseJson(conflictAnswerSchema, answer.body).caseOf({
-    Left: detail => outcomeUnknown(`status 409 without a valid list of conflicts: ${detail}`),
+    Left: detail => unknownOutcomeFailure(`status 409 without a valid list of conflicts: ${detail}`),
     Right: ({ conflicts }) => new Failure('platformConflict', 'a check failed and nothing was written', {
       errors: conflicts.map(item => `${item.table}/${item.key}`)
     })
@@ -52,20 +52,20 @@
   async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
     const body = { keys: keys.map(({ table, key }) => ({ table, key })) }
     const answer = await this.query('read', body, readAnswerSchema)
-    return answer.chain(read => checkRead(keys, read).mapLeft(detail => readFailed(detail)))
+    return answer.chain(read => validateRead(keys, read).mapLeft(detail => readFailure(detail)))
   }
 
   async scan (req: ScanRequest): Promise<Either<Failure, ScanAnswer>> {
     const answer = await this.query('scan', req, scanAnswerSchema)
-    return answer.chain(scan => checkScan(req, scan).mapLeft(detail => readFailed(detail)))
+    return answer.chain(scan => validateScan(req, scan).mapLeft(detail => readFailure(detail)))
   }
 
   async transact (tx: Transaction): Promise<Either<Failure, TransactAnswer>> {
     const answer = await this.post('transact', tx)
-    return answer.mapLeft(writeLost).chain(res => {
-      if (res.status === 409) return Left(toConflict(res))
-      if (res.status !== 200) return Left(writeRefused(res))
-      return parseJson(transactAnswerSchema, res.body).mapLeft(outcomeUnknown)
+    return answer.mapLeft(lostWriteFailure).chain(res => {
+      if (res.status === 409) return Left(toConflictFailure(res))
+      if (res.status !== 200) return Left(writeStatusFailure(res))
+      return parseJson(transactAnswerSchema, res.body).mapLeft(unknownOutcomeFailure)
     })
   }
 
@@ -76,13 +76,13 @@
 
   private async query<T> (operation: string, body: unknown, schema: z.ZodType<T>): Promise<Either<Failure, T>> {
     const answer = await this.post(operation, body)
-    return answer.mapLeft(lost => readFailed(lost.detail)).chain(res => {
-      if (res.status !== 200) return Left(readRefused(res))
-      return parseJson(schema, res.body).mapLeft(detail => readFailed(detail))
+    return answer.mapLeft(error => readFailure(error.detail)).chain(res => {
+      if (res.status !== 200) return Left(readStatusFailure(res))
+      return parseJson(schema, res.body).mapLeft(detail => readFailure(detail))
     })
   }
 
-  private post (operation: string, body: unknown): Promise<Either<LostCall, HttpAnswer>> {
+  private post (operation: string, body: unknown): Promise<Either<TransportError, HttpAnswer>> {
     return this.transport.call({
       method: 'POST',
       url: `${this.baseUrl}/table/${operation}`,
--- a/packages/infra/src/table/tableFeed.ts
+++ b/packages/infra/src/table/tableFeed.ts
@@ -25,12 +25,12 @@
 }
 
 /** How often a table is written: `often` reads in batches at intervals, `seldom` uses long polls that return at once on a change. */
-export type FeedPace = 'often' | 'seldom'
+export type WriteFrequency = 'often' | 'seldom'
 
 export interface TableFeed {
   /**
    * Subscribes to a table; the returned function unsubscribes.
    * @param writeFrequency - defaults to `often`
    */
-  follow (table: string, handler: FeedHandler, pace?: FeedPace): () => void
+  follow (table: string, handler: FeedHandler, writeFrequency?: WriteFrequency): () => void
 }
--- a/packages/infra/src/table/tableTransact.spec.ts
+++ b/packages/infra/src/table/tableTransact.spec.ts
@@ -6,7 +6,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { expect } from 'chai'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { transactUntilKnown, type TransactBuild, type TransactSettled, type WasApplied } from './tableTransact.js'
+import { transactUntilKnown, type TransactionBuilder, type AppliedTransaction, type WasApplied } from './tableTransact.js'
 import type { ReadAnswer, Row, RowKey, TableStore, Transaction } from './tableTypes.js'
 
 /** Outcome of a transaction; a `late` one is applied only after the next read. */
@@ -39,7 +39,7 @@
   async scan (): Promise<never> { throw new Error('not used') }
 
   async transact (tx: Transaction) {
-    this.land()
+    this.applyLate()
     const outcome = this.script[this.sent++] ?? 'ok'
     if (outcome === 'down') return Left(unavailable())
     if (outcome === 'lostBefore') return Left(unknownOutcome())
@@ -54,7 +54,7 @@
   }
 
   /** Applies late transactions whose checks still hold. */
-  land (): void {
+  applyLate (): void {
     this.late.forEach(tx => this.apply(tx))
     this.late = []
   }
@@ -77,7 +77,7 @@
   }
 }
 
-const increment: TransactBuild = {
+const increment: TransactionBuilder = {
   keys: [COUNTER, MARKER],
   build: ({ rows: [counter, marker] }) => Right({
     checks: [{ ...COUNTER, version: counter?.version ?? null }, { ...MARKER, version: marker?.version ?? null }],
@@ -87,12 +87,12 @@
 const hasMarker: WasApplied = rows => rows[1] != null
 const limits = { attempts: ATTEMPTS, pauseMs: 1, maxPauseMs: 4, pause: async (): Promise<void> => {} }
 
-type Way = (table: TableStore) => Promise<Either<Failure, unknown>>
-const product: Way = table => transactUntilKnown(table, increment, hasMarker, limits)
+type Strategy = (table: TableStore) => Promise<Either<Failure, unknown>>
+const untilKnown: Strategy = table => transactUntilKnown(table, increment, hasMarker, limits)
 /** Faulty: retries after a lost response as after a conflict, without reading back. */
-const withoutReadBack: Way = table => transactUntilKnown(table, increment, () => false, limits)
+const withoutReadBack: Strategy = table => transactUntilKnown(table, increment, () => false, limits)
 /** Faulty: reads back once and treats a missing marker as proof that nothing will be written. */
-const trustingOneReadBack: Way = async table => {
+const withSingleReadBack: Strategy = async table => {
   const before = (await table.read(increment.keys)).map(read => increment.build(read).unsafeCoerce())
   if (before.isLeft()) return before
   const answer = await table.transact(before.unsafeCoerce())
@@ -107,25 +107,25 @@
 }
 
 /** Runs a strategy on one script and describes the violation of the guarantee, if any. */
-async function breach (way: Way, script: readonly Outcome[], readsDown: readonly boolean[]): Promise<string | undefined> {
+async function findViolation (strategy: Strategy, script: readonly Outcome[], readsDown: readonly boolean[]): Promise<string | undefined> {
   const table = new ScriptedTable(script, readsDown)
-  const result = await way(table)
-  table.land()
+  const result = await strategy(table)
+  table.applyLate()
   const applied = table.counter()
   if (applied > 1) return `applied ${applied} times`
   if (result.isRight()) return applied === 1 ? undefined : 'reported as applied but was not'
   return applied === 1 && (result.extract() as Failure).ran === 'no' ? 'reported as not applied but was' : undefined
 }
 
-async function breaches (way: Way): Promise<string[]> {
-  const found: string[] = []
+async function findViolations (strategy: Strategy): Promise<string[]> {
+  const violations: string[] = []
   for (const script of sequencesOf(OUTCOMES, ATTEMPTS)) {
     for (const readsDown of sequencesOf([false, true], ATTEMPTS + 1)) {
-      const broken = await breach(way, script, readsDown)
-      if (broken !== undefined) found.push(broken)
+      const violation = await findViolation(strategy, script, readsDown)
+      if (violation !== undefined) violations.push(violation)
     }
   }
-  return found
+  return violations
 }
 
 const cases: readonly [script: Outcome[], expected: string, applied: number][] = [
@@ -141,8 +141,8 @@
   [['down'], 'platformUnavailable', 0]
 ]
 
-function howOrCode (result: Either<Failure, TransactSettled>): string {
-  return result.caseOf<string>({ Left: failure => failure.code, Right: settled => settled.how })
+function describeResult (result: Either<Failure, AppliedTransaction>): string {
+  return result.caseOf<string>({ Left: failure => failure.code, Right: transaction => transaction.detectedBy })
 }
 
 describe('transactUntilKnown', () => {
@@ -150,35 +150,35 @@
     it(`${script.join(', ')}: ${expected}`, async () => {
       const table = new ScriptedTable(script, [])
       const result = await transactUntilKnown(table, increment, hasMarker, limits)
-      table.land()
-      expect(howOrCode(result)).to.equal(expected)
+      table.applyLate()
+      expect(describeResult(result)).to.equal(expected)
       expect(table.counter()).to.equal(applied)
     })
   }
 
   it('detects a transaction applied by an earlier run', async () => {
     const table = new ScriptedTable([], [])
-    await product(table)
-    expect(howOrCode(await transactUntilKnown(table, increment, hasMarker, limits))).to.equal('before')
+    await untilKnown(table)
+    expect(describeResult(await transactUntilKnown(table, increment, hasMarker, limits))).to.equal('before')
     expect(table.counter()).to.equal(1)
   })
 
   it('rejects a transaction whose copies could both be applied', async () => {
     const table = new ScriptedTable([], [])
-    const unguarded: TransactBuild = { ...increment, build: () => Right({ checks: [], writes: [{ ...COUNTER, value: 9 }] }) }
-    expect(howOrCode(await transactUntilKnown(table, unguarded, hasMarker, limits))).to.equal('internal')
+    const unguarded: TransactionBuilder = { ...increment, build: () => Right({ checks: [], writes: [{ ...COUNTER, value: 9 }] }) }
+    expect(describeResult(await transactUntilKnown(table, unguarded, hasMarker, limits))).to.equal('internal')
     expect(table.counter()).to.equal(0)
   })
 
   it('reports the correct outcome for all sequences of outcomes', async () => {
-    expect(await breaches(product)).to.deep.equal([])
+    expect(await findViolations(untilKnown)).to.deep.equal([])
   })
 
   it('would apply twice without reading back (counter-example)', async () => {
-    expect(await breaches(withoutReadBack)).to.include('applied 2 times')
+    expect(await findViolations(withoutReadBack)).to.include('applied 2 times')
   })
 
   it('would report a late write as not applied after a single read back (counter-example)', async () => {
-    expect(await breaches(trustingOneReadBack)).to.include('reported as not applied but was')
+    expect(await findViolations(withSingleReadBack)).to.include('reported as not applied but was')
   })
 })
--- a/packages/infra/src/table/tableTransact.ts
+++ b/packages/infra/src/table/tableTransact.ts
@@ -14,7 +14,7 @@
 
 const BACKOFF_FACTOR = 2
 
-export interface TransactBuild {
+export interface TransactionBuilder {
   /** Rows to read before each attempt: all checked rows and the marker. */
   readonly keys: readonly RowKey[]
   /**
@@ -39,89 +39,89 @@
 }
 
 /** A transaction that is known to be applied. */
-export interface TransactSettled {
+export interface AppliedTransaction {
   /** `answered`: confirmed by the service; `readBack`: detected after an attempt; `before`: applied before the first attempt. */
-  readonly how: 'answered' | 'readBack' | 'before'
+  readonly detectedBy: 'answered' | 'readBack' | 'before'
   /** When `answered`, the rows from which the transaction was built, else the rows that show that it was applied. */
   readonly read: ReadAnswer
   /** The transaction sent, when `answered`. */
   readonly tx?: Transaction
 }
 
-function sameRow (one: RowKey, other: RowKey): boolean {
+function isSameRow (one: RowKey, other: RowKey): boolean {
   return one.table === other.table && one.key === other.key
 }
 
-function isGuarded (tx: Transaction): boolean {
-  return tx.checks.some(check => tx.writes.some(write => sameRow(check, write)))
+function writesCheckedRow (tx: Transaction): boolean {
+  return tx.checks.some(check => tx.writes.some(write => isSameRow(check, write)))
 }
 
-function canStillLand (tx: Transaction, keys: readonly RowKey[], rows: readonly (Row | null)[]): boolean {
+function mayStillApply (tx: Transaction, keys: readonly RowKey[], rows: readonly (Row | null)[]): boolean {
   return tx.checks.every(check => {
-    const index = keys.findIndex(key => sameRow(key, check))
+    const index = keys.findIndex(key => isSameRow(key, check))
     return index < 0 || check.version === (rows[index]?.version ?? null)
   })
 }
 
 /** One run of {@link transactUntilKnown}. */
-class TransactRun {
+class TransactionRun {
   /** Attempts without a response that may still be applied. */
-  private underWay: Transaction[] = []
+  private unresolved: Transaction[] = []
   private sent = 0
 
   constructor (
     private readonly store: TableStore,
-    private readonly make: TransactBuild,
+    private readonly builder: TransactionBuilder,
     private readonly wasApplied: WasApplied,
     private readonly limits: TransactLimits
   ) {}
 
-  async run (): Promise<Either<Failure, TransactSettled>> {
-    let last = new Failure('platformUnavailable', 'the limit allows no attempt')
+  async run (): Promise<Either<Failure, AppliedTransaction>> {
+    let lastFailure = new Failure('platformUnavailable', 'the limit allows no attempt')
     for (let round = 0; round <= this.limits.attempts; round++) {
       if (round > 0) await this.limits.pause(this.pauseMs(round))
       const mayWrite = round < this.limits.attempts
       const result = await this.round(mayWrite)
       if (result.isRight()) return result
-      last = result.extract() as Failure
-      const goesOn = last.code === 'platformConflict' ? mayWrite : this.underWay.length > 0
-      if (!goesOn) break
+      lastFailure = result.extract() as Failure
+      const isRetryable = lastFailure.code === 'platformConflict' ? mayWrite : this.unresolved.length > 0
+      if (!isRetryable) break
     }
-    return Left(this.conclude(last))
+    return Left(this.toFinalFailure(lastFailure))
   }
 
-  private async round (mayWrite: boolean): Promise<Either<Failure, TransactSettled>> {
-    const answer = await this.store.read(this.make.keys)
+  private async round (mayWrite: boolean): Promise<Either<Failure, AppliedTransaction>> {
+    const answer = await this.store.read(this.builder.keys)
     if (answer.isLeft()) return Left(answer.extract() as Failure)
     const read = answer.unsafeCoerce()
-    if (this.wasApplied(read.rows)) return Right({ how: this.sent > 0 ? 'readBack' : 'before', read })
-    this.underWay = this.underWay.filter(tx => canStillLand(tx, this.make.keys, read.rows))
+    if (this.wasApplied(read.rows)) return Right({ detectedBy: this.sent > 0 ? 'readBack' : 'before', read })
+    this.unresolved = this.unresolved.filter(tx => mayStillApply(tx, this.builder.keys, read.rows))
     if (!mayWrite) return Left(new Failure('platformConflict', 'all attempts are used up'))
     return await this.attempt(read)
   }
 
-  private async attempt (read: ReadAnswer): Promise<Either<Failure, TransactSettled>> {
-    const built = this.make.build(read)
+  private async attempt (read: ReadAnswer): Promise<Either<Failure, AppliedTransaction>> {
+    const built = this.builder.build(read)
     if (built.isLeft()) return Left(built.extract() as Failure)
     const tx = built.unsafeCoerce()
-    if (!isGuarded(tx)) return Left(new Failure('internal', 'a transaction must check a row that it writes'))
+    if (!writesCheckedRow(tx)) return Left(new Failure('internal', 'a transaction must check a row that it writes'))
     this.sent++
     const answer = await this.store.transact(tx)
-    if (answer.isRight()) return Right({ how: 'answered', read, tx })
+    if (answer.isRight()) return Right({ detectedBy: 'answered', read, tx })
     const failure = answer.extract() as Failure
-    if (failure.code === 'platformOutcomeUnknown') this.underWay.push(tx)
+    if (failure.code === 'platformOutcomeUnknown') this.unresolved.push(tx)
     return Left(failure)
   }
 
-  private conclude (failure: Failure): Failure {
-    if (this.underWay.length === 0) return failure
+  private toFinalFailure (failure: Failure): Failure {
+    if (this.unresolved.length === 0) return failure
     return new Failure('platformOutcomeUnknown', `an attempt without a response may still take effect; last failure: ${failure.message}`, { ran: 'unknown' })
   }
 
   private pauseMs (round: number): number {
-    const full = Math.min(this.limits.pauseMs * BACKOFF_FACTOR ** (round - 1), this.limits.maxPauseMs)
-    const spread = this.limits.random?.() ?? 0
-    return full * (1 - spread / 2)
+    const maxBackoffMs = Math.min(this.limits.pauseMs * BACKOFF_FACTOR ** (round - 1), this.limits.maxPauseMs)
+    const jitter = this.limits.random?.() ?? 0
+    return maxBackoffMs * (1 - jitter / 2)
   }
 }
 
@@ -131,7 +131,7 @@
  * be written; `platformOutcomeUnknown` if an attempt may have been applied or still may be.
  */
 export async function transactUntilKnown (
-  store: TableStore, make: TransactBuild, wasApplied: WasApplied, limits: TransactLimits
-): Promise<Either<Failure, TransactSettled>> {
-  return await new TransactRun(store, make, wasApplied, limits).run()
+  store: TableStore, builder: TransactionBuilder, wasApplied: WasApplied, limits: TransactLimits
+): Promise<Either<Failure, AppliedTransaction>> {
+  return await new TransactionRun(store, builder, wasApplied, limits).run()
 }
--- a/packages/infra/src/vmList/httpVmList.ts
+++ b/packages/infra/src/vmList/httpVmList.ts
@@ -4,7 +4,7 @@
 import { Left, type Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { HttpTransport, parseJson } from '../http/httpTransport.js'
-import { readFailed, readRefused } from '../http/platformFailure.js'
+import { readFailure, readStatusFailure } from '../http/platformFailure.js'
 import { vmListAnswerSchema, type VmList, type VmListAnswer } from './vmListTypes.js'
 
 /** Failure: `platformUnavailable`. */
@@ -22,9 +22,9 @@
 
   async list (): Promise<Either<Failure, VmListAnswer>> {
     const answer = await this.transport.call({ method: 'GET', url: `${this.baseUrl}/vms`, timeoutMs: this.timeoutMs })
-    return answer.mapLeft(lost => readFailed(lost.detail)).chain(res => {
-      if (res.status !== 200) return Left(readRefused(res))
-      return parseJson(vmListAnswerSchema, res.body).mapLeft(detail => readFailed(detail))
+    return answer.mapLeft(error => readFailure(error.detail)).chain(res => {
+      if (res.status !== 200) return Left(readStatusFailure(res))
+      return parseJson(vmListAnswerSchema, res.body).mapLeft(detail => readFailure(detail))
     })
   }
 
--- a/packages/infra/src/weights/httpWeightStore.ts
+++ b/packages/infra/src/weights/httpWeightStore.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { HttpTransport, parseJson } from '../http/httpTransport.js'
-import { readFailed, readRefused } from '../http/platformFailure.js'
+import { readFailure, readStatusFailure } from '../http/platformFailure.js'
 import type { WeightInfo, WeightStore } from './weightTypes.js'
 
 const weightInfoSchema = z.object({
@@ -30,11 +30,11 @@
   async describe (model: string, version: string): Promise<Either<Failure, WeightInfo>> {
     const url = `${this.baseUrl}/weights/${encodeURIComponent(model)}/${encodeURIComponent(version)}`
     const answer = await this.transport.call({ method: 'GET', url, timeoutMs: this.timeoutMs })
-    return answer.mapLeft(lost => readFailed(lost.detail)).chain(res => {
+    return answer.mapLeft(error => readFailure(error.detail)).chain(res => {
       if (res.status === 404) return Left(new Failure('notFound', `no weights for model ${model} version ${version}`))
-      if (res.status !== 200) return Left(readRefused(res))
-      const fits = weightInfoSchema.refine(info => info.model === model && info.version === version, 'weights of a different model or version')
-      return parseJson(fits, res.body).mapLeft(detail => readFailed(detail))
+      if (res.status !== 200) return Left(readStatusFailure(res))
+      const schema = weightInfoSchema.refine(info => info.model === model && info.version === version, 'weights of a different model or version')
+      return parseJson(schema, res.body).mapLeft(detail => readFailure(detail))
     })
   }
 
--- a/packages/operators/src/admin/adminServer.spec.ts
+++ b/packages/operators/src/admin/adminServer.spec.ts
@@ -9,7 +9,7 @@
 import { AdminServer } from './adminServer.js'
 import { fakeAdminService, fakeVms } from './fakeAdminService.spec.js'
 
-interface Row {
+interface RequestCase {
   readonly title: string
   readonly key?: string
   readonly method?: 'GET' | 'POST' | 'PUT'
@@ -25,7 +25,7 @@
 const topUp = { operationId: 'o1', tokens: 500, author: 'ana' }
 const budget = { budget: 'viajes', paid: 1000, spent: 200, allotted: 300, inDoubt: 0, holders: [] }
 
-const table: readonly Row[] = [
+const cases: readonly RequestCase[] = [
   { title: 'a missing key', key: '', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
   { title: 'an invalid key', key: 'x', path: '/admin/v1/vms', status: 401, answer: 'unauthorized' },
   { title: 'a missing key on an unknown path', key: '', path: '/admin/v1/x', status: 404, answer: 'notFound' },
@@ -97,7 +97,7 @@
   before(async () => { base = `http://${await server.listen('127.0.0.1:0')}` })
   after(() => server.close())
 
-  for (const row of table) {
+  for (const row of cases) {
     it(`${row.title}: ${row.status}`, async () => {
       const { key = 'admin', method = 'GET', path, body } = row
       const res = await got(`${base}${path}`, {
--- a/packages/operators/src/admin/adminServer.ts
+++ b/packages/operators/src/admin/adminServer.ts
@@ -15,7 +15,7 @@
 import type { RouteMethod } from '@rosemaryspread/http/server/httpRouter.js'
 import { HttpServer } from '@rosemaryspread/http/server/httpServer.js'
 import { RestifyRouter } from '@rosemaryspread/http/server/restifyRouter.js'
-import { budgetParam, historyQuery, versionQuery } from './adminQueries.js'
+import { parseBudgetName, parseHistoryLimit, parseVersion } from './adminQueries.js'
 import { patchRequestSchema, topUpRequestSchema, type AdminService } from './adminTypes.js'
 import { configStatus, type ConfigStatus } from './configStatus.js'
 
@@ -26,7 +26,7 @@
 }
 
 /** Computes the JSON response of one route. */
-type Answering = (exchange: HttpExchange) => Promise<Either<Failure, unknown>>
+type RouteHandler = (exchange: HttpExchange) => Promise<Either<Failure, unknown>>
 
 export class AdminServer {
   private readonly http: HttpServer
@@ -64,16 +64,16 @@
     return this.http.openRequests()
   }
 
-  private route (method: RouteMethod, path: string, answering: Answering): void {
+  private route (method: RouteMethod, path: string, handler: RouteHandler): void {
     this.http.route(method, path, async (exchange) => {
-      const allowed = this.allow(method, exchange)
-      if (allowed.isLeft()) return allowed
-      const answer = await answering(exchange)
+      const authorized = this.authorize(method, exchange)
+      if (authorized.isLeft()) return authorized
+      const answer = await handler(exchange)
       return answer.map((body) => exchange.sendJson(200, body, { 'Cache-Control': 'no-store' }))
     })
   }
 
-  private allow (method: RouteMethod, exchange: HttpExchange): Either<Failure, void> {
+  private authorize (method: RouteMethod, exchange: HttpExchange): Either<Failure, void> {
     const operator = bearerKey(exchange.req.headers).chain((key) => this.service.authenticate(key))
     return operator.chain(({ operator: name, role }) => {
       exchange.client = name
@@ -83,13 +83,13 @@
   }
 
   private config (exchange: HttpExchange): Promise<Either<Failure, unknown>> {
-    return EitherAsync.liftEither(versionQuery(exchange.req.url ?? ''))
+    return EitherAsync.liftEither(parseVersion(exchange.req.url ?? ''))
       .chain((version) => this.service.config(version))
       .run()
   }
 
   private history (exchange: HttpExchange): Promise<Either<Failure, unknown>> {
-    return EitherAsync.liftEither(historyQuery(exchange.req.url ?? ''))
+    return EitherAsync.liftEither(parseHistoryLimit(exchange.req.url ?? ''))
       .chain((limit) => this.service.history(limit))
       .map((entries) => ({ entries }))
       .run()
@@ -107,13 +107,13 @@
   }
 
   private budget (exchange: HttpExchange): Promise<Either<Failure, unknown>> {
-    return EitherAsync.liftEither(budgetParam(exchange.params))
+    return EitherAsync.liftEither(parseBudgetName(exchange.params))
       .chain((budget) => this.service.budget(budget))
       .run()
   }
 
   private topUp (exchange: HttpExchange): Promise<Either<Failure, unknown>> {
-    return EitherAsync.liftEither(budgetParam(exchange.params))
+    return EitherAsync.liftEither(parseBudgetName(exchange.params))
       .chain((budget) => this.body(exchange, topUpRequestSchema).chain((req) => this.service.topUp(budget, req)))
       .run()
   }
--- a/packages/operators/src/admin/configStatus.ts
+++ b/packages/operators/src/admin/configStatus.ts
@@ -25,20 +25,20 @@
 export type ConfigStatus = z.infer<typeof configStatusSchema>
 
 /** State of a VM that the platform has terminated. */
-const endedState = 'gone'
+const terminatedState = 'gone'
 
 /**
  * Compares the versions of all VMs with the newest known one.
  * @param localVersion - version in force on the responding VM
  */
-export function configStatus (inForce: number, vms: readonly VmAnswer[]): ConfigStatus {
-  const version = Math.max(inForce, ...vms.map((vm) => vm.configVersion ?? 0))
+export function configStatus (localVersion: number, vms: readonly VmAnswer[]): ConfigStatus {
+  const version = Math.max(localVersion, ...vms.map((vm) => vm.configVersion ?? 0))
   return { version, vms: vms.map((vm) => vmStatus(version, vm)) }
 }
 
 function vmStatus (version: number, vm: VmAnswer): VmStatus {
   const { domain, state, configVersion, ageMs } = vm
-  const behind = configVersion === null || configVersion < version
-  const lags = behind && state !== endedState
+  const isBehind = configVersion === null || configVersion < version
+  const lags = isBehind && state !== terminatedState
   return { vm: vm.vm, domain, state, configVersion, lags, ageMs }
 }
--- a/packages/operators/src/admin/fakeAdminService.spec.ts
+++ b/packages/operators/src/admin/fakeAdminService.spec.ts
@@ -13,7 +13,7 @@
   { vm: 't2', domain: 'tababela', address: '10.0.2.2:8001', state: 'gone', configVersion: 2, ageMs: 90_000 }
 ]
 
-function identity (bearer: string): Either<Failure, OperatorIdentity> {
+function authenticateKey (bearer: string): Either<Failure, OperatorIdentity> {
   if (bearer === 'admin') return Right({ operator: 'ana', role: 'admin' })
   if (bearer === 'view') return Right({ operator: 'luz', role: 'viewer' })
   return Left(new Failure('unauthorized', 'no operator has this key'))
@@ -33,7 +33,7 @@
     topUps: new Map(),
     teams: {},
     version: 4,
-    authenticate: identity,
+    authenticate: authenticateKey,
     config: async (version) => Right({ version: version ?? fake.version, config: { teams: fake.teams } }),
     patch: async (req) => {
       fake.patches.push(req)
--- a/packages/operators/src/ctl/adminClient.ts
+++ b/packages/operators/src/ctl/adminClient.ts
@@ -17,16 +17,16 @@
   readonly pause: (ms: number) => Promise<void>
 }
 
-const rounds = 3
+const maxRounds = 3
 const roundPauseMs = 250
-const serverErrorStatus = 500
+const minServerErrorStatus = 500
 
 /** Failures of a single server, after which the next one is tried. */
-const tryElsewhere: ReadonlySet<ResultName> = new Set<ResultName>([
+const retryableOnNextServer: ReadonlySet<ResultName> = new Set<ResultName>([
   'peerUnreachable', 'platformOutcomeUnknown', 'draining', 'configNotLoaded'
 ])
 
-const notAllowed: ReadonlySet<ResultName> = new Set<ResultName>(['unauthorized', 'forbidden'])
+const permissionFailures: ReadonlySet<ResultName> = new Set<ResultName>(['unauthorized', 'forbidden'])
 
 export class AdminClient {
   constructor (private readonly options: AdminClientOptions) {}
@@ -46,13 +46,13 @@
 
   private async send (req: AdminRequest): Promise<Either<Failure, unknown>> {
     const failures: Failure[] = []
-    for (let round = 1; round <= rounds; round++) {
+    for (let round = 1; round <= maxRounds; round++) {
       const answer = await this.sendToAny(req, failures)
-      if (answer !== undefined) return answer.mapLeft((failure) => afterLosses(failure, failures))
-      if (round === rounds || !failures.some(isLost)) break
+      if (answer !== undefined) return answer.mapLeft((failure) => withUnknownOutcome(failure, failures))
+      if (round === maxRounds || !failures.some(isLost)) break
       await this.options.pause(round * roundPauseMs)
     }
-    return Left(this.unreachable(failures))
+    return Left(this.toFinalFailure(failures))
   }
 
   /** Tries each server once and returns the first definite response. */
@@ -60,13 +60,13 @@
     for (const server of this.options.servers) {
       const answer = await sendOnce(server, this.options.key, this.options.timeoutMs, req)
       const failure = answer.swap().toMaybe().extract()
-      if (failure === undefined || !tryElsewhere.has(failure.code)) return answer
+      if (failure === undefined || !retryableOnNextServer.has(failure.code)) return answer
       failures.push(failure)
     }
     return undefined
   }
 
-  private unreachable (failures: readonly Failure[]): Failure {
+  private toFinalFailure (failures: readonly Failure[]): Failure {
     const last = failures[failures.length - 1]
     const refusal = failures.some(isLost) || last?.code === 'peerUnreachable' ? undefined : last
     if (refusal !== undefined) return refusal
@@ -81,9 +81,9 @@
 }
 
 /** A refusal after a lost response does not show the outcome of the lost attempt, unless the server compared the id. */
-function afterLosses (failure: Failure, earlier: readonly Failure[]): Failure {
-  const definite = failure.entry.status < serverErrorStatus && !notAllowed.has(failure.code)
-  if (definite || !earlier.some(isLost)) return failure
+function withUnknownOutcome (failure: Failure, earlier: readonly Failure[]): Failure {
+  const isDefinite = failure.entry.status < minServerErrorStatus && !permissionFailures.has(failure.code)
+  if (isDefinite || !earlier.some(isLost)) return failure
   const detail = `${failure.message}; an earlier attempt of this command may have taken effect`
   return new Failure(failure.code, detail, { ran: 'unknown', errors: failure.errors })
 }
--- a/packages/operators/src/ctl/adminRequest.ts
+++ b/packages/operators/src/ctl/adminRequest.ts
@@ -16,7 +16,7 @@
 const okStatus = 200
 
 /** Error codes of requests that failed before a connection was made, so that nothing was sent. */
-const notConnected: ReadonlySet<string> = new Set([
+const notConnectedCodes: ReadonlySet<string> = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'EADDRNOTAVAIL'
 ])
 
@@ -51,13 +51,13 @@
     })
     return readAnswer(server, res.statusCode, res.body)
   } catch (err) {
-    return Left(networkFailure(server, req, err))
+    return Left(toNetworkFailure(server, req, err))
   }
 }
 
-function networkFailure (server: string, req: AdminRequest, err: unknown): Failure {
-  const sent = !(err instanceof RequestError && (notConnected.has(err.code) || isConnectTimeout(err)))
-  const ran = sent && req.method === 'POST' ? 'unknown' : 'no'
+function toNetworkFailure (server: string, req: AdminRequest, err: unknown): Failure {
+  const mayBeSent = !(err instanceof RequestError && (notConnectedCodes.has(err.code) || isConnectTimeout(err)))
+  const ran = mayBeSent && req.method === 'POST' ? 'unknown' : 'no'
   return new Failure('peerUnreachable', `${server}: ${err instanceof Error ? err.message : String(err)}`, { ran })
 }
 
@@ -65,7 +65,7 @@
   return err instanceof TimeoutError && err.event === 'connect'
 }
 
-function parsed (text: string): unknown {
+function tryParseJson (text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
@@ -74,18 +74,18 @@
 }
 
 function readAnswer (server: string, status: number, text: string): Either<Failure, unknown> {
-  const value = parsed(text)
+  const value = tryParseJson(text)
   if (status === okStatus && value !== undefined) return Right(value)
   const problem = problemSchema.safeParse(value)
   if (!problem.success) return Left(new Failure('internal', `${server} responded with HTTP ${status} and an unexpected body`, { ran: 'unknown' }))
-  return Left(problemFailure(problem.data))
+  return Left(toFailure(problem.data))
 }
 
 function isResultName (name: string): name is ResultName {
   return Object.hasOwn(resultCodes, name)
 }
 
-function problemFailure (problem: z.output<typeof problemSchema>): Failure {
+function toFailure (problem: z.output<typeof problemSchema>): Failure {
   const { name, code, title, detail, ran, retryAfterMs, errors } = problem
   const extras = {
     ran,
--- a/packages/operators/src/ctl/budgetCommands.ts
+++ b/packages/operators/src/ctl/budgetCommands.ts
@@ -3,7 +3,7 @@
  */
 import { budgetAnswerSchema, type BudgetAnswer } from '../admin/adminTypes.js'
 import type { CtlAction, CtlOutput } from './ctlTypes.js'
-import { ageText, textTable } from './textTable.js'
+import { formatAge, formatTable } from './textTable.js'
 
 /** Arguments of `budget topup` and `budget lower`. */
 export interface TopUpArgs {
@@ -40,9 +40,9 @@
 
 function budgetOutput (value: BudgetAnswer): CtlOutput {
   const { budget, paid, spent, allotted, inDoubt, holders } = value
-  const total = textTable(['BUDGET', 'PAID', 'SPENT', 'ALLOTTED', 'IN DOUBT', 'LEFT'],
+  const totalsTable = formatTable(['BUDGET', 'PAID', 'SPENT', 'ALLOTTED', 'IN DOUBT', 'LEFT'],
     [[budget, paid, spent, allotted, inDoubt, paid - spent - allotted]])
-  const rows = holders.map(({ holder, held, ageMs, state }) => [holder, held, state, ageText(ageMs)])
-  const held = rows.length === 0 ? '' : `\n\n${textTable(['HOLDER', 'HELD', 'STATE', 'HEARD'], rows)}`
-  return { value, text: total + held }
+  const rows = holders.map(({ holder, held, ageMs, state }) => [holder, held, state, formatAge(ageMs)])
+  const holdersTable = rows.length === 0 ? '' : `\n\n${formatTable(['HOLDER', 'HELD', 'STATE', 'HEARD'], rows)}`
+  return { value, text: totalsTable + holdersTable }
 }
--- a/packages/operators/src/ctl/configCommands.ts
+++ b/packages/operators/src/ctl/configCommands.ts
@@ -9,7 +9,7 @@
 import { configAnswerSchema, historyEntrySchema, patchAnswerSchema, patchRequestSchema, type HistoryEntry, type PatchAnswer, type PatchRequest } from '../admin/adminTypes.js'
 import { configStatusSchema, type ConfigStatus } from '../admin/configStatus.js'
 import type { CtlAction, CtlIo, CtlOutput, CtlSession } from './ctlTypes.js'
-import { ageText, textTable } from './textTable.js'
+import { formatAge, formatTable } from './textTable.js'
 
 const configPath = '/admin/v1/config'
 
@@ -37,7 +37,7 @@
 /** `config patch` */
 export function patchConfig (args: PatchArgs): CtlAction {
   return (session) => EitherAsync.fromPromise(() => readPatch(session.io, args.file))
-    .chain((patch) => withBase(session, args, patch))
+    .chain((patch) => createPatchRequest(session, args, patch))
     .chain((req) => sendPatch(session, req))
     .map(patchOutput)
     .run()
@@ -77,7 +77,7 @@
   }
 }
 
-async function withBase (session: CtlSession, args: PatchArgs, patch: PatchRequest['patch']): Promise<Either<Failure, PatchRequest>> {
+async function createPatchRequest (session: CtlSession, args: PatchArgs, patch: PatchRequest['patch']): Promise<Either<Failure, PatchRequest>> {
   const { author, dryRun } = args
   const patchId = args.patchId ?? session.io.newId()
   session.io.err(`patch id: ${patchId}`)
@@ -99,11 +99,11 @@
 function historyText (entries: readonly HistoryEntry[]): string {
   const rows = entries.map(({ version, at, author, patchId, patch }) =>
     [version, new Date(at).toISOString(), author, patchId, patch.length])
-  return textTable(['VERSION', 'AT', 'AUTHOR', 'PATCH ID', 'OPERATIONS'], rows)
+  return formatTable(['VERSION', 'AT', 'AUTHOR', 'PATCH ID', 'OPERATIONS'], rows)
 }
 
 function statusText ({ version, vms }: ConfigStatus): string {
   const rows = vms.map(({ vm, domain, state, configVersion, lags, ageMs }) =>
-    [vm, domain, state, configVersion, lags ? 'yes' : 'no', ageText(ageMs)])
-  return `newest version: ${version}\n${textTable(['VM', 'DOMAIN', 'STATE', 'VERSION', 'LAGS', 'HEARD'], rows)}`
+    [vm, domain, state, configVersion, lags ? 'yes' : 'no', formatAge(ageMs)])
+  return `newest version: ${version}\n${formatTable(['VM', 'DOMAIN', 'STATE', 'VERSION', 'LAGS', 'HEARD'], rows)}`
 }
--- a/packages/operators/src/ctl/ctlArguments.ts
+++ b/packages/operators/src/ctl/ctlArguments.ts
@@ -10,11 +10,11 @@
 import { createTeam, listTeams } from './teamCommands.js'
 
 /** Receives the selected command. */
-export type Choose = (action: CtlAction) => void
+export type SelectAction = (action: CtlAction) => void
 
 const defaultTimeoutMs = 10_000
 const defaultHistoryLimit = 20
-const wholePattern = /^[0-9]{1,15}$/
+const integerPattern = /^[0-9]{1,15}$/
 
 /** Option that may be repeated or hold several comma-separated values. */
 function listOption (describe: string): { type: 'string', describe: string, requiresArg: true, coerce: (value: unknown) => string[] } {
@@ -27,7 +27,7 @@
 }
 
 /** Option with a single text value. */
-function text (name: string, describe: string) {
+function textOption (name: string, describe: string) {
   const coerce = (value: string | undefined): string | undefined => {
     if (Array.isArray(value)) throw new Error(`--${name} may be given once only`)
     return value
@@ -35,27 +35,27 @@
   return { type: 'string', describe, requiresArg: true, coerce } as const
 }
 
-function neededText (name: string, describe: string) {
-  const { coerce } = text(name, describe)
-  return { ...text(name, describe), demandOption: true, coerce: (value: string): string => coerce(value) ?? '' } as const
+function requiredTextOption (name: string, describe: string) {
+  const { coerce } = textOption(name, describe)
+  return { ...textOption(name, describe), demandOption: true, coerce: (value: string): string => coerce(value) ?? '' } as const
 }
 
 /** Option with one whole number; declared as text, since number options of yargs accept `1e3`. */
-function whole (name: string, describe: string) {
-  const coerce = (value: string | undefined): number | undefined => value === undefined ? undefined : wholeNumber(name, value)
+function integerOption (name: string, describe: string) {
+  const coerce = (value: string | undefined): number | undefined => value === undefined ? undefined : parseInteger(name, value)
   return { type: 'string', describe, requiresArg: true, coerce } as const
 }
 
-function neededWhole (name: string, describe: string) {
-  return { ...whole(name, describe), demandOption: true, coerce: (value: string): number => wholeNumber(name, value) } as const
+function requiredIntegerOption (name: string, describe: string) {
+  return { ...integerOption(name, describe), demandOption: true, coerce: (value: string): number => parseInteger(name, value) } as const
 }
 
-function wholeOr (name: string, describe: string, value: number) {
-  return { ...whole(name, describe), default: String(value), coerce: (text: string): number => wholeNumber(name, text) } as const
+function integerOptionWithDefault (name: string, describe: string, value: number) {
+  return { ...integerOption(name, describe), default: String(value), coerce: (text: string): number => parseInteger(name, text) } as const
 }
 
-function wholeNumber (name: string, value: unknown): number {
-  if (typeof value !== 'string' || !wholePattern.test(value)) throw new Error(`--${name}: use one whole number of at most 15 digits`)
+function parseInteger (name: string, value: unknown): number {
+  if (typeof value !== 'string' || !integerPattern.test(value)) throw new Error(`--${name}: use one whole number of at most 15 digits`)
   return Number(value)
 }
 
@@ -63,24 +63,24 @@
  * Builds the parser.
  * @param io - provides environment variables for defaults
  */
-export function ctlParser (io: CtlIo, choose: Choose) {
+export function createCtlParser (io: CtlIo, select: SelectAction) {
   const author = io.env.USER ?? 'rosemaryspreadctl'
   return yargs()
     .scriptName('rosemaryspreadctl')
     .locale('en')
     .parserConfiguration({ 'camel-case-expansion': true, 'parse-numbers': false })
     .option('server', listOption('base URL of an admin API; repeatable, servers are tried in order (RSCTL_SERVER)'))
-    .option('key', text('key', 'operator key; prefer RSCTL_KEY, which other users of the machine cannot see'))
+    .option('key', textOption('key', 'operator key; prefer RSCTL_KEY, which other users of the machine cannot see'))
     .option('output', { choices: ['table', 'json'] as const, default: 'table' as const, describe: 'output format' })
-    .option('timeout-ms', wholeOr('timeout-ms', 'timeout of one attempt in milliseconds', defaultTimeoutMs))
-    .command('config', 'the configuration of the fleet', (args) => configCommands(args, choose))
-    .command('team', 'teams and their keys', (args) => teamCommands(args, choose, author))
-    .command('budget', 'prepaid budgets', (args) => budgetCommands(args, choose))
+    .option('timeout-ms', integerOptionWithDefault('timeout-ms', 'timeout of one attempt in milliseconds', defaultTimeoutMs))
+    .command('config', 'the configuration of the fleet', (args) => addConfigCommands(args, select))
+    .command('team', 'teams and their keys', (args) => addTeamCommands(args, select, author))
+    .command('budget', 'prepaid budgets', (args) => addBudgetCommands(args, select))
     .command('runner', 'runners', (args) => args
-      .command('list', 'all runners', {}, () => choose(listRunners)).demandCommand(1, 'name a command'))
+      .command('list', 'all runners', {}, () => select(listRunners)).demandCommand(1, 'name a command'))
     .command('vm', 'VMs', (args) => args
-      .command('list', 'all VMs', {}, () => choose(listVms)).demandCommand(1, 'name a command'))
-    .command('addresses', 'the addresses advertised to callers', {}, () => choose(listAddresses))
+      .command('list', 'all VMs', {}, () => select(listVms)).demandCommand(1, 'name a command'))
+    .command('addresses', 'the addresses advertised to callers', {}, () => select(listAddresses))
     .demandCommand(1, 'name a command')
     .strict()
     .exitProcess(false)
@@ -88,18 +88,18 @@
     .help()
 }
 
-function configCommands (args: Argv, choose: Choose): Argv {
+function addConfigCommands (args: Argv, select: SelectAction): Argv {
   return args
     .command('get', 'show the configuration in force or of another version', {
-      version: whole('version', 'version to show (default: the one in force)')
-    }, (argv) => choose(getConfig(argv.version)))
+      version: integerOption('version', 'version to show (default: the one in force)')
+    }, (argv) => select(getConfig(argv.version)))
     .command('patch', 'change the configuration by RFC 6902 operations', {
-      file: neededText('file', 'JSON file with the operations, - for standard input'),
-      author: neededText('author', 'author of the change'),
-      base: whole('base', 'version that the patch is based on (default: the one in force)'),
-      'patch-id': text('patch-id', 'id of this change; reuse it when repeating an interrupted command (default: random)'),
+      file: requiredTextOption('file', 'JSON file with the operations, - for standard input'),
+      author: requiredTextOption('author', 'author of the change'),
+      base: integerOption('base', 'version that the patch is based on (default: the one in force)'),
+      'patch-id': textOption('patch-id', 'id of this change; reuse it when repeating an interrupted command (default: random)'),
       'dry-run': { type: 'boolean', default: false, describe: 'validate without applying' }
-    }, (argv) => choose(patchConfig({
+    }, (argv) => select(patchConfig({
       file: argv.file,
       author: argv.author,
       base: argv.base,
@@ -107,25 +107,25 @@
       dryRun: argv['dry-run']
     })))
     .command('history', 'the latest changes', {
-      limit: wholeOr('limit', 'maximum number of changes', defaultHistoryLimit)
-    }, ({ limit }) => choose(showHistory(limit)))
-    .command('status', 'configuration version of each VM', {}, () => choose(showStatus))
+      limit: integerOptionWithDefault('limit', 'maximum number of changes', defaultHistoryLimit)
+    }, ({ limit }) => select(showHistory(limit)))
+    .command('status', 'configuration version of each VM', {}, () => select(showStatus))
     .demandCommand(1, 'name a command')
     .version(false)
 }
 
-function teamCommands (args: Argv, choose: Choose, author: string): Argv {
+function addTeamCommands (args: Argv, select: SelectAction, author: string): Argv {
   return args
     .command('create <id>', 'create a team and show its key once', (sub) => sub
       .positional('id', { type: 'string', demandOption: true })
       .options({
-        'display-name': neededText('display-name', 'human-readable name'),
-        budget: neededText('budget', 'budget that the team draws on'),
+        'display-name': requiredTextOption('display-name', 'human-readable name'),
+        budget: requiredTextOption('budget', 'budget that the team draws on'),
         model: listOption('model that the team may use; repeatable'),
         service: listOption('service that the team may use; repeatable'),
-        weight: { ...neededText('weight', 'weight in contended queues'), default: '1' },
-        author: { ...neededText('author', 'author of the change'), default: author }
-      }), (argv) => choose(createTeam({
+        weight: { ...requiredTextOption('weight', 'weight in contended queues'), default: '1' },
+        author: { ...requiredTextOption('author', 'author of the change'), default: author }
+      }), (argv) => select(createTeam({
       id: argv.id,
       displayName: argv['display-name'],
       budget: argv.budget,
@@ -134,30 +134,30 @@
       weight: Number(argv.weight),
       author: argv.author
     })))
-    .command('list', 'all teams', {}, () => choose(listTeams))
+    .command('list', 'all teams', {}, () => select(listTeams))
     .demandCommand(1, 'name a command')
 }
 
-function topUpOptions (args: Argv, verb: string) {
+function addTopUpOptions (args: Argv, verb: string) {
   return args
     .positional('budget', { type: 'string', demandOption: true })
     .options({
-      tokens: neededWhole('tokens', `tokens to ${verb}`),
-      author: neededText('author', 'author of the change'),
-      'operation-id': text('operation-id', 'id of this change; reuse it when repeating an interrupted command (default: random)')
+      tokens: requiredIntegerOption('tokens', `tokens to ${verb}`),
+      author: requiredTextOption('author', 'author of the change'),
+      'operation-id': textOption('operation-id', 'id of this change; reuse it when repeating an interrupted command (default: random)')
     })
 }
 
-function topUpArgs (argv: { budget: string, tokens: number, author: string, 'operation-id': string | undefined }): TopUpArgs {
+function toTopUpArgs (argv: { budget: string, tokens: number, author: string, 'operation-id': string | undefined }): TopUpArgs {
   const { budget, tokens, author } = argv
   return { budget, tokens, author, operationId: argv['operation-id'] }
 }
 
-function budgetCommands (args: Argv, choose: Choose): Argv {
+function addBudgetCommands (args: Argv, select: SelectAction): Argv {
   return args
-    .command('topup <budget>', 'add paid tokens', (sub) => topUpOptions(sub, 'add'), (argv) => choose(topUpBudget(topUpArgs(argv))))
-    .command('lower <budget>', 'remove paid tokens that are neither spent nor allotted', (sub) => topUpOptions(sub, 'remove'), (argv) => choose(lowerBudget(topUpArgs(argv))))
+    .command('topup <budget>', 'add paid tokens', (sub) => addTopUpOptions(sub, 'add'), (argv) => select(topUpBudget(toTopUpArgs(argv))))
+    .command('lower <budget>', 'remove paid tokens that are neither spent nor allotted', (sub) => addTopUpOptions(sub, 'remove'), (argv) => select(lowerBudget(toTopUpArgs(argv))))
     .command('show <budget>', 'show paid, spent and allotted tokens', (sub) => sub
-      .positional('budget', { type: 'string', demandOption: true }), (argv) => choose(showBudget(argv.budget)))
+      .positional('budget', { type: 'string', demandOption: true }), (argv) => select(showBudget(argv.budget)))
     .demandCommand(1, 'name a command')
 }
--- a/packages/operators/src/ctl/ctlProgram.spec.ts
+++ b/packages/operators/src/ctl/ctlProgram.spec.ts
@@ -11,23 +11,23 @@
 import { fakeAdminService, type FakeAdminService } from '../admin/fakeAdminService.spec.js'
 import { runCtl } from './ctlProgram.js'
 
-interface Ran {
+interface CtlResult {
   readonly exit: number
   readonly out: string
   readonly err: string
 }
 
-const files: Record<string, string> = {
+const patchFiles: Record<string, string> = {
   'good.json': '[{"op":"remove","path":"/teams/x"}]',
   'broken.json': '[{',
   'object.json': '{}',
   '-': '[{"op":"test","path":"","value":1}]'
 }
 
-const topUp = 'budget topup viajes --tokens 500 --author ana'
-const create = 'team create viajes --display-name Viajes --budget viajes'
+const topUpCommand = 'budget topup viajes --tokens 500 --author ana'
+const createCommand = 'team create viajes --display-name Viajes --budget viajes'
 
-async function ctl (line: string, env: Record<string, string> = {}): Promise<Ran> {
+async function runCommand (line: string, env: Record<string, string> = {}): Promise<CtlResult> {
   const out: string[] = []
   const err: string[] = []
   let ids = 0
@@ -35,7 +35,7 @@
     env: { RSCTL_KEY: 'admin', USER: 'ana', ...env },
     out: (text) => { out.push(text) },
     err: (text) => { err.push(text) },
-    read: async (file) => files[file] ?? Promise.reject(new Error('no such file')),
+    read: async (file) => patchFiles[file] ?? Promise.reject(new Error('no such file')),
     newId: () => `id-${++ids}`,
     newKey: () => 'secret',
     pause: async () => undefined
@@ -44,7 +44,7 @@
 }
 
 /** Closes each connection after receiving the request, so that every response is lost. */
-async function deafServer (): Promise<{ url: string, server: Server }> {
+async function startDroppingServer (): Promise<{ url: string, server: Server }> {
   const server = createServer((socket) => {
     socket.once('data', () => socket.destroy())
     socket.on('error', () => undefined)
@@ -57,14 +57,14 @@
   let fake: FakeAdminService
   let server: AdminServer
   let url = ''
-  let closedUrl = ''
+  let refusingUrl = ''
 
   beforeEach(async () => {
     fake = fakeAdminService()
     server = new AdminServer({ service: fake, log: { write: () => undefined }, limits: httpLimitsSchema.parse({}) })
     url = await server.listen('127.0.0.1:0')
-    const closed = await deafServer()
-    closedUrl = closed.url
+    const closed = await startDroppingServer()
+    refusingUrl = closed.url
     await new Promise((resolve) => closed.server.close(resolve))
   })
   afterEach(() => server.close())
@@ -89,17 +89,17 @@
     { line: 'config patch --file broken.json --author ana', exit: 2, err: /^RS-702 .*broken\.json/ },
     { line: 'config patch --file object.json --author ana', exit: 2, err: /^RS-702 [^]*\n {2}patch: / },
     { line: 'budget topup viajes --tokens 1e3 --author ana', exit: 2, err: /^RS-702 .*--tokens/ },
-    { line: `${create} --weight none`, exit: 2, err: /^RS-702 [^]*\n {2}weight: / },
+    { line: `${createCommand} --weight none`, exit: 2, err: /^RS-702 [^]*\n {2}weight: / },
 
     { line: 'vm list', env: { RSCTL_KEY: 'x' }, exit: 6, err: /^RS-102 The key is missing or not valid: / },
-    { line: topUp, env: { RSCTL_KEY: 'view' }, exit: 6, err: /\nRS-103 / },
+    { line: topUpCommand, env: { RSCTL_KEY: 'view' }, exit: 6, err: /\nRS-103 / },
     { line: 'budget show nada', exit: 3, err: /^RS-204 There is no such budget: no budget nada$/ },
     { line: 'budget lower viajes --tokens 5000 --author ana', exit: 3, err: /^operation id: id-1\nRS-205 / },
     { line: 'budget lower viajes --tokens -5 --author ana', exit: 2, err: /^RS-702 .*--tokens/ },
     { line: 'budget lower viajes --tokens 0 --author ana', exit: 3, err: /\nRS-101 .*: tokens: [^\n]*$/ },
     { line: 'budget topup viajes --tokens 0 --author ana', exit: 3, err: /\nRS-101 .*: tokens: [^\n]*$/ },
 
-    { line: `${topUp} --operation-id ${'x'.repeat(129)} --tokens 0`.replace(' --tokens 500', ''), exit: 3, err: /\nRS-101 .*: 2 mistakes, see errors\n {2}operationId: .*\n {2}tokens: / },
+    { line: `${topUpCommand} --operation-id ${'x'.repeat(129)} --tokens 0`.replace(' --tokens 500', ''), exit: 3, err: /\nRS-101 .*: 2 mistakes, see errors\n {2}operationId: .*\n {2}tokens: / },
 
     { line: 'config get', exit: 0, out: /^# version 4\nteams: {}$/ },
     { line: 'config get --version 2 --output json', exit: 0, out: /^{\n {2}"version": 2,/ },
@@ -110,7 +110,7 @@
     { line: 'config patch --file good.json --author ana --base 3', exit: 5, err: /\nRS-501 .*: version 4 is in force$/ },
     { line: 'team list', exit: 0, out: /^TEAM +NAME/ },
     { line: 'budget show viajes', exit: 0, out: /viajes +1000 +200 +300 +0 +500$/ },
-    { line: topUp, exit: 0, out: /viajes +1500 /, err: /^operation id: id-1$/ },
+    { line: topUpCommand, exit: 0, out: /viajes +1500 /, err: /^operation id: id-1$/ },
     { line: 'budget lower viajes --tokens 400 --author ana', exit: 0, out: /viajes +600 /, err: /^operation id: id-1$/ },
     { line: 'runner list', exit: 0, out: /^RUNNER / },
     { line: 'vm list', exit: 0, out: /^VM +DOMAIN[^]*\nq1 +quito-centro +10\.0\.0\.1:8001 +live +5 +0\.1 s/ },
@@ -119,7 +119,7 @@
   ]
   for (const row of table) {
     it(`${row.line}${row.env === undefined ? '' : ` ${JSON.stringify(row.env)}`}: exit ${row.exit}`, async () => {
-      const ran = await ctl(row.line, { RSCTL_SERVER: url, ...row.env })
+      const ran = await runCommand(row.line, { RSCTL_SERVER: url, ...row.env })
       expect(ran.exit, ran.err).to.equal(row.exit)
       if (row.out === undefined) expect(ran.out).to.equal('')
       else expect(ran.out).to.match(row.out)
@@ -130,41 +130,41 @@
 
   describe('servers', () => {
     it('tries the next server when one is unreachable', async () => {
-      const ran = await ctl(`--server ${closedUrl} --server http://${url}/ vm list`)
+      const ran = await runCommand(`--server ${refusingUrl} --server http://${url}/ vm list`)
       expect(ran.exit).to.equal(0)
     })
 
     it('exits with 4 when no server is reachable and nothing ran', async () => {
-      const ran = await ctl(`--server ${closedUrl} ${topUp}`)
+      const ran = await runCommand(`--server ${refusingUrl} ${topUpCommand}`)
       expect(ran.exit).to.equal(4)
       expect(ran.err).to.match(/\nRS-604 .*\n {2}http:\/\/127\.0\.0\.1:\d+: .*ECONNREFUSED/)
     })
 
     it('repeats a write with the same id after its response was lost', async () => {
-      const deaf = await deafServer()
-      const ran = await ctl(`--server ${deaf.url} --server ${url} ${topUp}`)
-      deaf.server.close()
+      const droppingServer = await startDroppingServer()
+      const ran = await runCommand(`--server ${droppingServer.url} --server ${url} ${topUpCommand}`)
+      droppingServer.server.close()
       expect(ran.exit).to.equal(0)
       expect([...fake.topUps]).to.deep.equal([['id-1', 500]])
     })
 
     it('applies a write once when its outcome on the platform is unknown', async () => {
-      const { topUp: takeEffect } = fake
+      const { topUp: applyTopUp } = fake
       let calls = 0
       fake.topUp = async (budget, req) => {
-        const answer = await takeEffect(budget, req)
+        const answer = await applyTopUp(budget, req)
         return ++calls < 3 ? Left(new Failure('platformOutcomeUnknown', 'lost', { ran: 'unknown' })) : answer
       }
-      const ran = await ctl(`--server ${url} ${topUp}`)
+      const ran = await runCommand(`--server ${url} ${topUpCommand}`)
       expect([ran.exit, calls]).to.deep.equal([0, 3])
       expect([...fake.topUps]).to.deep.equal([['id-1', 500]])
     })
 
     it('does not report a write as refused if an earlier attempt may have taken effect', async () => {
-      const deaf = await deafServer()
+      const droppingServer = await startDroppingServer()
       fake.topUp = async () => Left(new Failure('platformUnavailable', 'the table is down'))
-      const ran = await ctl(`--server ${deaf.url} --server ${url} ${topUp}`)
-      deaf.server.close()
+      const ran = await runCommand(`--server ${droppingServer.url} --server ${url} ${topUpCommand}`)
+      droppingServer.server.close()
       expect(ran.exit).to.equal(3)
       expect(ran.err).to.include('an earlier attempt of this command may have taken effect')
     })
@@ -174,7 +174,7 @@
     const hash = createHash('sha256').update('secret').digest('hex')
 
     it('stores only the hash and shows the key once', async () => {
-      const ran = await ctl(`--server ${url} ${create} --model a,b --model c --service reservas --weight 2`)
+      const ran = await runCommand(`--server ${url} ${createCommand} --model a,b --model c --service reservas --weight 2`)
       expect(ran.exit).to.equal(0)
       expect(ran.out).to.match(/version 5\nkey \(shown only now\): secret$/)
       const team = { displayName: 'Viajes', keyHashes: [hash], budget: 'viajes', models: ['a', 'b', 'c'], services: ['reservas'], weight: 2, maxInFlight: 64 }
@@ -183,15 +183,15 @@
       ])
     })
 
-    const races: ReadonlyArray<{ lost: number, exit: number }> = [{ lost: 4, exit: 0 }, { lost: 5, exit: 5 }]
-    for (const { lost, exit } of races) {
+    const conflictCases: ReadonlyArray<{ lost: number, exit: number }> = [{ lost: 4, exit: 0 }, { lost: 5, exit: 5 }]
+    for (const { lost, exit } of conflictCases) {
       it(`retries after ${lost} conflicts with the same patch id on the new base: exit ${exit}`, async () => {
         const { patch } = fake
         fake.patch = async (req) => {
           if (fake.patches.length < lost) fake.version++
           return await patch(req)
         }
-        const ran = await ctl(`--server ${url} ${create}`)
+        const ran = await runCommand(`--server ${url} ${createCommand}`)
         expect(ran.exit).to.equal(exit)
         expect(fake.patches.map(({ base, patchId }) => [base, patchId])).to.deep.equal([4, 5, 6, 7, 8].map((base) => [base, 'id-1']))
       })
@@ -199,7 +199,7 @@
 
     it('does not overwrite an existing team', async () => {
       fake.teams = { viajes: { displayName: 'Viajes', budget: 'viajes', keyHashes: ['0'.repeat(64)] } }
-      const ran = await ctl(`--server ${url} ${create}`)
+      const ran = await runCommand(`--server ${url} ${createCommand}`)
       expect([ran.exit, fake.patches.length]).to.deep.equal([3, 0])
       expect(ran.err).to.include('exists already')
     })
@@ -211,7 +211,7 @@
         return Left(new Failure('platformOutcomeUnknown', 'lost', { ran: 'unknown' }))
       }
       fake.config = async () => Right({ version: 4, config: { teams: {} } })
-      const ran = await ctl(`--server ${url} ${create}`)
+      const ran = await runCommand(`--server ${url} ${createCommand}`)
       expect(ran.err).to.include('in that case its key is: secret')
     })
   })
--- a/packages/operators/src/ctl/ctlProgram.ts
+++ b/packages/operators/src/ctl/ctlProgram.ts
@@ -4,7 +4,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { AdminClient } from './adminClient.js'
-import { ctlParser } from './ctlArguments.js'
+import { createCtlParser } from './ctlArguments.js'
 import type { CtlAction, CtlIo, CtlOutput } from './ctlTypes.js'
 import { exitCodeOf, exitCodes } from './exitCodes.js'
 
@@ -16,13 +16,13 @@
   readonly timeoutMs: number
 }
 
-interface Parsed {
+interface ParsedCommand {
   readonly globals: GlobalArgs
   /** Absent for `--help` and `--version`. */
   readonly action?: CtlAction
 }
 
-const indent = 2
+const jsonIndent = 2
 
 /**
  * Runs one command and resolves to its exit code.
@@ -33,7 +33,7 @@
   if (parsed.isLeft()) return fail(io, parsed.extract())
   const { action, globals } = parsed.unsafeCoerce()
   if (action === undefined) return exitCodes.ok
-  const client = clientFor(globals, io)
+  const client = createClient(globals, io)
   if (client.isLeft()) return fail(io, client.extract())
   const outcome = await action({ client: client.unsafeCoerce(), io })
   return outcome.caseOf({
@@ -42,57 +42,57 @@
   })
 }
 
-async function parse (args: readonly string[], io: CtlIo): Promise<Either<Failure, Parsed>> {
+async function parse (args: readonly string[], io: CtlIo): Promise<Either<Failure, ParsedCommand>> {
   let action: CtlAction | undefined
-  const parser = ctlParser(io, (chosen) => { action = chosen })
+  const parser = createCtlParser(io, (selected) => { action = selected })
   try {
     const argv = await parser.parseAsync([...args], {}, (_err, _argv, output) => {
       if (output !== '') io.out(output)
     })
     return Right({ globals: argv as unknown as GlobalArgs, ...(action === undefined ? {} : { action }) })
   } catch (err) {
-    return Left(usageFailure((err as Error).message))
+    return Left(toUsageFailure((err as Error).message))
   }
 }
 
 /** Messages of yargs may have several lines: a summary, then one line for each invalid argument. */
-function usageFailure (message: string): Failure {
+function toUsageFailure (message: string): Failure {
   const [detail = '', ...errors] = message.split('\n').map((line) => line.trim()).filter((line) => line !== '')
   return new Failure('usage', `${detail.replace(/:$/, '')} (see --help)`, { errors })
 }
 
-function clientFor ({ server, key, timeoutMs }: GlobalArgs, io: CtlIo): Either<Failure, AdminClient> {
-  const names = server ?? io.env.RSCTL_SERVER?.split(',').map((name) => name.trim()).filter((name) => name !== '') ?? []
-  const servers = names.map(baseUrl)
-  const wrong = names.filter((_, index) => servers[index] === undefined)
-  const secret = key ?? io.env.RSCTL_KEY ?? ''
-  if (timeoutMs === 0) return Left(usageFailure('--timeout-ms: use at least 1'))
-  if (servers.length === 0) return Left(usageFailure('no server given: use --server or RSCTL_SERVER'))
-  if (wrong.length > 0) return Left(usageFailure(`no base URL: ${wrong.join(', ')}`))
-  if (secret === '') return Left(usageFailure('no key given: use RSCTL_KEY or --key'))
+function createClient ({ server, key, timeoutMs }: GlobalArgs, io: CtlIo): Either<Failure, AdminClient> {
+  const serverNames = server ?? io.env.RSCTL_SERVER?.split(',').map((name) => name.trim()).filter((name) => name !== '') ?? []
+  const servers = serverNames.map(parseBaseUrl)
+  const invalidNames = serverNames.filter((_, index) => servers[index] === undefined)
+  const operatorKey = key ?? io.env.RSCTL_KEY ?? ''
+  if (timeoutMs === 0) return Left(toUsageFailure('--timeout-ms: use at least 1'))
+  if (servers.length === 0) return Left(toUsageFailure('no server given: use --server or RSCTL_SERVER'))
+  if (invalidNames.length > 0) return Left(toUsageFailure(`no base URL: ${invalidNames.join(', ')}`))
+  if (operatorKey === '') return Left(toUsageFailure('no key given: use RSCTL_KEY or --key'))
   const urls = servers.filter((url) => url !== undefined)
-  return Right(new AdminClient({ servers: urls, key: secret, timeoutMs, pause: (ms) => io.pause(ms) }))
+  return Right(new AdminClient({ servers: urls, key: operatorKey, timeoutMs, pause: (ms) => io.pause(ms) }))
 }
 
 /** Normalizes a server URL; `IPv4:port` without a scheme means http. Undefined if invalid. */
-function baseUrl (name: string): string | undefined {
+function parseBaseUrl (name: string): string | undefined {
   const text = /^https?:\/\//.test(name) ? name : `http://${name}`
   return URL.canParse(text) ? text.replace(/\/+$/, '') : undefined
 }
 
 function print (io: CtlIo, { output }: GlobalArgs, { value, text }: CtlOutput): number {
-  io.out(output === 'json' ? JSON.stringify(value, null, indent) : text)
+  io.out(output === 'json' ? JSON.stringify(value, null, jsonIndent) : text)
   return exitCodes.ok
 }
 
 function fail (io: CtlIo, failure: Failure): number {
   io.err(`RS-${failure.entry.number} ${failure.entry.title}: ${failure.message}`)
-  for (const line of furtherErrors(failure)) io.err(`  ${line}`)
+  for (const line of additionalErrors(failure)) io.err(`  ${line}`)
   return exitCodeOf(failure)
 }
 
 /** Individual errors, except a single one that the message contains already. */
-function furtherErrors ({ errors, message }: Failure): readonly string[] {
-  const [only] = errors
-  return errors.length === 1 && only !== undefined && message.includes(only) ? [] : errors
+function additionalErrors ({ errors, message }: Failure): readonly string[] {
+  const [singleError] = errors
+  return errors.length === 1 && singleError !== undefined && message.includes(singleError) ? [] : errors
 }
--- a/packages/operators/src/ctl/exitCodes.ts
+++ b/packages/operators/src/ctl/exitCodes.ts
@@ -23,7 +23,7 @@
 
 export type ExitName = keyof typeof exitCodes
 
-const exitByResult: Partial<Record<ResultName, ExitName>> = {
+const exitNameByResult: Partial<Record<ResultName, ExitName>> = {
   usage: 'usage',
   peerUnreachable: 'unreachable',
   platformOutcomeUnknown: 'unreachable',
@@ -36,5 +36,5 @@
 }
 
 export function exitCodeOf (failure: Failure): number {
-  return exitCodes[exitByResult[failure.code] ?? 'refused']
+  return exitCodes[exitNameByResult[failure.code] ?? 'refused']
 }
--- a/packages/operators/src/ctl/fleetCommands.ts
+++ b/packages/operators/src/ctl/fleetCommands.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod'
 import { runnerAnswerSchema, vmAnswerSchema } from '../admin/adminTypes.js'
 import type { CtlAction } from './ctlTypes.js'
-import { ageText, textTable } from './textTable.js'
+import { formatAge, formatTable } from './textTable.js'
 
 const vmsSchema = z.object({ vms: z.array(vmAnswerSchema) })
 const runnersSchema = z.object({ runners: z.array(runnerAnswerSchema) })
@@ -15,8 +15,8 @@
   const answer = await client.get('/admin/v1/vms', vmsSchema)
   return answer.map(({ vms }) => {
     const rows = vms.map(({ vm, domain, address, state, configVersion, ageMs }) =>
-      [vm, domain, address, state, configVersion, ageText(ageMs)])
-    return { value: vms, text: textTable(['VM', 'DOMAIN', 'ADDRESS', 'STATE', 'VERSION', 'HEARD'], rows) }
+      [vm, domain, address, state, configVersion, formatAge(ageMs)])
+    return { value: vms, text: formatTable(['VM', 'DOMAIN', 'ADDRESS', 'STATE', 'VERSION', 'HEARD'], rows) }
   })
 }
 
@@ -25,13 +25,13 @@
   const answer = await client.get('/admin/v1/runners', runnersSchema)
   return answer.map(({ runners }) => {
     const rows = runners.map(({ runner, kind, domain, address, state, reason, inFlight, reportAgeMs }) =>
-      [runner, kind, domain, address, state, inFlight, reportAgeMs === undefined ? null : ageText(reportAgeMs), reason ?? null])
-    return { value: runners, text: textTable(['RUNNER', 'KIND', 'DOMAIN', 'ADDRESS', 'STATE', 'IN FLIGHT', 'REPORT AGE', 'REASON'], rows) }
+      [runner, kind, domain, address, state, inFlight, reportAgeMs === undefined ? null : formatAge(reportAgeMs), reason ?? null])
+    return { value: runners, text: formatTable(['RUNNER', 'KIND', 'DOMAIN', 'ADDRESS', 'STATE', 'IN FLIGHT', 'REPORT AGE', 'REASON'], rows) }
   })
 }
 
 /** `addresses` */
 export const listAddresses: CtlAction = async ({ client }) => {
   const answer = await client.get('/admin/v1/addresses', addressesSchema)
-  return answer.map((value) => ({ value, text: [...value.addresses, `keep for ${ageText(value.keepMs)}`].join('\n') }))
+  return answer.map((value) => ({ value, text: [...value.addresses, `keep for ${formatAge(value.keepMs)}`].join('\n') }))
 }
--- a/packages/operators/src/ctl/teamCommands.ts
+++ b/packages/operators/src/ctl/teamCommands.ts
@@ -10,10 +10,10 @@
 import type { PatchRequest } from '../admin/adminTypes.js'
 import { currentConfig, sendPatch } from './configCommands.js'
 import type { CtlAction, CtlOutput, CtlSession } from './ctlTypes.js'
-import { textTable } from './textTable.js'
+import { formatTable } from './textTable.js'
 
 /** Arguments of `team create`. */
-export interface TeamArgs {
+export interface CreateTeamArgs {
   readonly id: string
   readonly displayName: string
   readonly budget: string
@@ -23,7 +23,7 @@
   readonly author: string
 }
 
-const conflictTries = 5
+const maxConflictAttempts = 5
 const conflictPauseMs = 200
 
 /** The section of the configuration that lists the teams. */
@@ -38,13 +38,13 @@
 }
 
 /** `team create`: generates a key, stores only its hash and prints the key once. */
-export function createTeam (args: TeamArgs): CtlAction {
+export function createTeam (args: CreateTeamArgs): CtlAction {
   return async (session) => {
     const key = session.io.newKey()
-    const plan = teamPlan(session, args, key)
+    const plan = createPlan(session, args, key)
     if (plan.isLeft()) return Left(plan.extract())
     const created = await addTeam(session, plan.unsafeCoerce())
-    created.ifLeft((failure) => keepKey(session, args.id, key, failure))
+    created.ifLeft((failure) => reportPossibleKey(session, args.id, key, failure))
     return created.map((version) => createdOutput(args.id, key, version))
   }
 }
@@ -52,10 +52,10 @@
 /** `team list` */
 export const listTeams: CtlAction = async (session) => {
   const config = await currentConfig(session)
-  return config.chain(({ config: value }) => teamsOf(value)).map(listOutput)
+  return config.chain(({ config: value }) => parseTeams(value)).map(listOutput)
 }
 
-function teamPlan ({ io }: CtlSession, args: TeamArgs, key: string): Either<Failure, TeamPlan> {
+function createPlan ({ io }: CtlSession, args: CreateTeamArgs, key: string): Either<Failure, TeamPlan> {
   const { id, displayName, budget, models, services, weight, author } = args
   const keyHashes = [createHash('sha256').update(key).digest('hex')]
   return validate(teamSchema, { displayName, keyHashes, budget, models, services, weight }, 'team')
@@ -65,28 +65,28 @@
 
 async function addTeam (session: CtlSession, plan: TeamPlan): Promise<Either<Failure, number>> {
   session.io.err(`patch id: ${plan.patchId}`)
-  let outcome = await tryAddTeam(session, plan)
-  for (let tries = 1; tries < conflictTries && isConflict(outcome); tries++) {
-    await session.io.pause(tries * conflictPauseMs)
-    outcome = await tryAddTeam(session, plan)
+  let outcome = await attemptAddTeam(session, plan)
+  for (let attempts = 1; attempts < maxConflictAttempts && isConflict(outcome); attempts++) {
+    await session.io.pause(attempts * conflictPauseMs)
+    outcome = await attemptAddTeam(session, plan)
   }
   return outcome
 }
 
-async function tryAddTeam (session: CtlSession, plan: TeamPlan): Promise<Either<Failure, number>> {
+async function attemptAddTeam (session: CtlSession, plan: TeamPlan): Promise<Either<Failure, number>> {
   const config = await currentConfig(session)
-  const patch = config.chain(({ version, config: value }) => teamsOf(value).chain((teams) => addition(plan, version, teams)))
+  const patch = config.chain(({ version, config: value }) => parseTeams(value).chain((teams) => createAddPatch(plan, version, teams)))
   if (patch.isLeft()) return Left(patch.extract())
   const answer = await sendPatch(session, patch.unsafeCoerce())
   return answer.map(({ version }) => version)
 }
 
 /** An `add` operation replaces an existing member, so the patch is built only on a base without a team of this name. */
-function addition (plan: TeamPlan, base: number, teams: Readonly<Record<string, TeamConfig>>): Either<Failure, PatchRequest> {
+function createAddPatch (plan: TeamPlan, base: number, teams: Readonly<Record<string, TeamConfig>>): Either<Failure, PatchRequest> {
   const { id, team, patchId, author } = plan
-  const ownHash = team.keyHashes[0] ?? ''
+  const keyHash = team.keyHashes[0] ?? ''
   const existing = Object.hasOwn(teams, id) ? teams[id] : undefined
-  if (existing !== undefined && !existing.keyHashes.includes(ownHash)) {
+  if (existing !== undefined && !existing.keyHashes.includes(keyHash)) {
     return Left(new Failure('patchInvalid', `team ${id} exists already`))
   }
   const operation = { op: 'add', path: `/teams/${id}`, value: team }
@@ -97,7 +97,7 @@
   return outcome.swap().toMaybe().extract()?.code === 'configConflict'
 }
 
-function keepKey ({ io }: CtlSession, id: string, key: string, failure: Failure): void {
+function reportPossibleKey ({ io }: CtlSession, id: string, key: string, failure: Failure): void {
   if (failure.ran === 'unknown') io.err(`team ${id} may have been created; in that case its key is: ${key}`)
 }
 
@@ -108,7 +108,7 @@
   }
 }
 
-function teamsOf (config: unknown): Either<Failure, Record<string, TeamConfig>> {
+function parseTeams (config: unknown): Either<Failure, Record<string, TeamConfig>> {
   return validate(teamsSchema, config, 'config').bimap(
     (errors) => new Failure('internal', 'invalid teams in the configuration', { ran: 'unknown', errors }),
     ({ teams }) => teams
@@ -121,6 +121,6 @@
     [id, displayName, budget, models.join(' '), services.join(' '), weight, keyHashes.length])
   return {
     value: entries.map(([id, { keyHashes, ...team }]) => ({ team: id, ...team, keys: keyHashes.length })),
-    text: textTable(['TEAM', 'NAME', 'BUDGET', 'MODELS', 'SERVICES', 'WEIGHT', 'KEYS'], rows)
+    text: formatTable(['TEAM', 'NAME', 'BUDGET', 'MODELS', 'SERVICES', 'WEIGHT', 'KEYS'], rows)
   }
 }
--- a/packages/operators/src/ctl/textTable.ts
+++ b/packages/operators/src/ctl/textTable.ts
@@ -5,7 +5,7 @@
 
 export type Cell = string | number | boolean | null
 
-const noLines = {
+const noBorders = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -23,7 +23,7 @@
   middle: '  '
 }
 
-function cellText (cell: Cell): string {
+function formatCell (cell: Cell): string {
   return cell === null ? '-' : String(cell)
 }
 
@@ -31,20 +31,20 @@
  * Formats rows under a header.
  * @param rows - values in the order of the columns
  */
-export function textTable (head: readonly string[], rows: ReadonlyArray<readonly Cell[]>): string {
+export function formatTable (columns: readonly string[], rows: ReadonlyArray<readonly Cell[]>): string {
   const table = new Table({
-    head: [...head],
-    chars: noLines,
+    head: [...columns],
+    chars: noBorders,
     style: { 'padding-left': 0, 'padding-right': 0, head: [], border: [] }
   })
-  table.push(...rows.map((row) => row.map(cellText)))
+  table.push(...rows.map((row) => row.map(formatCell)))
   return table.toString().split('\n').map((line) => line.trimEnd()).join('\n')
 }
 
 const msPerSecond = 1000
-const decimals = 1
+const ageDecimals = 1
 
 /** Formats a duration in seconds. */
-export function ageText (ms: number): string {
-  return `${(ms / msPerSecond).toFixed(decimals)} s`
+export function formatAge (ms: number): string {
+  return `${(ms / msPerSecond).toFixed(ageDecimals)} s`
 }
--- a/packages/rosemaryspread/src/config/configPatcher.ts
+++ b/packages/rosemaryspread/src/config/configPatcher.ts
@@ -9,7 +9,7 @@
 import { preparePatch, type VerifiedConfig, type PreparedPatch } from '@rosemaryspread/decisions/config/configPatch.js'
 import { PATCH_TABLE, patchRowSchema, VERSION_TABLE, versionKey, type VersionRef, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { PatchRequest } from '@rosemaryspread/operators/admin/adminTypes.js'
-import { transactUntilKnown, type TransactBuild, type TransactSettled } from '@rosemaryspread/infra/table/tableTransact.js'
+import { transactUntilKnown, type TransactionBuilder, type AppliedTransaction } from '@rosemaryspread/infra/table/tableTransact.js'
 import type { ReadAnswer, Row, RowKey, TableStore, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import { currentKey, parseRow, type ConfigReader } from './configReader.js'
 import { delay, type ConfigStoreDeps } from './configTypes.js'
@@ -54,7 +54,7 @@
    * the patch was not accepted; `platformOutcomeUnknown` when that is open
    */
   async accept (): Promise<Either<Failure, AcceptedPatch>> {
-    const transaction: TransactBuild = { keys: this.#keys(), build: read => this.#buildTransaction(read) }
+    const transaction: TransactionBuilder = { keys: this.#keys(), build: read => this.#buildTransaction(read) }
     const limits = {
       attempts: MAX_ATTEMPTS,
       pauseMs: RETRY_PAUSE_MS,
@@ -70,7 +70,7 @@
   async check (): Promise<Either<Failure, AcceptedPatch>> {
     const read = await this.table.read(this.#keys())
     return read.chain(answer => this.#isApplied(answer.rows[1] ?? null)
-      ? this.#toAccepted({ how: 'before', read: answer })
+      ? this.#toAccepted({ detectedBy: 'before', read: answer })
       : this.#prepare(answer, answer.now).map(({ next }) => ({ version: next.version, repeated: false })))
   }
 
@@ -118,10 +118,10 @@
     return Left(new Failure('configNotLoaded', detail, { retryAfterMs: RETRY_AFTER_MS }))
   }
 
-  #toAccepted (outcome: TransactSettled): Either<Failure, AcceptedPatch> {
-    const repeated = outcome.how === 'before'
+  #toAccepted (outcome: AppliedTransaction): Either<Failure, AcceptedPatch> {
+    const repeated = outcome.detectedBy === 'before'
     const created = this.#created
-    if (outcome.how === 'answered' && created !== undefined) return Right({ version: created.held.version, repeated, created })
+    if (outcome.detectedBy === 'answered' && created !== undefined) return Right({ version: created.held.version, repeated, created })
     const row = outcome.read.rows[1]
     if (row == null) return Left(new Failure('internal', 'the patch row is missing', { ran: 'unknown' }))
     return parseRow(patchRowSchema, row).map(({ version }) => created?.held.version === version && !repeated
--- a/packages/runners/src/application/httpApplicationClient.spec.ts
+++ b/packages/runners/src/application/httpApplicationClient.spec.ts
@@ -4,36 +4,36 @@
 import { gzipSync } from 'node:zlib'
 import { expect } from 'chai'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { AMPLE_MS, answers, breaksOff, closedAddress, drops, hangs, SHORT_MS, startTestServer, type TestHandler } from '@rosemaryspread/infra/http/testServer.spec.js'
+import { LONG_TIMEOUT_MS, respondWith, dropMidResponse, refusingAddress, dropConnection, neverRespond, SHORT_TIMEOUT_MS, startTestServer, type TestHandler } from '@rosemaryspread/infra/http/testServer.spec.js'
 import type { ApplicationCall } from './applicationTypes.js'
 import { HttpApplicationClient } from './httpApplicationClient.js'
 
 const MAX_BYTES = 1000
-const CALL: ApplicationCall = { requestId: 'req-1', method: 'POST', path: '/dispatch?gate=3', contentType: 'text/plain', body: Buffer.from('escort'), timeoutMs: AMPLE_MS }
-const redirects: TestHandler = res => {
+const CALL: ApplicationCall = { requestId: 'req-1', method: 'POST', path: '/dispatch?gate=3', contentType: 'text/plain', body: Buffer.from('escort'), timeoutMs: LONG_TIMEOUT_MS }
+const respondRedirect: TestHandler = res => {
   res.writeHead(303, { location: '/elsewhere' })
   res.end()
 }
-const compressed: TestHandler = res => {
+const respondCompressed: TestHandler = res => {
   res.writeHead(200, { 'content-encoding': 'gzip', 'content-type': 'text/plain' })
   res.end(gzipSync('whole'))
 }
 
 const cases: readonly [title: string, handler: TestHandler, expected: string][] = [
   ['a response', res => { res.end('done') }, '200 application/octet-stream done'],
-  ['an error response', answers(500, 'no'), '500 application/json "no"'],
-  ['a redirect', redirects, '303 application/octet-stream '],
-  ['a compressed response', compressed, '200 text/plain whole'],
+  ['an error response', respondWith(500, 'no'), '500 application/json "no"'],
+  ['a redirect', respondRedirect, '303 application/octet-stream '],
+  ['a compressed response', respondCompressed, '200 text/plain whole'],
   ['a response at the size limit', res => { res.end('x'.repeat(MAX_BYTES)) }, `200 application/octet-stream ${'x'.repeat(MAX_BYTES)}`],
   ['a response above the size limit', res => { res.end('x'.repeat(MAX_BYTES + 1)) }, 'runnerUnreachable unknown'],
   ['an endless response', res => { setInterval(() => res.write('x'.repeat(MAX_BYTES)), 1).unref() }, 'runnerUnreachable unknown'],
-  ['a truncated response', breaksOff, 'runnerUnreachable unknown'],
-  ['a dropped connection', drops, 'runnerUnreachable unknown'],
-  ['no response within the timeout', hangs, 'runnerUnreachable unknown']
+  ['a truncated response', dropMidResponse, 'runnerUnreachable unknown'],
+  ['a dropped connection', dropConnection, 'runnerUnreachable unknown'],
+  ['no response within the timeout', neverRespond, 'runnerUnreachable unknown']
 ]
 
 async function run (address: string, call: ApplicationCall): Promise<string> {
-  const client = new HttpApplicationClient({ vm: 'vm-1', connectMs: AMPLE_MS, maxBytes: MAX_BYTES })
+  const client = new HttpApplicationClient({ vm: 'vm-1', connectMs: LONG_TIMEOUT_MS, maxBytes: MAX_BYTES })
   const result = (await client.call(address, call)).extract()
   client.close()
   return result instanceof Failure ? `${result.code} ${result.ran}` : `${result.status} ${result.contentType} ${result.body.toString()}`
@@ -43,7 +43,7 @@
   for (const [title, handler, expected] of cases) {
     it(`${title}, sent once`, async () => {
       const server = await startTestServer(handler)
-      expect(await run(server.address, { ...CALL, timeoutMs: handler === hangs ? SHORT_MS : AMPLE_MS })).to.equal(expected)
+      expect(await run(server.address, { ...CALL, timeoutMs: handler === neverRespond ? SHORT_TIMEOUT_MS : LONG_TIMEOUT_MS })).to.equal(expected)
       await server.close()
       expect(server.calls).to.have.length(1)
       expect(server.calls[0]).to.include({ method: 'POST', url: CALL.path, body: 'escort' })
@@ -51,20 +51,20 @@
     })
   }
 
-  const pauses: ReadonlyArray<{ readonly status: number, readonly retryAfter: string, readonly pauseMs: number | undefined }> = [
+  const retryAfterCases: ReadonlyArray<{ readonly status: number, readonly retryAfter: string, readonly pauseMs: number | undefined }> = [
     { status: 503, retryAfter: '2.5', pauseMs: 2_500 },
     { status: 429, retryAfter: '1', pauseMs: 1_000 },
     { status: 503, retryAfter: 'soon', pauseMs: undefined },
     { status: 503, retryAfter: '', pauseMs: undefined },
     { status: 200, retryAfter: '3', pauseMs: undefined }
   ]
-  for (const { status, retryAfter, pauseMs } of pauses) {
+  for (const { status, retryAfter, pauseMs } of retryAfterCases) {
     it(`parses a pause of ${pauseMs ?? 'no'} ms from status ${status} with Retry-After '${retryAfter}'`, async () => {
       const server = await startTestServer(res => {
         res.writeHead(status, { 'retry-after': retryAfter })
         res.end()
       })
-      const client = new HttpApplicationClient({ vm: 'vm-1', connectMs: AMPLE_MS, maxBytes: MAX_BYTES })
+      const client = new HttpApplicationClient({ vm: 'vm-1', connectMs: LONG_TIMEOUT_MS, maxBytes: MAX_BYTES })
       const answer = (await client.call(server.address, CALL)).unsafeCoerce()
       client.close()
       await server.close()
@@ -73,7 +73,7 @@
   }
 
   it('reports that nothing ran when the connection is refused', async () => {
-    expect(await run(await closedAddress(), CALL)).to.equal('runnerUnreachable no')
+    expect(await run(await refusingAddress(), CALL)).to.equal('runnerUnreachable no')
   })
 
   it('sends GET without a body, and never calls another host named in the path', async () => {
--- a/packages/runners/src/application/httpApplicationClient.ts
+++ b/packages/runners/src/application/httpApplicationClient.ts
@@ -4,7 +4,7 @@
  */
 import { Left, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { HttpTransport, isTurnedAway, retryAfterMs, type HttpAnswer } from '@rosemaryspread/infra/http/httpTransport.js'
+import { HttpTransport, isUnavailableStatus, retryAfterMs, type HttpAnswer } from '@rosemaryspread/infra/http/httpTransport.js'
 import type { ApplicationAnswer, ApplicationCall, ApplicationClient } from './applicationTypes.js'
 
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
@@ -38,8 +38,8 @@
       decompress: true
     })
     return answer.bimap(
-      lost => new Failure('runnerUnreachable', lost.detail, { ran: lost.connected ? 'unknown' : 'no' }),
-      answerOf
+      error => new Failure('runnerUnreachable', error.detail, { ran: error.connected ? 'unknown' : 'no' }),
+      toApplicationAnswer
     )
   }
 
@@ -49,7 +49,7 @@
   }
 }
 
-function answerOf ({ status, headers, body }: HttpAnswer): ApplicationAnswer {
-  const pauseMs = isTurnedAway(status) ? retryAfterMs(headers) : undefined
+function toApplicationAnswer ({ status, headers, body }: HttpAnswer): ApplicationAnswer {
+  const pauseMs = isUnavailableStatus(status) ? retryAfterMs(headers) : undefined
   return { status, contentType: String(headers['content-type'] ?? DEFAULT_CONTENT_TYPE), body, ...(pauseMs === undefined ? {} : { pauseMs }) }
 }
--- a/packages/runners/src/engine/answerAssembler.spec.ts
+++ b/packages/runners/src/engine/answerAssembler.spec.ts
@@ -17,7 +17,7 @@
   ['a piece after the end', [['end', ''], [0, 'a']], '.!']
 ]
 
-function play (steps: readonly Step[]): string {
+function runSteps (steps: readonly Step[]): string {
   const assembler = new AnswerAssembler('req-1')
   return steps.map(([sequence, text, requestId = 'req-1']) => {
     if (sequence === 'end') return assembler.finish(requestId).caseOf({ Left: () => '!', Right: () => '.' })
@@ -27,6 +27,6 @@
 
 describe('AnswerAssembler', () => {
   for (const [title, steps, expected] of cases) {
-    it(title, () => expect(play(steps)).to.equal(expected))
+    it(title, () => expect(runSteps(steps)).to.equal(expected))
   }
 })
--- a/packages/runners/src/engine/answerAssembler.ts
+++ b/packages/runners/src/engine/answerAssembler.ts
@@ -7,7 +7,7 @@
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { AnswerPiece } from './engineTypes.js'
 
-function mixed (detail: string): Failure {
+function mixedAnswer (detail: string): Failure {
   return new Failure('answerMixed', detail, { ran: 'yes' })
 }
 
@@ -27,16 +27,16 @@
    * @returns the text to pass on, or nothing for a repeated piece
    */
   accept (piece: AnswerPiece): Either<Failure, Maybe<string>> {
-    if (piece.requestId !== this.requestId) return Left(mixed('piece of a different request'))
-    if (this.ended) return Left(mixed('piece after the end of the answer'))
-    if (piece.sequence > this.next) return Left(mixed(`piece ${piece.sequence} received, expected ${this.next}`))
-    return piece.sequence === this.next ? this.append(piece.text) : this.compare(piece)
+    if (piece.requestId !== this.requestId) return Left(mixedAnswer('piece of a different request'))
+    if (this.ended) return Left(mixedAnswer('piece after the end of the answer'))
+    if (piece.sequence > this.next) return Left(mixedAnswer(`piece ${piece.sequence} received, expected ${this.next}`))
+    return piece.sequence === this.next ? this.append(piece.text) : this.checkRepeated(piece)
   }
 
   /** Marks the answer as complete. Failure: `answerMixed` for another request or a second end. */
   finish (requestId: string): Either<Failure, void> {
-    if (requestId !== this.requestId) return Left(mixed('end of a different request'))
-    if (this.ended) return Left(mixed('second end of the answer'))
+    if (requestId !== this.requestId) return Left(mixedAnswer('end of a different request'))
+    if (this.ended) return Left(mixedAnswer('second end of the answer'))
     this.ended = true
     return Right(undefined)
   }
@@ -46,8 +46,8 @@
     return Right(Just(text))
   }
 
-  private compare (piece: AnswerPiece): Either<Failure, Maybe<string>> {
-    const same = this.texts[piece.sequence] === piece.text
-    return same ? Right(Nothing) : Left(mixed(`piece ${piece.sequence} repeated with different text`))
+  private checkRepeated (piece: AnswerPiece): Either<Failure, Maybe<string>> {
+    const isSame = this.texts[piece.sequence] === piece.text
+    return isSame ? Right(Nothing) : Left(mixedAnswer(`piece ${piece.sequence} repeated with different text`))
   }
 }
--- a/packages/runners/src/engine/engineAnswer.ts
+++ b/packages/runners/src/engine/engineAnswer.ts
@@ -9,9 +9,9 @@
 import { toStreamFailure } from './httpEngineStream.js'
 import type { AnswerEnd, EngineClient, EngineEvent, EngineRequest, EngineStream } from './engineTypes.js'
 
-export interface StreamWholeOptions {
+export interface StreamAnswerOptions {
   /** Connections after the first. */
-  readonly resumes: number
+  readonly maxResumes: number
   /** Delay before each resumption. */
   readonly pauseMs: number
   readonly pause: (ms: number) => Promise<void>
@@ -20,14 +20,14 @@
 }
 
 /** Events of {@link streamAnswer}: the holder that started the run, then text, then one end. */
-export type WholeEvent =
+export type AnswerEvent =
   | { readonly kind: 'started', readonly holder: string }
   | { readonly kind: 'text', readonly text: string }
   | { readonly kind: 'end', readonly end: AnswerEnd }
 
-const CALLER_GONE = { code: 'callerGone', message: 'the caller disconnected' } as const
+const CALLER_DISCONNECTED = { code: 'callerGone', message: 'the caller disconnected' } as const
 
-const RESUMABLE: readonly string[] = ['answerCut', 'runnerUnreachable']
+const RESUMABLE_CODES: readonly string[] = ['answerCut', 'runnerUnreachable']
 
 function orThrow<T> (result: Either<Failure, T>): T {
   if (result.isLeft()) throw result.extract()
@@ -40,7 +40,7 @@
   private stream: EngineStream | undefined
   /** Whether the engine accepted the run. */
   private accepted = false
-  private maybeStarted = false
+  private mayHaveStarted = false
   /** Whether a submit was sent or is in progress. */
   private submitted = false
 
@@ -48,21 +48,21 @@
     private readonly client: EngineClient,
     private readonly address: string,
     private readonly req: EngineRequest,
-    private readonly options: StreamWholeOptions
+    private readonly options: StreamAnswerOptions
   ) {
     this.assembler = new AnswerAssembler(req.requestId)
   }
 
-  async * follow (): AsyncGenerator<WholeEvent> {
+  async * follow (): AsyncGenerator<AnswerEvent> {
     const onAbort = (): void => this.stream?.close()
     this.options.signal?.addEventListener('abort', onAbort)
     try {
-      for (let tries = 0; ; tries++) {
+      for (let resumes = 0; ; resumes++) {
         try {
           yield * this.connection()
           return
         } catch (err) {
-          await this.beforeNext(toStreamFailure(err), tries)
+          await this.waitBeforeReconnect(toStreamFailure(err), resumes)
         }
       }
     } finally {
@@ -71,15 +71,15 @@
     }
   }
 
-  private async * connection (): AsyncGenerator<WholeEvent> {
+  private async * connection (): AsyncGenerator<AnswerEvent> {
     this.throwIfAborted()
-    const first = !this.accepted
-    const stream = orThrow(await this.untilAborted(this.open()))
+    const isFirst = !this.accepted
+    const stream = orThrow(await this.rejectOnAbort(this.open()))
     this.stream = stream
     this.accepted = true
-    if (first) yield { kind: 'started', holder: stream.holder }
+    if (isFirst) yield { kind: 'started', holder: stream.holder }
     for await (const event of stream.events) {
-      const next = this.take(event)
+      const next = this.toAnswerEvent(event)
       if (next !== undefined) yield next
       if (next?.kind === 'end') return
     }
@@ -95,7 +95,7 @@
     return opened
   }
 
-  private take (event: EngineEvent): WholeEvent | undefined {
+  private toAnswerEvent (event: EngineEvent): AnswerEvent | undefined {
     if (event.kind === 'piece') {
       const text = orThrow(this.assembler.accept(event.piece)).extract()
       return text === undefined ? undefined : { kind: 'text', text }
@@ -105,47 +105,47 @@
   }
 
   /** Waits before the next connection, or throws the failure of the answer. */
-  private async beforeNext (failure: Failure, tries: number): Promise<void> {
+  private async waitBeforeReconnect (failure: Failure, resumes: number): Promise<void> {
     this.throwIfAborted()
-    if (failure.ran !== 'no') this.maybeStarted = true
-    if (!this.goesOn(failure) || tries >= this.options.resumes) throw this.conclude(failure)
-    await this.untilAborted(this.options.pause(this.options.pauseMs))
+    if (failure.ran !== 'no') this.mayHaveStarted = true
+    if (!this.isResumable(failure) || resumes >= this.options.maxResumes) throw this.toFinalFailure(failure)
+    await this.rejectOnAbort(this.options.pause(this.options.pauseMs))
   }
 
-  private goesOn (failure: Failure): boolean {
-    return RESUMABLE.includes(failure.code) && (this.accepted || this.maybeStarted)
+  private isResumable (failure: Failure): boolean {
+    return RESUMABLE_CODES.includes(failure.code) && (this.accepted || this.mayHaveStarted)
   }
 
   /** Combines the last failure with earlier connections: a late refusal must not report `ran: no` after an earlier submit reached the engine. */
-  private conclude (failure: Failure): Failure {
+  private toFinalFailure (failure: Failure): Failure {
     if (failure.code === 'answerMixed') return failure
-    if (this.accepted) return new Failure('answerCut', `could not be resumed: ${failure.message}`, { ran: this.ranOnceAccepted(failure) })
-    if (!this.maybeStarted || failure.ran !== 'no') return failure
+    if (this.accepted) return new Failure('answerCut', `could not be resumed: ${failure.message}`, { ran: this.executionOfAcceptedRun(failure) })
+    if (!this.mayHaveStarted || failure.ran !== 'no') return failure
     return new Failure(failure.code, failure.message, { ran: 'unknown', retryAfterMs: failure.retryAfterMs })
   }
 
-  private ranOnceAccepted (failure: Failure): 'yes' | 'unknown' {
+  private executionOfAcceptedRun (failure: Failure): 'yes' | 'unknown' {
     return this.assembler.next > 0 || failure.ran === 'yes' ? 'yes' : 'unknown'
   }
 
   private throwIfAborted (): void {
-    if (this.options.signal?.aborted === true) throw this.aborted(this.options.signal)
+    if (this.options.signal?.aborted === true) throw this.createAbortFailure(this.options.signal)
   }
 
   /** Awaits the promise, but rejects at once when the signal is aborted. */
-  private async untilAborted<T> (work: Promise<T>): Promise<T> {
+  private async rejectOnAbort<T> (promise: Promise<T>): Promise<T> {
     const signal = this.options.signal
-    if (signal === undefined) return await work
+    if (signal === undefined) return await promise
     let onAbort = (): void => {}
-    const abort = new Promise<never>((resolve, reject) => {
-      onAbort = () => reject(this.aborted(signal))
+    const aborted = new Promise<never>((resolve, reject) => {
+      onAbort = () => reject(this.createAbortFailure(signal))
       signal.addEventListener('abort', onAbort)
     })
-    return await Promise.race([work, abort]).finally(() => signal.removeEventListener('abort', onAbort))
+    return await Promise.race([promise, aborted]).finally(() => signal.removeEventListener('abort', onAbort))
   }
 
-  private aborted (signal: AbortSignal): Failure {
-    const { code, message } = signal.reason instanceof Failure ? signal.reason : CALLER_GONE
+  private createAbortFailure (signal: AbortSignal): Failure {
+    const { code, message } = signal.reason instanceof Failure ? signal.reason : CALLER_DISCONNECTED
     const ran = this.accepted ? 'yes' : this.submitted ? 'unknown' : 'no'
     return new Failure(code, message, { ran })
   }
@@ -159,8 +159,8 @@
  * `callerGone`, with `ran: no` only if nothing was sent.
  * @param address - IPv4:port of the engine
  */
-export function streamWhole (
-  client: EngineClient, address: string, req: EngineRequest, options: StreamWholeOptions
-): AsyncGenerator<WholeEvent> {
+export function streamAnswer (
+  client: EngineClient, address: string, req: EngineRequest, options: StreamAnswerOptions
+): AsyncGenerator<AnswerEvent> {
   return new RunFollower(client, address, req, options).follow()
 }
--- a/packages/runners/src/engine/engineEvents.ts
+++ b/packages/runners/src/engine/engineEvents.ts
@@ -9,7 +9,7 @@
 import type { EventSourceMessage } from 'eventsource-parser'
 import { usageSchema, type AnswerEnd, type EngineEvent } from './engineTypes.js'
 
-const DONE = '[DONE]'
+const DONE_DATA = '[DONE]'
 
 const wireUsageSchema = z
   .object({ prompt_tokens: usageSchema.shape.promptTokens, completion_tokens: usageSchema.shape.completionTokens })
@@ -26,8 +26,8 @@
 type WireEvent = z.infer<typeof wireEventSchema>
 
 /** Validates the events of one stream in order; throws a {@link Failure} at the first invalid one. */
-export class EngineEventCheck {
-  private expected: number | undefined
+export class EngineEventValidator {
+  private expectedSequence: number | undefined
   private finalEvents: readonly EngineEvent[] | undefined
   private done = false
 
@@ -35,8 +35,8 @@
   constructor (private readonly requestId: string, private readonly from: number) {}
 
   /** Whether a valid event was received, which proves that the run was started. */
-  get begun (): boolean {
-    return this.expected !== undefined
+  get isRunStarted (): boolean {
+    return this.expectedSequence !== undefined
   }
 
   /** The end, preceded by the last piece if its event had text; undefined before `[DONE]`. */
@@ -50,16 +50,16 @@
    */
   accept (event: EventSourceMessage): EngineEvent | undefined {
     if (this.done) throw this.mixed('event after the end of the stream')
-    if (event.data === DONE) return this.finish()
+    if (event.data === DONE_DATA) return this.finish()
     if (this.finalEvents !== undefined) throw this.mixed('event after the last event')
     const wire = this.parse(event.data)
-    const sequence = this.sequenceOf(event)
+    const sequence = this.checkSequence(event)
     return this.toEvent(wire, sequence)
   }
 
   /** Failure for a stream that stopped early. */
   cut (detail: string): Failure {
-    return new Failure('answerCut', detail, { ran: this.begun ? 'yes' : 'unknown' })
+    return new Failure('answerCut', detail, { ran: this.isRunStarted ? 'yes' : 'unknown' })
   }
 
   /** Failure for a stream that violates the protocol. */
@@ -85,11 +85,11 @@
     return parsed.data
   }
 
-  private sequenceOf (event: EventSourceMessage): number {
+  private checkSequence (event: EventSourceMessage): number {
     const sequence = /^\d+$/.test(event.id ?? '') ? Number(event.id) : NaN
-    const fits = this.expected === undefined ? sequence <= this.from : sequence === this.expected
-    if (!fits) throw this.mixed(`event ${event.id ?? 'without a number'} received, expected ${this.expected ?? this.from}`)
-    this.expected = sequence + 1
+    const isExpected = this.expectedSequence === undefined ? sequence <= this.from : sequence === this.expectedSequence
+    if (!isExpected) throw this.mixed(`event ${event.id ?? 'without a number'} received, expected ${this.expectedSequence ?? this.from}`)
+    this.expectedSequence = sequence + 1
     return sequence
   }
 
--- a/packages/runners/src/engine/engineFailure.ts
+++ b/packages/runners/src/engine/engineFailure.ts
@@ -3,37 +3,37 @@
  * no connection was made or the status guarantees that the run was not started.
  */
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { retryAfterMs, type HttpAnswer, type LostCall } from '@rosemaryspread/infra/http/httpTransport.js'
+import { retryAfterMs, type HttpAnswer, type TransportError } from '@rosemaryspread/infra/http/httpTransport.js'
 
 /** Statuses that guarantee that the engine did not start the run. */
-const REFUSED_STATUSES: readonly number[] = [404, 429, 503]
+const NOT_STARTED_STATUSES: readonly number[] = [404, 429, 503]
 
 /** Failure of a call without a response. */
-export function runnerLost (lost: LostCall): Failure {
-  return new Failure('runnerUnreachable', lost.detail, { ran: lost.connected ? 'unknown' : 'no' })
+export function unreachableFailure (error: TransportError): Failure {
+  return new Failure('runnerUnreachable', error.detail, { ran: error.connected ? 'unknown' : 'no' })
 }
 
 /** Failure of a call whose response violates the protocol. */
-export function answerUnfit (detail: string): Failure {
+export function invalidResponseFailure (detail: string): Failure {
   return new Failure('runnerRefused', detail, { ran: 'unknown' })
 }
 
 /** Failure of a refused submit. */
-export function submitRefused (status: number, headers: HttpAnswer['headers']): Failure {
+export function submitFailure (status: number, headers: HttpAnswer['headers']): Failure {
   if (status === 409) return new Failure('keyReused', 'the existing run has a different digest')
   if (status === 410) return new Failure('runnerRefused', 'sealed')
-  const ran = REFUSED_STATUSES.includes(status) ? 'no' : 'unknown'
+  const ran = NOT_STARTED_STATUSES.includes(status) ? 'no' : 'unknown'
   return new Failure('runnerRefused', `status ${status}`, { ran, retryAfterMs: retryAfterMs(headers) })
 }
 
 /** Failure of a call about a run that may exist; the status does not show whether the run was executed. */
-export function callRefused (status: number, headers: HttpAnswer['headers']): Failure {
+export function callFailure (status: number, headers: HttpAnswer['headers']): Failure {
   if (status === 404) return new Failure('notFound', 'the engine has no record of this run', { ran: 'unknown' })
   return new Failure('runnerRefused', `status ${status}`, { ran: 'unknown', retryAfterMs: retryAfterMs(headers) })
 }
 
 /** Failure of a refused order. */
-export function orderRefused (status: number, headers: HttpAnswer['headers']): Failure {
+export function orderFailure (status: number, headers: HttpAnswer['headers']): Failure {
   if (status === 412) return new Failure('leaseLost', 'the engine has accepted a higher fencing number')
-  return submitRefused(status, headers)
+  return submitFailure(status, headers)
 }
--- a/packages/runners/src/engine/eventReader.ts
+++ b/packages/runners/src/engine/eventReader.ts
@@ -6,7 +6,7 @@
 import type { Readable } from 'node:stream'
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 
-const MAX_EVENT_CHARS = 4 * 1024 * 1024
+const MAX_EVENT_CHARACTERS = 4 * 1024 * 1024
 
 /** Events of one read: at least one, or none at the end of the stream. */
 export interface EventBatch {
@@ -26,7 +26,7 @@
   private readonly parser = createParser({
     onEvent: event => { this.events.push(event) },
     onError: err => { this.fault = err.type === 'max-buffer-size-exceeded' ? err : this.fault },
-    maxBufferSize: MAX_EVENT_CHARS
+    maxBufferSize: MAX_EVENT_CHARACTERS
   })
 
   constructor (private readonly body: Readable) {
@@ -46,13 +46,13 @@
         this.parser.feed(this.decoder.decode(chunk.value, { stream: true }))
         if (this.fault !== undefined) throw this.fault
       }
-      return { events: this.take(), ended: false }
+      return { events: this.dequeueEvents(), ended: false }
     } finally {
       clearTimeout(timer)
     }
   }
 
-  private take (): readonly EventSourceMessage[] {
+  private dequeueEvents (): readonly EventSourceMessage[] {
     const events = this.events
     this.events = []
     return events
--- a/packages/runners/src/engine/httpEngineClient.ts
+++ b/packages/runners/src/engine/httpEngineClient.ts
@@ -6,9 +6,9 @@
 import { Just, Left, Nothing, Right, type Either, type Maybe } from 'purify-ts'
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { HttpTransport, parseJson, toLostCall, type HttpAnswer, type HttpCall } from '@rosemaryspread/infra/http/httpTransport.js'
-import { answerUnfit, callRefused, orderRefused, runnerLost, submitRefused } from './engineFailure.js'
-import { HttpEngineStream, type StreamLimits, type StreamSubject } from './httpEngineStream.js'
+import { HttpTransport, parseJson, toTransportError, type HttpAnswer, type HttpCall } from '@rosemaryspread/infra/http/httpTransport.js'
+import { invalidResponseFailure, callFailure, orderFailure, unreachableFailure, submitFailure } from './engineFailure.js'
+import { HttpEngineStream, type StreamLimits, type StreamContext } from './httpEngineStream.js'
 import {
   cacheEventsSchema, loadReportSchema, runRecordSchema,
   type CacheEvents, type EngineClient, type EngineOrder, type EngineRequest, type EngineStream, type LoadReport, type RunRecord, type StreamLoad
@@ -28,25 +28,25 @@
   readonly callMs: number
 }
 
-type Refusal = (status: number, headers: HttpAnswer['headers']) => Failure
+type StatusToFailure = (status: number, headers: HttpAnswer['headers']) => Failure
 
 const LOAD_HEADER = /^running=(\d{1,6});waiting=(\d{1,6})$/
 
 /** Parses `x-engine-load`; a malformed header is ignored. */
-function readLoad (header: string | string[] | undefined): StreamLoad | undefined {
+function parseLoadHeader (header: string | string[] | undefined): StreamLoad | undefined {
   const match = typeof header === 'string' ? LOAD_HEADER.exec(header) : null
   return match === null ? undefined : { running: Number(match[1]), waiting: Number(match[2]) }
 }
 
 /** Waits for status and headers of a streamed response. */
-function responseOf (req: Request): Promise<Response> {
+function waitForResponse (req: Request): Promise<Response> {
   return new Promise((resolve, reject) => {
     req.once('response', resolve)
     req.on('error', reject)
   })
 }
 
-function submitBody (req: EngineRequest): string {
+function createSubmitBody (req: EngineRequest): string {
   return JSON.stringify({
     model: req.model,
     adapter: req.adapter,
@@ -56,7 +56,7 @@
   })
 }
 
-function submitHeaders (req: EngineRequest): Readonly<Record<string, string>> {
+function createSubmitHeaders (req: EngineRequest): Readonly<Record<string, string>> {
   return {
     ...JSON_HEADERS,
     accept: EVENT_STREAM,
@@ -73,7 +73,7 @@
   return `/v1/runs/${encodeURIComponent(requestId)}`
 }
 
-function recordOf (requestId: string) {
+function recordSchemaFor (requestId: string) {
   return runRecordSchema.refine(record => record.requestId === requestId, 'record of a different run')
 }
 
@@ -92,13 +92,13 @@
     const call: HttpCall = {
       method: 'POST',
       url: `http://${address}/v1/chat/completions`,
-      headers: submitHeaders(req),
-      body: submitBody(req),
+      headers: createSubmitHeaders(req),
+      body: createSubmitBody(req),
       timeoutMs: this.settings.firstEventMs
     }
     return this.open(call, { requestId: req.requestId, from: 0 }, (status, headers) => {
       if (status === LEAVING_STATUS) onLeaving()
-      return submitRefused(status, headers)
+      return submitFailure(status, headers)
     })
   }
 
@@ -109,49 +109,49 @@
       headers: { accept: EVENT_STREAM },
       timeoutMs: this.settings.firstEventMs
     }
-    return this.open(call, { requestId, from: sequence }, callRefused)
+    return this.open(call, { requestId, from: sequence }, callFailure)
   }
 
   async find (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>> {
     const answer = await this.call(address, 'GET', runPath(requestId))
     return answer.chain(res => {
       if (res.status === 404) return Right(Nothing)
-      return this.read(res, recordOf(requestId)).map(Just)
+      return this.parseBody(res, recordSchemaFor(requestId)).map(Just)
     })
   }
 
   async listByHolder (address: string, holder: string): Promise<Either<Failure, readonly RunRecord[]>> {
     const answer = await this.call(address, 'GET', `/v1/runs?holder=${encodeURIComponent(holder)}`)
     const schema = runListSchema.refine(list => list.runs.every(run => run.holder === holder), 'record of a different holder')
-    return answer.chain(res => this.read(res, schema)).map(list => list.runs)
+    return answer.chain(res => this.parseBody(res, schema)).map(list => list.runs)
   }
 
   async cancel (address: string, requestId: string): Promise<Either<Failure, RunRecord>> {
     const answer = await this.call(address, 'POST', `${runPath(requestId)}/cancel`)
-    return answer.chain(res => this.read(res, recordOf(requestId)))
+    return answer.chain(res => this.parseBody(res, recordSchemaFor(requestId)))
   }
 
   async seal (address: string, requestId: string): Promise<Either<Failure, Maybe<RunRecord>>> {
     const answer = await this.call(address, 'POST', `${runPath(requestId)}/seal`)
     return answer.chain((res): Either<Failure, Maybe<RunRecord>> => {
-      if (res.status === 409) return parseJson(recordOf(requestId), res.body).bimap(answerUnfit, Just)
-      return this.read(res, sealedSchema).map(() => Nothing)
+      if (res.status === 409) return parseJson(recordSchemaFor(requestId), res.body).bimap(invalidResponseFailure, Just)
+      return this.parseBody(res, sealedSchema).map(() => Nothing)
     })
   }
 
   async load (address: string): Promise<Either<Failure, LoadReport>> {
     const answer = await this.call(address, 'GET', '/load')
-    return answer.chain(res => this.read(res, loadReportSchema))
+    return answer.chain(res => this.parseBody(res, loadReportSchema))
   }
 
   async cacheEvents (address: string, after: number): Promise<Either<Failure, CacheEvents>> {
     const answer = await this.call(address, 'GET', `/cache-events?after=${after}`)
-    return answer.chain(res => this.read(res, cacheEventsSchema))
+    return answer.chain(res => this.parseBody(res, cacheEventsSchema))
   }
 
   async order (address: string, order: EngineOrder): Promise<Either<Failure, void>> {
     const answer = await this.call(address, 'POST', '/orders', order)
-    return answer.chain(res => res.status === 200 ? Right(undefined) : Left(orderRefused(res.status, res.headers)))
+    return answer.chain(res => res.status === 200 ? Right(undefined) : Left(orderFailure(res.status, res.headers)))
   }
 
   /** Closes all connections; streams in progress fail. */
@@ -160,30 +160,30 @@
   }
 
   private async open (
-    call: HttpCall, subject: Omit<StreamSubject, 'holder' | 'load'>, refused: Refusal
+    call: HttpCall, context: Omit<StreamContext, 'holder' | 'load'>, toFailure: StatusToFailure
   ): Promise<Either<Failure, EngineStream>> {
     const req = this.transport.stream(call)
     try {
-      const res = await responseOf(req)
-      const problem = this.unfit(res, refused)
-      if (problem === undefined) return Right(this.toStream(req, res, subject))
+      const res = await waitForResponse(req)
+      const failure = this.validateResponse(res, toFailure)
+      if (failure === undefined) return Right(this.createStream(req, res, context))
       req.destroy()
-      return Left(problem)
+      return Left(failure)
     } catch (err) {
-      return Left(runnerLost(toLostCall(err)))
+      return Left(unreachableFailure(toTransportError(err)))
     }
   }
 
-  private unfit (res: Response, refused: Refusal): Failure | undefined {
-    if (res.statusCode !== 200) return refused(res.statusCode, res.headers)
+  private validateResponse (res: Response, toFailure: StatusToFailure): Failure | undefined {
+    if (res.statusCode !== 200) return toFailure(res.statusCode, res.headers)
     const contentType = res.headers['content-type'] ?? ''
-    return contentType.startsWith(EVENT_STREAM) ? undefined : answerUnfit(`unexpected content type '${contentType}'`)
+    return contentType.startsWith(EVENT_STREAM) ? undefined : invalidResponseFailure(`unexpected content type '${contentType}'`)
   }
 
-  private toStream (req: Request, res: Response, subject: Omit<StreamSubject, 'holder' | 'load'>): EngineStream {
+  private createStream (req: Request, res: Response, context: Omit<StreamContext, 'holder' | 'load'>): EngineStream {
     const holder = res.headers['x-run-holder']
-    const load = readLoad(res.headers['x-engine-load'])
-    return new HttpEngineStream(req, { ...subject, holder: typeof holder === 'string' ? holder : '', ...(load === undefined ? {} : { load }) }, this.settings)
+    const load = parseLoadHeader(res.headers['x-engine-load'])
+    return new HttpEngineStream(req, { ...context, holder: typeof holder === 'string' ? holder : '', ...(load === undefined ? {} : { load }) }, this.settings)
   }
 
   private async call (address: string, method: 'GET' | 'POST', path: string, body?: unknown): Promise<Either<Failure, HttpAnswer>> {
@@ -193,11 +193,11 @@
       ...(body === undefined ? {} : { headers: JSON_HEADERS, body: JSON.stringify(body) }),
       timeoutMs: this.settings.callMs
     })
-    return answer.mapLeft(runnerLost)
+    return answer.mapLeft(unreachableFailure)
   }
 
-  private read<T> (res: HttpAnswer, schema: z.ZodType<T>): Either<Failure, T> {
-    if (res.status !== 200) return Left(callRefused(res.status, res.headers))
-    return parseJson(schema, res.body).mapLeft(answerUnfit)
+  private parseBody<T> (res: HttpAnswer, schema: z.ZodType<T>): Either<Failure, T> {
+    if (res.status !== 200) return Left(callFailure(res.status, res.headers))
+    return parseJson(schema, res.body).mapLeft(invalidResponseFailure)
   }
 }
--- a/packages/runners/src/engine/httpEngineStream.ts
+++ b/packages/runners/src/engine/httpEngineStream.ts
@@ -3,7 +3,7 @@
  */
 import type { Request } from 'got'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
-import { EngineEventCheck } from './engineEvents.js'
+import { EngineEventValidator } from './engineEvents.js'
 import { EventReader, type EventBatch } from './eventReader.js'
 import type { EngineEvent, EngineStream, StreamLoad } from './engineTypes.js'
 
@@ -16,7 +16,7 @@
 }
 
 /** Run and position of a stream. */
-export interface StreamSubject {
+export interface StreamContext {
   readonly requestId: string
   /** Requested piece number. */
   readonly from: number
@@ -30,52 +30,52 @@
   readonly holder: string
   readonly load?: StreamLoad
   readonly events: AsyncIterable<EngineEvent>
-  private readonly check: EngineEventCheck
+  private readonly validator: EngineEventValidator
   private readonly reader: EventReader
 
-  constructor (private readonly req: Request, subject: StreamSubject, private readonly limits: StreamLimits) {
-    this.holder = subject.holder
-    if (subject.load !== undefined) this.load = subject.load
-    this.check = new EngineEventCheck(subject.requestId, subject.from)
+  constructor (private readonly req: Request, context: StreamContext, private readonly limits: StreamLimits) {
+    this.holder = context.holder
+    if (context.load !== undefined) this.load = context.load
+    this.validator = new EngineEventValidator(context.requestId, context.from)
     this.reader = new EventReader(req)
-    this.events = this.read()
+    this.events = this.readEvents()
   }
 
   close (): void {
     this.req.destroy()
   }
 
-  private async * read (): AsyncGenerator<EngineEvent> {
+  private async * readEvents (): AsyncGenerator<EngineEvent> {
     try {
-      while (this.check.whole === undefined) {
+      while (this.validator.whole === undefined) {
         const batch = await this.nextBatch()
-        if (batch.ended) throw this.check.cut('the stream ended before [DONE]')
+        if (batch.ended) throw this.validator.cut('the stream ended before [DONE]')
         for (const event of batch.events) {
-          const checked = this.check.accept(event)
+          const checked = this.validator.accept(event)
           if (checked !== undefined) yield checked
         }
       }
-      await this.expectNothing()
-      yield * this.check.whole
+      await this.expectStreamEnd()
+      yield * this.validator.whole
     } finally {
       this.close()
     }
   }
 
   private async nextBatch (): Promise<EventBatch> {
-    const timeoutMs = this.check.begun ? this.limits.betweenEventsMs : this.limits.firstEventMs
+    const timeoutMs = this.validator.isRunStarted ? this.limits.betweenEventsMs : this.limits.firstEventMs
     try {
       return await this.reader.next(timeoutMs)
     } catch (err) {
-      if (err instanceof TypeError) throw this.check.mixed('the stream is not UTF-8')
-      throw this.check.cut(err instanceof Error ? err.message : String(err))
+      if (err instanceof TypeError) throw this.validator.mixed('the stream is not UTF-8')
+      throw this.validator.cut(err instanceof Error ? err.message : String(err))
     }
   }
 
   /** After `[DONE]` the stream must close. If it breaks or stays open instead, the answer is complete nevertheless. */
-  private async expectNothing (): Promise<void> {
+  private async expectStreamEnd (): Promise<void> {
     const batch = await this.reader.next(this.limits.afterEndMs).catch((): EventBatch => ({ events: [], ended: true }))
-    if (batch.events.length > 0) throw this.check.mixed('event after the end of the stream')
+    if (batch.events.length > 0) throw this.validator.mixed('event after the end of the stream')
   }
 }
 
--- a/packages/runners/src/engine/testEngine.spec.ts
+++ b/packages/runners/src/engine/testEngine.spec.ts
@@ -2,7 +2,7 @@
  * Test helpers: SSE frames of an engine, and an engine server that sends scripted frames.
  */
 import type { ServerResponse } from 'node:http'
-import { AMPLE_MS, startTestServer, type TestServer } from '@rosemaryspread/infra/http/testServer.spec.js'
+import { LONG_TIMEOUT_MS, startTestServer, type TestServer } from '@rosemaryspread/infra/http/testServer.spec.js'
 import { HttpEngineClient, type EngineClientSettings } from './httpEngineClient.js'
 import type { EngineRequest } from './engineTypes.js'
 
@@ -26,14 +26,14 @@
 }
 
 /** SSE frame of one piece; `rest` overrides members of the data. */
-export const piece = (sequence: number | string, content: string, rest: object = {}): string =>
+export const pieceFrame = (sequence: number | string, content: string, rest: object = {}): string =>
   frame(sequence, { delta: { content }, finish_reason: null }, rest)
 
 /** SSE frame of the last event; `rest` overrides members of the data. */
-export const last = (sequence: number | string, rest: object = {}): string =>
+export const lastFrame = (sequence: number | string, rest: object = {}): string =>
   frame(sequence, { delta: {}, finish_reason: 'stop' }, { usage: USAGE, ...rest })
 
-export const DONE = 'data: [DONE]\n\n'
+export const DONE_FRAME = 'data: [DONE]\n\n'
 
 /** How the connection ends after the frames. */
 export type Ending = 'close' | 'break' | 'hang'
@@ -50,7 +50,7 @@
   })
 }
 
-function serve (res: ServerResponse, connection: Connection): void {
+function serveConnection (res: ServerResponse, connection: Connection): void {
   if (connection === 'drop') res.destroy()
   if (typeof connection === 'number') res.writeHead(connection)
   if (typeof connection === 'number') res.end()
@@ -59,11 +59,11 @@
 
 /** Starts an engine that serves the scripted connections in order and repeats the last one. */
 export function startTestEngine (script: readonly Connection[]): Promise<TestServer> {
-  return startTestServer((res, call, index) => serve(res, script[Math.min(index, script.length - 1)] ?? 'drop'))
+  return startTestServer((res, call, index) => serveConnection(res, script[Math.min(index, script.length - 1)] ?? 'drop'))
 }
 
 /** Creates a client with long timeouts, which matter only where the engine hangs. */
 export function testClient (limits: Partial<EngineClientSettings> = {}): HttpEngineClient {
-  const ample = { connectMs: AMPLE_MS, callMs: AMPLE_MS, firstEventMs: AMPLE_MS, betweenEventsMs: AMPLE_MS, afterEndMs: 50 }
-  return new HttpEngineClient({ vm: 'vm-1', ...ample, ...limits })
+  const longTimeouts = { connectMs: LONG_TIMEOUT_MS, callMs: LONG_TIMEOUT_MS, firstEventMs: LONG_TIMEOUT_MS, betweenEventsMs: LONG_TIMEOUT_MS, afterEndMs: 50 }
+  return new HttpEngineClient({ vm: 'vm-1', ...longTimeouts, ...limits })
 }
