--- a/packages/stand-ins/src/application/applicationRoutes.ts
+++ b/packages/stand-ins/src/application/applicationRoutes.ts
@@ -1,6 +1,6 @@
 /**
- * An application runner: a plain service that carries out every call it gets and counts each, so
- * that a call which ran twice shows. It knows nothing of request ids but to record them.
+ * Application runner stand-in. It executes every call without deduplication and counts them, so that a call that
+ * ran twice is visible; request ids are only recorded.
  */
 import { createHash } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -11,16 +11,15 @@
 
 const CONFIRMATION_LENGTH = 8
 
-/** Options of an application runner. */
 export interface ApplicationOptions {
-  /** Runner id as in the fleet configuration. */
+  /** Runner id in the fleet configuration. */
   readonly name: string
   readonly service: string
-  /** Milliseconds that one call takes. */
+  /** Duration of one call, in milliseconds. */
   readonly delayMs: number
 }
 
-/** One call that was carried out. */
+/** One executed call. */
 export interface Execution {
   readonly execution: number
   readonly at: number
@@ -30,7 +29,6 @@
   readonly digest: string
 }
 
-/** Carries calls out. */
 class Application {
   readonly executions: Execution[] = []
   private leaving = false
@@ -48,10 +46,6 @@
     return { status, body, headers: { 'content-type': 'application/json' }, effect: execution.method === 'POST' }
   }
 
-  /**
-   * Carries out a control message.
-   * @param control - the message
-   */
   obey (control: RunnerControl): void {
     const { leaving = this.leaving } = control
     if (leaving && !this.leaving) this.history.add({ kind: 'runnerLeaving', at: Date.now(), runner: this.options.name })
@@ -80,10 +74,7 @@
   }
 }
 
-/**
- * An application runner that has run nothing yet.
- * @param options - its name and speed
- */
+/** Creates an application runner without executions. */
 export function applicationParts (options: ApplicationOptions): StandInParts {
   const history = new HistoryLog()
   const application = new Application(options, history)
--- a/packages/stand-ins/src/budget/billArchive.spec.ts
+++ b/packages/stand-ins/src/budget/billArchive.spec.ts
@@ -14,15 +14,15 @@
 const log = { write: () => {} }
 const unknown = (): Failure => new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
 
-/** One VM's reach of the table and the object store, which all share. */
+/** A shared table and object store, filled with segments of two terminated holders and a recent one. */
 class Setup {
   now = 1_000
   readonly state = new TableState(() => this.now)
   readonly objects = new MemoryObjects()
-  /** Bytes put under each name, refused puts included. */
+  /** Bodies put under each name, including refused puts. */
   readonly sent = new Map<string, Set<string>>()
   losePuts = 0
-  /** Deleted rows that no object had at the moment of their deletion. */
+  /** Rows deleted before an object contained them. */
   readonly lost: string[] = []
   private readonly seen = new Map<string, string>()
 
@@ -50,7 +50,7 @@
     return { store, parts: { store, log, objects: { put: async (name, body) => await this.put(name, body) } } }
   }
 
-  /** Segments in objects, as `<key> <content>`. */
+  /** Archived segments, as `<key> <content>`. */
   archived (): Set<string> {
     const objects = [...this.objects.objects.values()].map(body => JSON.parse(body.toString()) as { segments: Array<{ key: string, segment: unknown }> })
     return new Set(objects.flatMap(({ segments }) => segments.map(({ key, segment }) => `${key} ${JSON.stringify(segment)}`)))
@@ -60,14 +60,14 @@
     return this.state.all(budgetTables.segments).map(({ key }) => key).filter(key => key.startsWith(`${holder}/`))
   }
 
-  /** Everything that has to hold at any moment; empty when it does. */
+  /** Violated invariants; empty while all hold. */
   faults (): readonly string[] {
     const partly = OLD.flatMap(holder => [0, 1].filter(block => {
       const rows = this.left(holder).filter(key => Math.floor(Number(key.split('/')[1]) / BLOCK_SEGMENTS) === block).length
       return rows !== 0 && rows !== BLOCK_SEGMENTS - (block === 0 ? 1 : 0)
     }))
     const differing = [...this.sent].filter(([, bodies]) => bodies.size > 1).map(([name]) => name)
-    return [...this.lost, ...partly.map(block => `block ${block} in part`), ...differing]
+    return [...this.lost, ...partly.map(block => `block ${block} archived partially`), ...differing]
   }
 
   private async put (name: string, body: Buffer): ReturnType<MemoryObjects['put']> {
@@ -79,7 +79,7 @@
 
 type Vm = ReturnType<Setup['vm']>
 
-/** Deletes before it puts. */
+/** Faulty: deletes the rows before it puts the object. */
 function deletesFirst ({ store, objects, log }: ArchiveParts): ArchiveParts {
   let later = async (): Promise<void> => {}
   const put: ArchiveParts['objects']['put'] = async (name, body) => {
@@ -96,18 +96,18 @@
 
 const faults: ReadonlyArray<readonly [string, (setup: Setup, vm: Vm) => void]> = [
   ['none', () => {}],
-  ['object store out of service', setup => { setup.objects.outage = true }],
+  ['object store outage', setup => { setup.objects.outage = true }],
   ['answer of a put lost', setup => { setup.losePuts = 1 }],
-  ['table out of service', (_, { store }) => { store.outage = true }],
-  ['table out of service half way, before a deletion', (_, { store }) => {
+  ['table outage', (_, { store }) => { store.outage = true }],
+  ['table outage half way, before a deletion', (_, { store }) => {
     store.before = async operation => { if (operation === 'transact' && store.calls.transact === 3) store.outage = true }
   }],
-  ['object store out of service half way', (setup, { store }) => {
+  ['object store outage half way', (setup, { store }) => {
     store.before = async () => { if (store.calls.transact === 2) setup.objects.outage = true }
   }],
   ['answers of deletions lost', (_, { store }) => { store.loseAnswers = 1 }],
-  ['deletions lost on the way', (_, { store }) => { store.loseRequests = 1 }],
-  ['a row written anew before the deletion', (setup, { store }) => {
+  ['requests of deletions lost', (_, { store }) => { store.loseRequests = 1 }],
+  ['a row rewritten before the deletion', (setup, { store }) => {
     store.before = async operation => {
       if (operation === 'transact' && store.calls.transact === 1) {
         const key = segmentKey('vm-a~01', 5)
@@ -119,7 +119,7 @@
 
 describe('archive of bills', () => {
   for (const [name, fault] of faults) {
-    it(`loses no bill and archives none in part: ${name}`, async () => {
+    it(`loses no bill and archives no block partially: ${name}`, async () => {
       const setup = new Setup()
       const [first, second] = [setup.vm(), setup.vm()]
       fault(setup, first)
@@ -131,21 +131,21 @@
       for (let pass = 0; pass < 3; pass++) await later.pass()
       expect(setup.lost).to.deep.equal([])
       for (const holder of OLD.slice(name.startsWith('a row') ? 1 : 0)) {
-        expect(setup.left(holder).slice(0, 1), 'the newest numbered segment stays').to.deep.equal([segmentKey(holder, LAST_SEQ)])
+        expect(setup.left(holder).slice(0, 1), 'the newest numbered segment stays in the table').to.deep.equal([segmentKey(holder, LAST_SEQ)])
       }
       expect(setup.left('vm-b~02')).to.have.length(2)
       expect(setup.left('vm-c~03'), 'younger than six hours').to.have.length(LAST_SEQ)
     })
   }
 
-  it('loses bills when it deletes before it puts (counter-example)', async () => {
+  it('loses bills if it deletes rows before it puts the object (counter-example)', async () => {
     const setup = new Setup()
     setup.objects.outage = true
     await new BillArchive(deletesFirst(setup.vm().parts)).pass()
     expect(setup.faults()).to.include(segmentKey('vm-a~01', 1))
   })
 
-  it('names an object by its fixed block, and does a bounded part of the work in one pass', async () => {
+  it('names an object by its fixed block, and archives a bounded number of blocks per pass', async () => {
     const setup = new Setup()
     const archive = new BillArchive(setup.vm().parts, 2)
     await archive.pass()
@@ -156,7 +156,7 @@
     expect(setup.objects.objects.size).to.equal(6)
   })
 
-  it('recovery takes a holder whose last segment is archived for one that was not heard of that long', async () => {
+  it('recovery assumes that a holder whose last segment is archived has been unreachable for that long', async () => {
     const runs = new RecoveryRuns(new Setup().vm().store, {} as never)
     const row = { holder: 'vm-a~01', budget: 'mesa', domain: 'd', held: 1, settled: 0, state: 'open', lastSeq: LAST_SEQ + 1 } as const
     expect(await runs.contactAgeMs({ row, version: 1, updatedAt: 0, ageMs: 10 }, 0)).to.equal(SEGMENT_ARCHIVE_MS)
--- a/packages/stand-ins/src/budget/budgetDriver.spec.ts
+++ b/packages/stand-ins/src/budget/budgetDriver.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The budget driver against a table in memory with its faults.
+ * The budget driver on a table in memory, with faults of the table.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
@@ -21,7 +21,7 @@
   confirmNoTransfers: async () => Right({ none: true })
 }
 
-/** One driver in virtual time. */
+/** One driver in virtual time, without peers. */
 class Bench {
   readonly store = new MemoryTableStore()
   readonly events: LogEventName[] = []
@@ -68,7 +68,7 @@
 }
 
 describe('budget driver', () => {
-  it('reserves, bills, and strands nothing on drain', async () => {
+  it('bills a reservation once and returns the rest of the allotment on drain', async () => {
     const bench = new Bench()
     await bench.topUp(10_000)
     const first = await bench.reserve(1000)
@@ -88,7 +88,7 @@
     { title: 'a negative amount', tokens: -1, code: 'amountInvalid' },
     { title: 'a fraction', tokens: 1.5, code: 'amountInvalid' },
     { title: 'a huge amount', tokens: 1e300, code: 'amountInvalid' },
-    { title: 'no number', tokens: NaN, code: 'amountInvalid' },
+    { title: 'NaN', tokens: NaN, code: 'amountInvalid' },
     { title: 'anything while the table is down', tokens: 5, outage: true, code: 'budgetPending' }
   ]
   for (const { title, tokens, budget, outage = false, code } of refusals) {
@@ -104,7 +104,7 @@
     { title: 'more than the cap', tokens: 5000, billed: 1000 },
     { title: 'a negative usage', tokens: -5, billed: 1000 },
     { title: 'a fractional usage', tokens: 1.5, billed: 1000 },
-    { title: 'no number', tokens: NaN, billed: 1000 },
+    { title: 'NaN', tokens: NaN, billed: 1000 },
     { title: 'nothing used', tokens: 0, billed: 0 }
   ]
   for (const { title, tokens, billed } of reports) {
@@ -119,11 +119,11 @@
 
   const topUps: ReadonlyArray<{ title: string, ops: ReadonlyArray<readonly [string, number]>, answers: readonly string[] }> = [
     { title: 'repeated', ops: [['a', 10], ['a', 10]], answers: ['10', '10'] },
-    { title: 'under a used id', ops: [['a', 10], ['a', 11]], answers: ['10', 'topUpConflict'] },
-    { title: 'of two ids', ops: [['a', 10], ['b', 10]], answers: ['10', '20'] },
+    { title: 'with another amount under a used id', ops: [['a', 10], ['a', 11]], answers: ['10', 'topUpConflict'] },
+    { title: 'under two ids', ops: [['a', 10], ['b', 10]], answers: ['10', '20'] },
     { title: 'lowered', ops: [['a', 10], ['b', -4]], answers: ['10', '6'] },
-    { title: 'lowered too far', ops: [['a', 10], ['b', -11]], answers: ['10', 'budgetBelowCommitted'] },
-    { title: 'of nothing', ops: [['a', 0]], answers: ['amountInvalid'] },
+    { title: 'lowered below what is committed', ops: [['a', 10], ['b', -11]], answers: ['10', 'budgetBelowCommitted'] },
+    { title: 'of zero tokens', ops: [['a', 0]], answers: ['amountInvalid'] },
     { title: 'of a fraction', ops: [['a', 0.5]], answers: ['amountInvalid'] }
   ]
   for (const { title, ops, answers } of topUps) {
@@ -141,7 +141,7 @@
   }
 
   for (const brokenRow of [false, true]) {
-    it(`refills many budgets in one transaction${brokenRow ? ', and the others when one row is broken' : ''}`, async () => {
+    it(`refills many budgets in one transaction${brokenRow ? ', except the one whose row is malformed' : ''}`, async () => {
       const bench = new Bench()
       const budgets = ['b0', 'b1', 'b2', 'b3', 'b4']
       const held = (): number => bench.driver.views().reduce((sum, view) => sum + view.held, 0)
@@ -165,7 +165,7 @@
     })
   }
 
-  it('keeps every bill through an outage and lost answers', async () => {
+  it('loses no bill during an outage and lost answers', async () => {
     const bench = new Bench()
     await bench.topUp(10_000)
     bench.store.loseAnswers = 1
--- a/packages/stand-ins/src/budget/budgetRowCache.spec.ts
+++ b/packages/stand-ins/src/budget/budgetRowCache.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions planned on rows that the holder wrote last: no read before the write, and nothing
- * wrong written when another writer came in between.
+ * Transactions planned on cached rows that the holder wrote last: they need no read before the write, and write
+ * nothing wrong if another writer came in between.
  */
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
@@ -16,7 +16,7 @@
 const shared = { table: 'budgets', key: 'b' }
 
 class CountingStore extends MemoryTableStore {
-  /** Rows read. */
+  /** Number of rows read. */
   reads = 0
 
   override async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
@@ -28,31 +28,31 @@
 interface CacheCase {
   readonly name: string
   readonly keys: readonly RowKey[]
-  /** Happens between the first and the second transaction. */
+  /** Runs between the first and the second transaction. */
   readonly between?: (store: MemoryTableStore) => Promise<unknown>
   readonly reads: number
   readonly value: number
 }
 
 const cases: readonly CacheCase[] = [
-  { name: 'needs no read for an own row', keys: [own], reads: 1, value: 2 },
-  { name: 'reads only the rows of others', keys: [own, shared], reads: 3, value: 2 },
+  { name: 'does not read a row that only the holder writes', keys: [own], reads: 1, value: 2 },
+  { name: 'reads only shared rows', keys: [own, shared], reads: 3, value: 2 },
   {
-    name: 'reads all again after a row of others changed meanwhile',
+    name: 'reads all rows again after a conflict in a transaction with a shared row',
     keys: [own, shared],
     between: async store => await store.transact({ checks: [], writes: [{ ...own, value: 10 }] }),
     reads: 5,
     value: 11
   },
   {
-    name: 'reads again after another writer changed the own row',
+    name: 'reads again after another writer changed the cached row',
     keys: [own],
     between: async store => await store.transact({ checks: [], writes: [{ ...own, value: 10 }] }),
     reads: 2,
     value: 11
   },
   {
-    name: 'reads again after the own row was removed',
+    name: 'reads again after the cached row was deleted',
     keys: [own],
     between: async store => await store.transact({ checks: [], writes: [{ ...own, value: null }] }),
     reads: 2,
@@ -65,7 +65,7 @@
   return Right({ kind: 'write' })
 }
 
-describe('transactions on known rows', () => {
+describe('transactions on cached rows', () => {
   for (const { name, keys, between, reads, value } of cases) {
     it(name, async () => {
       const store = new CountingStore()
@@ -79,7 +79,7 @@
     })
   }
 
-  it('ends without a write only on rows that were read', async () => {
+  it('finishes without a write only on rows that were read', async () => {
     const store = new CountingStore()
     const table = new BudgetTable(store, { now: () => ({ mono: 0, wall: 0 }) }, new BudgetRowCache(() => true))
     await table.run('first', [own], addOne)
--- a/packages/stand-ins/src/budget/heldAsSpent.spec.ts
+++ b/packages/stand-ins/src/budget/heldAsSpent.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A VM that ends without a word, where targets keep no record of runs: its successor takes back what
- * the last report of the ended process did not allow it to use, and nothing is overspent.
+ * A VM terminates abruptly while its targets keep no record of runs: its successor recovers what the last report of the
+ * terminated process did not allow it to use, and nothing is overspent.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
@@ -22,7 +22,7 @@
   confirmNoTransfers: async () => Right({ none: true })
 }
 
-/** One VM, and the processes that run on it one after the other. */
+/** One VM and the successive processes on it. */
 class World {
   mono = 0
   private readonly state = new TableState(() => this.mono)
@@ -52,7 +52,7 @@
     }
   }
 
-  /** The process that follows one which made requests and ended; the store is out of reach as it begins. */
+  /** Starts the successor of a process that made requests; the store is unreachable from before its start. */
   async successorInOutage (requests: number): Promise<BudgetDriver> {
     const first = this.process('a')
     await this.pass(200, first)
@@ -61,7 +61,7 @@
     return this.process('b')
   }
 
-  /** Requests one after the other; answers the tokens of those that were admitted and not billed. */
+  /** Makes requests one after another; returns the tokens of those admitted, none of which is billed. */
   async use (driver: BudgetDriver, requests: number): Promise<number> {
     let used = 0
     for (let i = 0; i < requests; i += 1) {
@@ -78,19 +78,19 @@
 interface EndCase {
   readonly name: string
   readonly requests: number
-  /** Requests made while the store is out of reach, before the end. */
+  /** Requests made while the store is unreachable, before the process terminates. */
   readonly cutOff: number
 }
 
 const cases: readonly EndCase[] = [
   { name: 'at once', requests: 1, cutOff: 0 },
   { name: 'under load', requests: 60, cutOff: 0 },
-  { name: 'under load after it was cut off from the store', requests: 40, cutOff: 40 }
+  { name: 'under load after the store became unreachable', requests: 40, cutOff: 40 }
 ]
 
 describe('recovery without records of runs', () => {
   for (const { name, requests, cutOff } of cases) {
-    it(`overspends nothing and returns most of what a VM held that ended ${name}`, async () => {
+    it(`overspends nothing and returns most of the allotment of a VM that terminated ${name}`, async () => {
       const world = new World()
       const first = world.process('a')
       await world.pass(200, first)
@@ -110,7 +110,7 @@
     })
   }
 
-  it('bills no more for the time that its successor took to reach the store', async () => {
+  it('bills no more if its successor reaches the store late', async () => {
     const spentAfter = async (outageMs: number): Promise<number> => {
       const world = new World()
       const second = await world.successorInOutage(30)
@@ -123,7 +123,7 @@
     expect(await spentAfter(6_000)).to.equal(await spentAfter(0))
   })
 
-  it('says whether a successor took back what its VM held', async () => {
+  it('reports whether a successor recovered the allotment of its VM', async () => {
     const world = new World()
     const second = await world.successorInOutage(10)
     const during = await second.takeOver()
--- a/packages/stand-ins/src/budget/recoveryRuns.spec.ts
+++ b/packages/stand-ins/src/budget/recoveryRuns.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Recovery bills a run of an ended holder once, also when another holder ran the same request.
+ * Recovery bills a run of a terminated holder once, also if another holder ran the same request.
  */
 import { expect } from 'chai'
 import { Just, Left, Nothing, Right } from 'purify-ts'
@@ -20,7 +20,7 @@
 interface RunCase {
   readonly name: string
   readonly runs: Readonly<Record<string, RunRecord>>
-  /** Runner that lists its runs and cannot be asked for one. */
+  /** Runner that lists its runs, but does not answer queries for a single run. */
   readonly mute?: string
   readonly billed: number | 'pending'
 }
@@ -28,9 +28,9 @@
 const cases: readonly RunCase[] = [
   { name: 'the only run', runs: { [second]: runBy(ENDED) }, billed: 1 },
   { name: 'a run whose earlier runner is sealed', runs: { [first]: runBy('', 'sealed'), [second]: runBy(ENDED) }, billed: 1 },
-  { name: 'a run that another holder had at an earlier runner', runs: { [first]: runBy('b~1'), [second]: runBy(ENDED) }, billed: 0 },
-  { name: 'a run that another holder had at a later runner', runs: { [first]: runBy(ENDED), [second]: runBy('b~1') }, billed: 1 },
-  { name: 'two runs of the ended holder', runs: { [first]: runBy(ENDED), [second]: runBy(ENDED) }, billed: 1 },
+  { name: 'a run that another holder made at an earlier runner', runs: { [first]: runBy('b~1'), [second]: runBy(ENDED) }, billed: 0 },
+  { name: 'a run that another holder made at a later runner', runs: { [first]: runBy(ENDED), [second]: runBy('b~1') }, billed: 1 },
+  { name: 'two runs of the terminated holder', runs: { [first]: runBy(ENDED), [second]: runBy(ENDED) }, billed: 1 },
   { name: 'a run whose earlier runner does not answer', runs: { [second]: runBy(ENDED) }, mute: first, billed: 'pending' }
 ]
 
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -10,7 +10,7 @@
 
 const SPREAD_MS = 2_000
 
-/** Counter-example: takes into force whatever was delivered last, if it verifies. */
+/** Counter-example: applies whatever was delivered last, if it verifies, even an older version. */
 class SlidingHolder implements ConfigDecider {
   readonly #seen = new Map<number, HeldConfig>([[0, firstConfig()]])
   #inner = new ConfigHolder(firstConfig())
@@ -31,15 +31,15 @@
 
 const inForceOf = (fleet: ConfigFleet): (number | undefined)[] => fleet.vms.map(vm => vm.store.inForce?.version)
 
-describe('faults while versions spread', () => {
+describe('faults during configuration propagation', () => {
   interface FaultCase {
     name: string
-    /** Begins after three patches. */
+    /** Starts the fault, after three patches. */
     begin: (fleet: ConfigFleet, vm: FleetVm) => void | Promise<void>
     end: (fleet: ConfigFleet, vm: FleetVm) => void | Promise<void>
-    /** Whether the VM under fault still follows within the spread time. */
+    /** Whether the faulty VM still applies each version within the propagation time. */
     follows: boolean
-    /** Two polls one after the other, when a peer has to poll first. */
+    /** Longer when a peer has to poll before this VM can. */
     withinMs?: number
   }
   const cases: readonly FaultCase[] = [
@@ -49,14 +49,14 @@
     { name: 'the table slow on one VM', begin: (_, vm) => { vm.extraTableMs = 4_000 }, end: (_, vm) => { vm.extraTableMs = 0 }, follows: true },
     { name: 'one VM cut off from the table', begin: (_, vm) => { vm.table.cut = true }, end: (_, vm) => { vm.table.cut = false }, follows: true },
     { name: 'one VM cut off from the table and pushes lost', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (_from, _to, method) => method === PUSH_METHOD }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: true, withinMs: 2_500 },
-    { name: 'one VM cut off from everything', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (from, to) => from === vm || to === vm }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: false },
+    { name: 'one VM cut off from the table and all peers', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (from, to) => from === vm || to === vm }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: false },
     { name: 'one VM reads a lagging replica', begin: (fleet, vm) => { vm.table.replica = new MemoryTableStore(fleet.replica.state) }, end: (_, vm) => { vm.table.replica = undefined }, follows: true },
     { name: 'one VM frozen', begin: (_, vm) => { vm.freeze() }, end: (_, vm) => { vm.thaw() }, follows: false },
     { name: 'one VM restarted', begin: async (fleet, vm) => { vm.kill(); await fleet.time.until(vm.start()) }, end: () => {}, follows: true },
     { name: 'one VM restarted while cut off from the table', begin: async (fleet, vm) => { vm.kill(); vm.table.cut = true; await fleet.time.until(vm.start()) }, end: (_, vm) => { vm.table.cut = false }, follows: true }
   ]
   for (const { name, begin, end, follows, withinMs = SPREAD_MS } of cases) {
-    it(`${name}: the VM ${follows ? 'follows' : 'stays where it was, then follows'}, and none slides back`, async () => {
+    it(`${name}: the VM ${follows ? 'follows' : 'keeps its version, then follows'}, and no VM regresses`, async () => {
       const fleet = new ConfigFleet({ vms: 6, seed: name })
       await fleet.start()
       for (let base = 0; base < 3; base++) await fleet.addModel(fleet.vm(0), base, `m${base}`)
@@ -76,7 +76,7 @@
     })
   }
 
-  it('all VMs replaced at once, the table down meanwhile: what was accepted is in force', async () => {
+  it('all VMs restarted at once while the table is down: the accepted version is in force', async () => {
     const fleet = new ConfigFleet({ vms: 6, seed: 'whole' })
     await fleet.start()
     for (let base = 0; base < 5; base++) await fleet.addModel(fleet.vm(base), base, `m${base}`).then(async () => { await fleet.time.run(SPREAD_MS) })
@@ -91,7 +91,7 @@
     expect(judgeFleet(fleet)).to.deep.equal([])
   })
 
-  it('a fresh process without table and object store begins with the version of a peer', async () => {
+  it('a new process without table and object store starts with the version of a peer', async () => {
     const fleet = new ConfigFleet({ vms: 2, seed: 'peer' })
     await fleet.start()
     for (let base = 0; base < 3; base++) await fleet.addModel(fleet.vm(0), base, `m${base}`)
@@ -105,7 +105,7 @@
     expect(vm.log).to.include('configApplied {"version":3,"source":"peer"}')
   })
 
-  it('what the object store missed is written at the next check', async () => {
+  it('objects missing after an outage of the object store are written at the next check', async () => {
     const fleet = new ConfigFleet({ vms: 2, seed: 'repair' })
     await fleet.start()
     fleet.objects.outage = true
@@ -122,7 +122,7 @@
     expect(vm.log).to.include('configApplied {"version":3,"source":"snapshot"}')
   })
 
-  it('a fresh process that hears of an older version while it loads begins with the newest', async () => {
+  it('a new process that gets a push of an older version while it loads starts with the newest', async () => {
     const fleet = new ConfigFleet({ vms: 2, seed: 'fresh' })
     await fleet.start()
     for (let base = 0; base < 3; base++) await fleet.addModel(fleet.vm(0), base, `m${base}`)
@@ -155,9 +155,9 @@
     expect(vm.store.inForce?.version).to.equal(5)
     return judgeFleet(fleet)
   }
-  it('a VM frozen while it fetches does not slide back on waking', async () => { expect(await frozenFetch()).to.deep.equal([]) })
-  it('a holder that takes the last answer does, and it is seen', async () => {
-    expect((await frozenFetch(() => new SlidingHolder())).join()).to.include('slid back')
+  it('a VM frozen while it fetches does not regress when it resumes', async () => { expect(await frozenFetch()).to.deep.equal([]) })
+  it('the verifier detects a decider that applies the last answer (counter-example)', async () => {
+    expect((await frozenFetch(() => new SlidingHolder())).join()).to.include('regressed')
   })
 })
 
@@ -168,7 +168,7 @@
   | { readonly kind: 'cut' | 'freeze' | 'restart' | 'lag' | 'heal', readonly vm: number }
   | { readonly kind: 'wait', readonly ms: number }
 
-/** Operators at several VMs who patch, send again and are disturbed. */
+/** Operators that patch and resend at several VMs, under faults. */
 class OperatorRun {
   readonly told: ToldOutcome[] = []
   #sent: { base: number, patchId: string }[] = []
@@ -232,7 +232,7 @@
     { weight: 5, arbitrary: fc.record({ kind: fc.constant('wait' as const), ms: fc.integer({ min: 1, max: 1_500 }) }) }
   )
 
-  it('versions form a chain, each accepted patch is in it once, no VM slides back, all end equal', async () => {
+  it('versions form a chain, each accepted patch occurs once, no VM regresses, all VMs converge', async () => {
     let accepted = 0
     await fc.assert(fc.asyncProperty(fc.array(command, { minLength: 10, maxLength: 60 }), fc.integer(), async (commands, seed) => {
       const run = new OperatorRun(new ConfigFleet({ vms: 4, seed: String(seed), tableMs: 5 }))
--- a/packages/stand-ins/src/config/configFleet.ts
+++ b/packages/stand-ins/src/config/configFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several VMs' configuration stores and spreads in one process, over one table in memory and in
- * virtual time. For tests and for `npm run measure -- config`.
+ * Configuration stores and propagation of several VMs in one process, over one in-memory table and in virtual time. Used
+ * by tests and by `npm run measure -- config`.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import seedrandom from 'seedrandom'
@@ -16,21 +16,20 @@
 import { MemoryObjects } from './memoryObjects.js'
 import { VirtualTime } from '../time/virtualTime.js'
 
-/** How a fleet is made. */
 export interface FleetOptions {
   readonly vms: number
   readonly seed: string
-  /** One-way milliseconds to the table and between VMs; each message takes up to twice as long. */
+  /** Least one-way latency to the table and between VMs, in milliseconds; a message takes up to twice as long. */
   readonly tableMs?: number
   readonly peerMs?: number
   readonly settings?: Partial<ConfigSpreadSettings>
-  /** Makes the decider of each VM; the product's unless given. */
+  /** Creates the decider of each VM; defaults to the product's. */
   readonly holder?: () => ConfigDecider
-  /** Makes the table as each VM reaches it; without faults unless given. */
+  /** Creates the table client of each VM; defaults to one without faults. */
   readonly table?: (state: TableState) => MemoryTableStore
 }
 
-/** A version that came into force. */
+/** A version that a VM brought into force. */
 export interface InForceRecord {
   readonly vm: string
   readonly incarnation: number
@@ -40,7 +39,6 @@
   readonly at: number
 }
 
-/** One VM. */
 export class FleetVm implements ConfigPeers, ConfigTimers {
   readonly table: FleetTable
   readonly peerTraffic: Traffic = { messages: 0, bytes: 0 }
@@ -49,7 +47,7 @@
   spread!: ConfigSpread
   alive = false
   incarnation = 0
-  /** Milliseconds that each message to and from the table takes on top. */
+  /** Additional latency of each message to and from the table, in milliseconds. */
   extraTableMs = 0
   #frozen: (() => void)[] | undefined
 
@@ -57,7 +55,7 @@
     this.table = new FleetTable(fleet.options.table?.(fleet.state) ?? new MemoryTableStore(fleet.state), async () => { await this.#travel() })
   }
 
-  /** Starts a fresh process: nothing is kept of an earlier one. */
+  /** Starts a new process, without any state of an earlier one. */
   async start (): Promise<void> {
     this.incarnation++
     const { incarnation, fleet } = this
@@ -75,25 +73,24 @@
     this.spread.start()
   }
 
-  /** Ends the process at once. */
+  /** Terminates the process immediately. */
   kill (): void {
     this.alive = false
     this.spread.stop()
   }
 
-  /** Stops the process where it stands; timers and answers wait. */
+  /** Pauses the process; timers and answers wait until {@link thaw}. */
   freeze (): void {
     this.#frozen ??= []
   }
 
-  /** Lets it go on. */
   thaw (): void {
     const waiting = this.#frozen ?? []
     this.#frozen = undefined
     for (const go of waiting) go()
   }
 
-  /** Resolves when the process is not frozen. */
+  /** Resolves as soon as the process is not frozen. */
   async thawed (): Promise<void> {
     while (this.#frozen !== undefined) await new Promise<void>(resolve => { this.#frozen?.push(resolve) })
   }
@@ -128,7 +125,7 @@
     return Right(structuredClone(answer))
   }
 
-  /** One message from or to the table; a process that ended meanwhile never sees the end of it. */
+  /** Delays one message from or to the table; never resolves if the process has terminated meanwhile. */
   async #travel (): Promise<void> {
     const { incarnation, fleet } = this
     await fleet.time.sleep(fleet.latency(fleet.tableMs) + this.extraTableMs)
@@ -150,7 +147,7 @@
   }
 }
 
-/** All VMs and what they share. */
+/** All VMs, with the table, object store and clock that they share. */
 export class ConfigFleet {
   readonly time = new VirtualTime()
   readonly state = new TableState(() => this.time.now().wall)
@@ -164,9 +161,6 @@
   /** Whether a message between VMs is lost. */
   isLost: (from: FleetVm, to: FleetVm, method: string) => boolean = () => false
 
-  /**
-   * @param options - size, seed and latencies
-   */
   constructor (readonly options: FleetOptions) {
     this.random = seedrandom(options.seed)
     this.tableMs = options.tableMs ?? 2
@@ -174,49 +168,39 @@
     this.vms = Array.from({ length: options.vms }, (_, index) => new FleetVm(`vm${index + 1}`, this))
   }
 
-  /** Starts all VMs. */
   async start (): Promise<void> {
     await this.time.until(Promise.all(this.vms.map(async vm => { await vm.start() })))
   }
 
-  /** Stops all VMs. */
   stop (): void {
     for (const vm of this.vms) vm.kill()
   }
 
-  /**
-   * One VM.
-   * @param index - from 0
-   */
+  /** The VM at an index from 0, modulo the number of VMs. */
   vm (index: number): FleetVm {
     const vm = this.vms[index % this.vms.length]
-    if (vm === undefined) throw new Error('the fleet is empty')
+    if (vm === undefined) throw new Error('the fleet has no VMs')
     return vm
   }
 
   /**
-   * Has a VM accept a patch that adds a model; time passes meanwhile.
-   * @param vm - where the operator connects
-   * @param base - version it is based on
+   * Sends a patch that adds a model to a VM, and advances time until it is answered.
+   * @param base - version that the patch is based on
    * @param patchId - also the id of the model
    */
   async addModel (vm: FleetVm, base: number, patchId: string): Promise<Either<Failure, PatchAnswer>> {
     return await this.time.until(vm.store.patch(modelPatch(base, patchId)))
   }
 
-  /**
-   * Milliseconds that one message takes.
-   * @param ms - the least
-   */
+  /** A random one-way latency from `ms` to twice that. */
   latency (ms: number): number {
     return ms * (1 + this.random())
   }
 }
 
 /**
- * A patch that adds a model named as the patch.
- * @param base - version it is based on
- * @param patchId - patch id
+ * A patch that adds a model whose id is the patch id.
+ * @param base - version that the patch is based on
  */
 export function modelPatch (base: number, patchId: string): { base: number, patchId: string, author: string, dryRun: boolean, patch: Record<string, unknown>[] } {
   return { base, patchId, author: 'operator', dryRun: false, patch: [{ op: 'add', path: `/models/${patchId}`, value: {} }] }
--- a/packages/stand-ins/src/config/configJudge.ts
+++ b/packages/stand-ins/src/config/configJudge.ts
@@ -1,30 +1,26 @@
 /**
- * Judges what a run of a {@link ConfigFleet} left behind, from the rows of the table and the
- * versions that came into force. Each finding is one broken promise.
+ * Verifies the result of a {@link ConfigFleet} run from the rows of the table and the versions that came into force. Each
+ * finding is one violated guarantee.
  */
 import { firstConfig, replayRows } from '@rosemaryspread/decisions/config/configPatch.js'
 import { CURRENT_TABLE, currentRowSchema, PATCH_TABLE, patchRowSchema, VERSION_TABLE, versionRowSchema, type VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
 import type { ConfigFleet, InForceRecord } from './configFleet.js'
 
-/** What an operator was told of a patch id. */
+/** The outcome of a patch id as reported to an operator. */
 export interface ToldOutcome {
   readonly patchId: string
   readonly outcome: 'accepted' | 'notRun' | 'unknown'
   readonly version?: number
 }
 
-/**
- * All version rows in order.
- * @param fleet - the fleet after the run
- */
+/** All version rows in order. */
 export function versionRows (fleet: ConfigFleet): readonly VersionRow[] {
   return fleet.state.all(VERSION_TABLE).map(row => versionRowSchema.parse(row.value))
 }
 
 /**
- * Every broken promise of a run; none when all held.
- * @param fleet - the fleet after the run
- * @param told - what operators were told; an id may occur several times
+ * All violated guarantees of a finished run.
+ * @param reported - outcomes reported to operators; an id may occur several times
  */
 export function judgeFleet (fleet: ConfigFleet, told: readonly ToldOutcome[] = []): readonly string[] {
   return [...judgeChain(fleet), ...judgeForce(fleet), ...judgeTold(fleet, told)]
@@ -32,22 +28,22 @@
 
 function judgeChain (fleet: ConfigFleet): string[] {
   const rows = versionRows(fleet)
-  const findings = replayRows(firstConfig(), rows).swap().map(failure => [`the versions are no chain: ${failure.message}`]).orDefault([])
+  const findings = replayRows(firstConfig(), rows).swap().map(failure => [`the versions do not form a chain: ${failure.message}`]).orDefault([])
   const ids = rows.map(row => row.patchId)
   if (new Set(ids).size < ids.length) findings.push('a patch was accepted twice')
   const current = fleet.state.all(CURRENT_TABLE)[0]
   const newest = current === undefined ? 0 : currentRowSchema.parse(current.value).version
-  if (newest !== rows.length) findings.push(`${rows.length} versions but ${newest} is current`)
+  if (newest !== rows.length) findings.push(`there are ${rows.length} versions, but the current one is ${newest}`)
   const patches = new Map(fleet.state.all(PATCH_TABLE).map(row => [row.key, patchRowSchema.parse(row.value).version]))
   for (const row of rows) {
-    if (patches.get(row.patchId) !== row.version) findings.push(`version ${row.version} is not that of patch ${row.patchId}`)
+    if (patches.get(row.patchId) !== row.version) findings.push(`patch ${row.patchId} is not recorded with its version ${row.version}`)
   }
   return findings
 }
 
 /**
- * A VM slides back when its version falls, also over restarts. A fresh process that the table
- * does not answer is excused for its first version, which is the newest that another source proves.
+ * A VM must not return to an older version, also not after a restart. The first version of a new process that cannot
+ * reach the table is exempt: it is the newest that another source proves.
  */
 function judgeForce (fleet: ConfigFleet): string[] {
   const digests = new Map([[0, firstConfig().digest], ...versionRows(fleet).map(row => [row.version, row.digest] as const)])
@@ -58,8 +54,8 @@
     const excused = before?.incarnation !== record.incarnation && record.source !== 'table'
     const slid = before !== undefined && record.version < before.version && !excused
     return [
-      ...(slid ? [`${record.vm} slid back from ${before.version} to ${record.version}`] : []),
-      ...(digests.get(record.version) === record.digest ? [] : [`${record.vm} has version ${record.version} that was not accepted`])
+      ...(slid ? [`${record.vm} regressed from version ${before.version} to ${record.version}`] : []),
+      ...(digests.get(record.version) === record.digest ? [] : [`${record.vm} has version ${record.version}, which was not accepted`])
     ]
   })
 }
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -33,10 +33,10 @@
   }
 }
 
-/** Loses only answers of transactions that write. */
+/** Loses requests or answers of transactions that write; others are unaffected. */
 class LosingTable extends MemoryTableStore {
   loseWrites: ('answer' | 'request')[] = []
-  /** Whether the table goes down after a loss. */
+  /** Whether an outage of the table follows a loss. */
   thenOutage = false
 
   override async transact (tx: Transaction): Promise<Either<Failure, TransactAnswer>> {
@@ -49,7 +49,7 @@
   }
 }
 
-/** Counter-example: a table client that takes a lost answer for a write that did not happen. */
+/** Counter-example: a table client that reports a write whose answer was lost as not executed. */
 class ForgettingTable extends LosingTable {
   override async transact (tx: Transaction): Promise<Either<Failure, TransactAnswer>> {
     return (await super.transact(tx)).mapLeft(failure => failure.code === 'platformOutcomeUnknown' ? new PlatformFailure('platformUnavailable', '') : failure)
@@ -61,9 +61,9 @@
   return await fleet.time.until(Promise.all(patches))
 }
 
-describe('patches that race', () => {
+describe('concurrent patches', () => {
   for (const operators of [2, 10]) {
-    it(`${operators} on one version: one wins each version and no update is lost`, async () => {
+    it(`${operators} on one version: one is accepted and no update is lost`, async () => {
       const fleet = await fleetOf(operators)
       for (let base = 0; base < 5; base++) {
         const outcomes = await race(fleet, base)
@@ -79,7 +79,7 @@
       expect(Object.keys(fleet.vm(0).store.inForce!.config.models)).to.have.members(versionRows(fleet).map(row => row.patchId))
     })
 
-    it(`${operators} over a table without checks: the loss is seen`, async () => {
+    it(`${operators} on a table without checks: the verifier detects the lost updates (counter-example)`, async () => {
       const fleet = await fleetOf(operators, { table: state => new UncheckedTable(state) })
       const codes = (await race(fleet, 0)).map(codeOf)
       expect(codes.filter(code => code === 'accepted')).to.have.length(operators)
@@ -89,14 +89,14 @@
   }
 })
 
-describe('answers lost', () => {
+describe('lost answers and requests', () => {
   const cases: readonly { name: string, lose: ('answer' | 'request')[], thenOutage?: true, code: string, later: { version: number, repeated: boolean } }[] = [
     { name: 'the answer of the write', lose: ['answer'], code: 'accepted', later: { version: 1, repeated: true } },
-    { name: 'the write on its way', lose: ['request'], code: 'accepted', later: { version: 1, repeated: true } },
-    { name: 'three writes, then an answer', lose: ['request', 'request', 'request', 'answer'], code: 'accepted', later: { version: 1, repeated: true } },
+    { name: 'the request of the write', lose: ['request'], code: 'accepted', later: { version: 1, repeated: true } },
+    { name: 'three requests, then an answer', lose: ['request', 'request', 'request', 'answer'], code: 'accepted', later: { version: 1, repeated: true } },
     { name: 'the answer, then an outage', lose: ['answer'], thenOutage: true, code: 'platformOutcomeUnknown', later: { version: 1, repeated: true } },
-    { name: 'the write, then an outage', lose: ['request'], thenOutage: true, code: 'platformOutcomeUnknown', later: { version: 1, repeated: false } },
-    { name: 'every write', lose: Array(20).fill('request'), code: 'platformOutcomeUnknown', later: { version: 1, repeated: false } }
+    { name: 'the request, then an outage', lose: ['request'], thenOutage: true, code: 'platformOutcomeUnknown', later: { version: 1, repeated: false } },
+    { name: 'every request', lose: Array(20).fill('request'), code: 'platformOutcomeUnknown', later: { version: 1, repeated: false } }
   ]
   for (const { name, lose, thenOutage = false, code, later } of cases) {
     it(`${name}: ${code}; the same patch again: version 1, repeated ${String(later.repeated)}`, async () => {
@@ -111,7 +111,7 @@
     })
   }
 
-  it('a client that takes a lost answer for no write is caught', async () => {
+  it('the verifier detects a client that reports a lost answer as no write (counter-example)', async () => {
     const table = (state: MemoryTableStore['state']): ForgettingTable => Object.assign(new ForgettingTable(state), { loseWrites: ['answer'], thenOutage: true })
     const fleet = await fleetOf(1, { table })
     const failure = (await fleet.addModel(fleet.vm(0), 0, 'p1')).swap().unsafeCoerce()
@@ -121,7 +121,7 @@
 })
 
 describe('patch ids, history and versions', () => {
-  it('answers a patch id again, refuses it for another patch, and leaves no trace of a dry run', async () => {
+  it('repeats the answer for a patch id, refuses the id for another patch, and stores nothing for a dry run', async () => {
     const fleet = await fleetOf(1)
     await acceptMany(fleet, 2)
     const { store } = fleet.vm(0)
@@ -137,7 +137,7 @@
     expect(judgeFleet(fleet)).to.deep.equal([])
   })
 
-  it('keeps history, gives old versions, and reverts only as a new version', async () => {
+  it('retains history, returns old versions, and reverts only by a new version', async () => {
     const fleet = await fleetOf(1)
     await acceptMany(fleet, 70)
     const { store, table } = fleet.vm(0)
@@ -157,7 +157,7 @@
   })
 })
 
-describe('a reader that lags', () => {
+describe('a VM that reads a lagging replica', () => {
   async function lagging (): Promise<ConfigFleet> {
     const fleet = await fleetOf(2)
     await acceptMany(fleet, 2)
@@ -168,7 +168,7 @@
     return fleet
   }
 
-  it('never takes the version in force down, and patches wait for a true read', async () => {
+  it('never returns to an older version, and accepts patches only after a current read', async () => {
     const fleet = await lagging()
     const { store } = fleet.vm(1)
     await fleet.time.run(5_000)
@@ -181,7 +181,7 @@
     expect(judgeFleet(fleet)).to.deep.equal([])
   })
 
-  it('names a version that is not current when its reads are not confirmed', async () => {
+  it('reports an outdated current version if its reads are not confirmed', async () => {
     const fleet = await lagging()
     const vm = fleet.vm(1)
     const parts = { table: vm.table, objects: fleet.objects, clock: fleet.time, timers: vm, random: () => 0, log: { write: () => {} } }
@@ -194,11 +194,11 @@
 
 describe('a VM that starts while the table is down', () => {
   const cases: readonly { name: string, damage: (fleet: ConfigFleet) => void, version: number | undefined }[] = [
-    { name: 'all objects there', damage: () => {}, version: 66 },
-    { name: 'an older pointer', damage: fleet => { fleet.objects.objects.delete(LATEST_OBJECT) }, version: 66 },
+    { name: 'all objects present', damage: () => {}, version: 66 },
+    { name: 'the pointer to the latest version missing', damage: fleet => { fleet.objects.objects.delete(LATEST_OBJECT) }, version: 66 },
     { name: 'the last version damaged', damage: fleet => { fleet.objects.objects.set(deltaName(66), Buffer.from('{"version":66')) }, version: 65 },
-    { name: 'a version changed', damage: fleet => { change(fleet, deltaName(66), '/m66"', '/m99"') }, version: 65 },
-    { name: 'the snapshot changed', damage: fleet => { change(fleet, 'config/snapshot/', '"m7"', '"m99"') }, version: undefined },
+    { name: 'the content of a version changed', damage: fleet => { change(fleet, deltaName(66), '/m66"', '/m99"') }, version: 65 },
+    { name: 'the content of the snapshot changed', damage: fleet => { change(fleet, 'config/snapshot/', '"m7"', '"m99"') }, version: undefined },
     { name: 'object store down too', damage: fleet => { fleet.objects.outage = true }, version: undefined }
   ]
   function change (fleet: ConfigFleet, prefix: string, from: string, to: string): void {
@@ -206,7 +206,7 @@
     fleet.objects.objects.set(name, Buffer.from(fleet.objects.objects.get(name)!.toString().replaceAll(from, to)))
   }
   for (const { name, damage, version } of cases) {
-    it(`${name}: ${version === undefined ? 'none until a source answers' : `version ${version}, and the log says so`}`, async () => {
+    it(`${name}: ${version === undefined ? 'no version until a source answers' : `version ${version}, and the log says so`}`, async () => {
       const fleet = await fleetOf(1)
       await acceptMany(fleet, 66)
       const vm = fleet.vm(0)
@@ -223,7 +223,7 @@
     })
   }
 
-  it('finds no gap where the object store was out for some versions', async () => {
+  it('starts with the newest version although the object store was down for some versions', async () => {
     const fleet = await fleetOf(1)
     await acceptMany(fleet, 2)
     fleet.objects.outage = true
--- a/packages/stand-ins/src/config/fleetTable.ts
+++ b/packages/stand-ins/src/config/fleetTable.ts
@@ -1,6 +1,6 @@
 /**
- * The table as one VM of a {@link ConfigFleet} reaches it: with latency, faults, a replica that
- * may lag, and answers that wait while the VM is frozen.
+ * The table as one VM of a {@link ConfigFleet} reaches it: with latency, faults, an optional lagging replica, and answers
+ * that wait while the VM is frozen.
  */
 import { Left, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -8,21 +8,17 @@
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { TableState } from '../table/tableState.js'
 
-/** Bytes and calls. */
 export interface Traffic {
   messages: number
   bytes: number
 }
 
-/** A replica that has seen only the first commits of the table. */
+/** A replica that applies commits only when {@link catchUp} is called. */
 export class LaggingReplica {
   readonly state: TableState
   #waiting: Transaction[] = []
 
-  /**
-   * @param primary - an empty table
-   * @param now - the service's clock
-   */
+  /** @param primary - must be empty */
   constructor (primary: TableState, now: () => number) {
     this.state = new TableState(now)
     primary.onCommit(rows => {
@@ -31,23 +27,22 @@
     })
   }
 
-  /** Applies all commits so far. */
+  /** Applies all pending commits. */
   catchUp (): void {
     for (const tx of this.#waiting.splice(0)) this.state.transact(tx)
   }
 }
 
-/** The table of one VM. */
 export class FleetTable implements TableStore {
-  /** Set while reads and scans come from a replica. */
+  /** While set, reads and scans come from this replica. */
   replica: TableStore | undefined
   /** Whether the VM is cut off from the table. */
   cut = false
   readonly traffic: Traffic = { messages: 0, bytes: 0 }
 
   /**
-   * @param primary - the table, with its faults
-   * @param travel - resolves when a message has gone one way, and the VM is not frozen
+   * @param primary - with the faults of this VM
+   * @param delayMessage - resolves after the one-way latency of a message, once the VM is not frozen
    */
   constructor (readonly primary: MemoryTableStore, private readonly travel: () => Promise<void>) {}
 
@@ -64,7 +59,7 @@
   }
 
   async #call<T> (question: unknown, effect: () => Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
-    if (this.cut) return Left(new Failure('platformUnavailable', 'the table cannot be reached'))
+    if (this.cut) return Left(new Failure('platformUnavailable', 'simulated loss of the connection to the table'))
     await this.travel()
     const answer = await effect()
     await this.travel()
--- a/packages/stand-ins/src/config/memoryObjects.ts
+++ b/packages/stand-ins/src/config/memoryObjects.ts
@@ -1,11 +1,10 @@
 /**
- * An object store without a socket, for tests in one process.
+ * An in-process object store with fault injection.
  */
 import { Left, Maybe, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 
-/** Objects in memory. */
 export class MemoryObjects implements ObjectStore {
   /** While true, every call fails and has no effect. */
   outage = false
@@ -23,5 +22,5 @@
 }
 
 function unavailable (): Either<Failure, never> {
-  return Left(new Failure('platformUnavailable', 'the object store is out of service'))
+  return Left(new Failure('platformUnavailable', 'simulated outage of the object store'))
 }
--- a/packages/stand-ins/src/control/clients.spec.ts
+++ b/packages/stand-ins/src/control/clients.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The product's own clients against the stand-ins: both must read docs/PLATFORM.md alike.
+ * Runs the product's clients against the stand-ins, so that both implement docs/PLATFORM.md the same way.
  */
 import { expect } from 'chai'
 import type { Either } from 'purify-ts'
@@ -51,7 +51,7 @@
   }
 }
 
-describe('clients against stand-ins', () => {
+describe('product clients against stand-ins', () => {
   const stops: (() => unknown)[] = []
   const start = async (parts: StandInParts): Promise<{ address: string, standIn: StandIn }> => {
     const standIn = new StandIn({ listen: LOOPBACK, control: LOOPBACK }, parts)
@@ -78,7 +78,7 @@
     { name: 'none', control: {}, first: 'done', second: 'platformConflict no' },
     { name: 'outage', control: { outage: true }, first: 'platformUnavailable no', second: 'platformUnavailable no' },
     { name: 'lost answer', control: { loseAnswers: 1 }, first: 'platformOutcomeUnknown unknown', second: 'platformConflict no' },
-    { name: 'cut', control: { cut: [VM] }, first: 'platformOutcomeUnknown unknown', second: 'platformOutcomeUnknown unknown' }
+    { name: 'cut connection', control: { cut: [VM] }, first: 'platformOutcomeUnknown unknown', second: 'platformOutcomeUnknown unknown' }
   ]
   for (const { name, control, first, second } of tables) {
     it(`table with fault "${name}": ${first}, then ${second}`, async () => {
@@ -108,7 +108,7 @@
     })
   }
 
-  it('engine calls besides streams', async () => {
+  it('engine calls other than streams', async () => {
     const { client, address } = await startEngine({})
     await drain((await client.submit(address, REQUEST)).unsafeCoerce())
     expect((await client.find(address, 'r')).unsafeCoerce().extract()).to.include({ state: 'finished', promptTokens: 3, completionTokens: 8 })
@@ -125,7 +125,7 @@
     expect(codeOf(await client.order(address, { ...order, orderId: 'p', fencing: 1 }))).to.equal('leaseLost no')
   })
 
-  it('application, objects, weights and the list of VMs', async () => {
+  it('application, object store, weight store and VM list', async () => {
     const application = new HttpApplicationClient({ vm: VM, connectMs: TIMEOUT_MS, maxBytes: 10_000 })
     stops.push(() => application.close())
     const { address } = await start(applicationParts({ name: 'app', service: 's', delayMs: 0 }))
--- a/packages/stand-ins/src/control/controlTypes.ts
+++ b/packages/stand-ins/src/control/controlTypes.ts
@@ -1,51 +1,51 @@
 /**
- * What tests send to the control port of a stand-in. Every member is optional; what is left out
- * keeps its setting.
+ * Messages that tests send to the control port of a stand-in. All fields are optional; an omitted field keeps its
+ * current value.
  */
 import * as z from 'zod'
 
 const count = z.number().int().nonnegative()
 
-/** Faults that every stand-in can show. */
+/** Faults of every stand-in. */
 export const controlSchema = z.strictObject({
-  /** Every request is answered 503 and has no effect. */
+  /** Requests get status 503 and have no effect. */
   outage: z.boolean(),
-  /** Milliseconds that a request waits before it takes effect. */
+  /** Delay of each request before it takes effect, in milliseconds. */
   slowMs: z.number().nonnegative(),
-  /** Answers of the next writes to lose after they took effect. */
+  /** Number of next writes that take effect but whose answer is lost. */
   loseAnswers: count,
-  /** The port is closed: new connections are refused and open ones are cut. */
+  /** The serving port is closed: new connections are refused and open ones are cut. */
   refuse: z.boolean(),
-  /** VMs whose connections are cut, before a request takes effect. */
+  /** VMs whose connections are cut before a request takes effect. */
   cut: z.array(z.string())
 }).partial()
 export type Control = z.infer<typeof controlSchema>
 
-/** Settings of both kinds of runners besides. */
+/** Additional settings of engines and application runners. */
 export const runnerControlSchema = controlSchema.extend({
-  /** Whether the runner takes no new work. */
+  /** Whether the runner refuses new work. */
   leaving: z.boolean().optional()
 })
 export type RunnerControl = z.infer<typeof runnerControlSchema>
 
-/** Faults and settings of the engine besides. */
+/** Additional faults and settings of engines. */
 export const engineControlSchema = runnerControlSchema.extend({
-  /** Cuts every stream and loses the unfinished runs. */
+  /** Cuts all streams and aborts the unfinished runs. */
   killStreams: z.boolean().optional(),
-  /** The next stream to send its second piece carries one piece of another run. */
+  /** The next stream that sends its second piece also sends a piece of another run. */
   mixNext: z.boolean().optional(),
-  /** The next run to finish reports this many tokens above its cap. */
+  /** The next run to finish reports this many tokens above its limit. */
   overreportNext: z.number().int().positive().optional(),
-  /** The next stream to end sends its last event twice. */
+  /** The next stream that ends sends its last event twice. */
   doubleEnd: z.boolean().optional(),
-  /** Milliseconds for one token of a run that is alone. */
+  /** Milliseconds per token of a single run. */
   msPerToken: z.number().positive().optional(),
   /** While true, all cache events are lost. */
   dropCacheEvents: z.boolean().optional()
 })
 export type EngineControl = z.infer<typeof engineControlSchema>
 
-/** The common faults as they are set now. */
+/** Current settings of the common faults. */
 export interface FaultSwitches {
   outage: boolean
   slowMs: number
@@ -54,7 +54,6 @@
   cut: ReadonlySet<string>
 }
 
-/** A stand-in that behaves. */
 export function noFaults (): FaultSwitches {
   return { outage: false, slowMs: 0, loseAnswers: 0, refuse: false, cut: new Set() }
 }
--- a/packages/stand-ins/src/control/faultGuard.ts
+++ b/packages/stand-ins/src/control/faultGuard.ts
@@ -1,7 +1,7 @@
 /**
- * Makes the common faults at a stand-in's serving port: outage, slowness, cut VMs and lost
- * answers. The order is that of a real service: a cut connection carries nothing, a slow call
- * takes effect late, and an answer is lost after the effect.
+ * Injects the common faults at the serving port: outage, delay, cut VMs and lost answers. Their order is that of a
+ * real service: a cut connection carries no request, a slow call takes effect late, and an answer is lost after the
+ * effect.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { IncomingMessage } from 'node:http'
@@ -10,15 +10,11 @@
 import type { PortGuard } from './httpPort.js'
 import { HttpFault, type HttpAnswer } from './httpTypes.js'
 
-/** The faults of one stand-in. */
 export class FaultGuard implements PortGuard {
   readonly switches: FaultSwitches = noFaults()
   private readonly sockets = new Map<Socket, string>()
 
-  /**
-   * Sets the faults named in a control message; cuts open connections of VMs now in `cut`.
-   * @param control - the message
-   */
+  /** Sets the faults given in a control message, and cuts open connections of the VMs in `cut`. */
   apply (control: Control): void {
     const { cut, outage, slowMs, loseAnswers, refuse } = control
     this.switches.outage = outage ?? this.switches.outage
@@ -36,7 +32,7 @@
     if (this.switches.cut.has(vm)) return false
     if (this.switches.slowMs > 0) await sleep(this.switches.slowMs)
     if (this.switches.cut.has(vm)) return false
-    if (this.switches.outage) throw new HttpFault(503, 'out of service')
+    if (this.switches.outage) throw new HttpFault(503, 'simulated outage')
     return true
   }
 
--- a/packages/stand-ins/src/control/httpPort.ts
+++ b/packages/stand-ins/src/control/httpPort.ts
@@ -1,35 +1,33 @@
 /**
- * One listening port of a stand-in: reads requests, finds their route and sends answers. A guard
- * stands before and after each call, where the faults are made.
+ * One listening port of a stand-in: reads requests, dispatches them to routes and sends answers. An optional guard
+ * injects faults before and after each call.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { once } from 'node:events'
 import type { AddressInfo } from 'node:net'
 import { HttpFault, HttpRequest, type BodyAnswer, type HttpAnswer, type HttpRoute } from './httpTypes.js'
 
-/** What happens around each call. */
+/** Hooks around each call. */
 export interface PortGuard {
-  /** Before the effect; false when the connection is to be cut. A thrown {@link HttpFault} is answered. */
+  /** Runs before the effect; false cuts the connection. A thrown {@link HttpError} is sent as the answer. */
   enter (req: IncomingMessage): Promise<boolean>
-  /** After the effect; false when the answer is lost. */
+  /** Runs after the effect; false drops the answer. */
   leave (answer: HttpAnswer): boolean
 }
 
-/** Address that a port listens on. */
 export interface PortAddress {
   readonly host: string
   readonly port: number
 }
 
-/** A port with its routes. */
 export class HttpPort {
   private readonly server: Server
   private address: PortAddress
 
   /**
-   * @param address - where to listen; port 0 takes a free one
-   * @param routes - calls served; the first match counts
-   * @param guard - faults; none on the control port
+   * @param address - port 0 selects a free port
+   * @param routes - the first match is used
+   * @param guard - injects faults; absent on the control port
    */
   constructor (address: PortAddress, private readonly routes: readonly HttpRoute[], private readonly guard?: PortGuard) {
     this.address = address
@@ -38,7 +36,7 @@
     })
   }
 
-  /** Listens; on the same port as before when it was closed meanwhile. */
+  /** Starts listening; reopens on the same port after {@link close}. */
   async open (): Promise<PortAddress> {
     if (this.server.listening) return this.address
     this.server.listen(this.address.port, this.address.host, 1024)
@@ -47,7 +45,7 @@
     return this.address
   }
 
-  /** Refuses new connections and cuts those that are open. */
+  /** Refuses new connections and cuts open ones. */
   async close (): Promise<void> {
     if (!this.server.listening) return
     const closed = once(this.server, 'close')
@@ -77,7 +75,7 @@
     const path = decodeURIComponent(url.pathname)
     const fitting = this.routes.filter(route => route.pattern.test(path))
     const route = fitting.find(({ method }) => method === req.method)
-    if (route === undefined) throw new HttpFault(fitting.length === 0 ? 404 : 405, `no call ${req.method} ${path}`)
+    if (route === undefined) throw new HttpFault(fitting.length === 0 ? 404 : 405, `no route for ${req.method} ${path}`)
     const params = route.pattern.exec(path)?.slice(1) ?? []
     return await route.serve(new HttpRequest(route.method, url, req.headers, body, params))
   }
--- a/packages/stand-ins/src/control/httpTypes.ts
+++ b/packages/stand-ins/src/control/httpTypes.ts
@@ -1,28 +1,21 @@
 /**
- * Requests, answers and routes of the stand-ins' two ports.
+ * Requests, answers and routes of the serving and control ports.
  */
 import type { ServerResponse } from 'node:http'
 import type { ZodType } from 'zod'
 
-/** An answer that is thrown to end a request early. */
+/** Ends a request early with an error answer. */
 export class HttpFault extends Error {
-  /**
-   * @param status - HTTP status
-   * @param detail - what was wrong, for people
-   */
   constructor (readonly status: number, detail: string) {
     super(detail)
   }
 }
 
-/** A request with its body read whole. */
+/** A request with its complete body. */
 export class HttpRequest {
   /**
-   * @param method - HTTP method
-   * @param url - path and query
-   * @param headers - headers by lower-case name
-   * @param body - bytes of the body
-   * @param params - groups matched in the path
+   * @param headers - by lower-case name
+   * @param params - capture groups of the path pattern
    */
   constructor (
     readonly method: string,
@@ -33,30 +26,23 @@
   ) {}
 
   /**
-   * A header, or an empty string.
-   * @param name - lower-case name
+   * A header, or an empty string if absent.
+   * @param name - in lower case
    */
   header (name: string): string {
     const value = this.headers[name]
     return Array.isArray(value) ? value.join(', ') : value ?? ''
   }
 
-  /**
-   * A whole number of the query, or the given one.
-   * @param name - name in the query
-   * @param otherwise - value when it is absent
-   */
+  /** A non-negative integer of the query string, or the default if absent. */
   count (name: string, otherwise: number): number {
     const text = this.url.searchParams.get(name)
     if (text === null) return otherwise
-    if (!/^\d+$/.test(text)) throw new HttpFault(400, `${name} is not a whole number`)
+    if (!/^\d+$/.test(text)) throw new HttpFault(400, `query parameter ${name} is not a non-negative integer`)
     return Number(text)
   }
 
-  /**
-   * The body as JSON of the given shape; anything else is a 400.
-   * @param schema - shape of the body
-   */
+  /** The JSON body checked against a schema; a mismatch is a 400. */
   json<T> (schema: ZodType<T>): T {
     const checked = schema.safeParse(this.parsed())
     if (!checked.success) throw new HttpFault(400, checked.error.message)
@@ -67,30 +53,30 @@
     try {
       return JSON.parse(this.body.toString('utf8'))
     } catch {
-      throw new HttpFault(400, 'the body is not JSON')
+      throw new HttpFault(400, 'the body is not valid JSON')
     }
   }
 }
 
-/** A whole answer; a value other than bytes or text is sent as JSON. */
+/** A complete answer; a body other than bytes or text is sent as JSON. */
 export interface BodyAnswer {
   readonly status: number
   readonly body?: unknown
   readonly headers?: Readonly<Record<string, string>>
-  /** Whether the request had an effect whose answer can be lost. */
+  /** Whether the request changed state, so that the fault of a lost answer applies. */
   readonly effect?: boolean
 }
 
-/** An answer that goes on for a while. */
+/** A streamed answer. */
 export interface StreamAnswer {
-  /** Writes head and events; ends the response by itself. */
+  /** Writes headers and events, and ends the response. */
   readonly open: (res: ServerResponse) => void
   readonly effect?: boolean
 }
 
 export type HttpAnswer = BodyAnswer | StreamAnswer
 
-/** One call that a port serves; the pattern matches the whole path, decoded. */
+/** One call that a port serves; the pattern is tested against the decoded path. */
 export interface HttpRoute {
   readonly method: 'GET' | 'POST' | 'PUT'
   readonly pattern: RegExp
--- a/packages/stand-ins/src/control/laggingValue.spec.ts
+++ b/packages/stand-ins/src/control/laggingValue.spec.ts
@@ -11,7 +11,7 @@
     { now: 900, asOf: 800, value: 'third' }
   ]
   for (const { now, asOf, value } of cases) {
-    it(`at ${now} shows the ${value} value, as of ${asOf}`, () => {
+    it(`returns the ${value} value at ${now} ms, as of ${asOf} ms`, () => {
       const lagging = new LaggingValue('first', 0, 100)
       lagging.set('second', 100)
       lagging.set('third', 150)
@@ -21,7 +21,7 @@
 })
 
 describe('TokenBucket', () => {
-  it('allows a burst, then the rate', () => {
+  it('allows a burst, then the steady rate', () => {
     const bucket = new TokenBucket(60, 2)
     expect([0, 0, 0, 500, 1000, 1000].map(now => bucket.take(now))).to.deep.equal([0, 0, 1000, 500, 0, 1000])
   })
--- a/packages/stand-ins/src/control/laggingValue.ts
+++ b/packages/stand-ins/src/control/laggingValue.ts
@@ -1,47 +1,38 @@
 /**
- * A value that others see late.
+ * A value that readers see with a fixed lag.
  */
 
-/** A value at a time. */
+/** A value and the time from which it held, in milliseconds. */
 interface Sample<T> {
   readonly at: number
   readonly value: T
 }
 
-/** Keeps the values of the last while, so that the one that held some time ago can be told. */
+/** Retains the values of the last `lagMs`, to return the one that held that long ago. */
 export class LaggingValue<T> {
   private samples: Sample<T>[]
 
   /**
-   * @param value - the value before the first change
-   * @param at - milliseconds when it began to hold
-   * @param lagMs - how late it is seen
+   * @param value - the initial value
+   * @param at - milliseconds from which it holds
    */
   constructor (value: T, at: number, private readonly lagMs: number) {
     this.samples = [{ at, value }]
   }
 
-  /**
-   * Notes a change.
-   * @param value - the value from now on
-   * @param now - milliseconds
-   */
   set (value: T, now: number): void {
     this.samples.push({ at: now, value })
     this.forget(now)
   }
 
-  /**
-   * The value as others see it, and the time for which it held.
-   * @param now - milliseconds
-   */
+  /** The value that readers see at `now`, and the time at which it held, in milliseconds. */
   seen (now: number): { readonly asOf: number, readonly value: T } {
     this.forget(now)
     const { at, value } = this.samples[0]!
     return { asOf: Math.max(at, now - this.lagMs), value }
   }
 
-  /** Drops samples that were replaced more than the lag ago. */
+  /** Drops samples that were replaced at least `lagMs` ago. */
   private forget (now: number): void {
     const next = this.samples.findIndex(sample => sample.at > now - this.lagMs)
     const keepFrom = next === -1 ? this.samples.length - 1 : Math.max(0, next - 1)
--- a/packages/stand-ins/src/control/standIn.spec.ts
+++ b/packages/stand-ins/src/control/standIn.spec.ts
@@ -28,11 +28,11 @@
 
 interface Call { method?: Method, json?: unknown, headers?: Record<string, string> }
 
-/** A stand-in in this process with its two ports. */
+/** A started stand-in, reached over its two ports. */
 class Started {
   constructor (readonly standIn: StandIn, private readonly listen: number, private readonly control: number) {}
 
-  /** Status and body of a call, or `cut` when the connection ended without a whole answer. */
+  /** Status and body of a call, or `cut` if the connection ended without a complete answer. */
   async call (path: string, options: Call = {}): Promise<{ status: number | typeof CUT, body: string }> {
     return await this.send(this.listen, path, options)
   }
@@ -76,7 +76,7 @@
     { name: 'lost answer', control: { loseAnswers: 1 }, status: CUT, effect: true, after: 200 },
     { name: 'cut of this VM', control: { cut: ['vm'] }, status: CUT, effect: false, after: 200 },
     { name: 'cut of another VM', control: { cut: ['other'] }, status: 200, effect: true, after: 200 },
-    { name: 'closed port, then open again', control: { refuse: true }, status: CUT, effect: false, after: 200 }
+    { name: 'closed port, then reopened', control: { refuse: true }, status: CUT, effect: false, after: 200 }
   ]
   for (const { name, control, status, effect, after } of faults) {
     it(`table with fault "${name}"`, async () => {
@@ -93,7 +93,7 @@
   const bad: readonly { name: string, path: string, call: Call, status: number }[] = [
     { name: 'unknown path', path: '/nothing', call: {}, status: 404 },
     { name: 'wrong method', path: '/table/read', call: {}, status: 405 },
-    { name: 'body of another shape', path: '/table/read', call: { json: { key: 1 } }, status: 400 },
+    { name: 'body that does not match the schema', path: '/table/read', call: { json: { key: 1 } }, status: 400 },
     { name: 'write without a value', path: '/table/transact', call: { json: { checks: [], writes: [{ table: 't', key: 'k' }] } }, status: 400 },
     { name: 'failed check', path: '/table/transact', call: { json: { checks: [{ table: 't', key: 'k', version: 3 }], writes: [] } }, status: 409 }
   ]
@@ -104,11 +104,11 @@
     })
   }
 
-  it('refuses control messages with unknown members', async () => {
+  it('refuses control messages with unknown fields', async () => {
     expect(await (await start(tableParts())).order({ mixNext: true })).to.equal(400)
   })
 
-  it('keeps objects, limits weights and lists VMs', async () => {
+  it('stores objects, limits the rate of weights and lists VMs', async () => {
     const objects = await start(objectParts())
     expect((await objects.call('/objects/a/b', { method: 'PUT', json: { n: 1 } })).status).to.equal(204)
     expect((await objects.call('/objects/a/b')).body).to.equal('{"n":1}')
@@ -121,7 +121,7 @@
     expect(JSON.parse((await list.call('/vms')).body).vms).to.deep.equal([])
   })
 
-  it('an application runs a call again when asked again, also when its answer was lost', async () => {
+  it('an application executes a repeated call again, also after its answer was lost', async () => {
     const application = await start(applicationParts({ name: 'app', service: 's', delayMs: 0 }))
     await application.order({ loseAnswers: 1 })
     const statuses = []
@@ -153,7 +153,7 @@
     })
   }
 
-  it('engine joins, resumes, refuses and forgets nothing when the answer is lost', async () => {
+  it('engine joins a run whose answer was lost, resumes its stream, and refuses a reused or sealed id', async () => {
     const engine = await startEngine()
     await engine.order({ loseAnswers: 1 })
     expect((await engine.call('/v1/chat/completions', complete('r'))).status).to.equal(CUT)
@@ -168,7 +168,7 @@
   })
 
   for (const [name, control, known] of [['killed streams', { killStreams: true }, 404], ['a cut VM', { cut: ['vm'] }, 200]] as const) {
-    it(`engine stream ends without its end on ${name}`, async () => {
+    it(`engine stream ends without its final event on ${name}`, async () => {
       const engine = await startEngine({ msPerToken: 60_000 })
       const stream = engine.call('/v1/chat/completions', complete('r'))
       while ((await engine.call('/v1/runs/r')).status !== 200) await new Promise(resolve => setImmediate(resolve))
@@ -178,7 +178,7 @@
     })
   }
 
-  it('engine orders: weights at a rate, old fencing numbers refused', async () => {
+  it('engine orders: rate limit of weights, stale fencing numbers refused', async () => {
     const engine = await startEngine()
     const order = (orderId: string, fencing: number, model: string): Call => ({ json: { orderId, fencing, kind: 'load', model, version: '1' } })
     const statuses = []
--- a/packages/stand-ins/src/control/standIn.ts
+++ b/packages/stand-ins/src/control/standIn.ts
@@ -1,5 +1,5 @@
 /**
- * One stand-in process: its serving port with faults and its control port.
+ * One stand-in process: a serving port with fault injection, and a control port.
  */
 import type { ZodType } from 'zod'
 import { controlSchema, type Control } from './controlTypes.js'
@@ -8,44 +8,38 @@
 import { HttpPort, type PortAddress } from './httpPort.js'
 import type { HttpRoute } from './httpTypes.js'
 
-/** What one kind of stand-in brings. */
+/** What is specific to one kind of stand-in. */
 export interface StandInParts {
   readonly routes: readonly HttpRoute[]
   readonly history: HistoryLog
-  /** A dump for tests, answered as JSON. */
+  /** State dump for tests, sent as JSON. */
   readonly state: () => unknown
-  /** Calls of the control port besides the common ones. */
+  /** Additional routes of the control port. */
   readonly controlRoutes?: readonly HttpRoute[]
-  /** Shape of control messages when it is wider than the common one. */
+  /** Schema of control messages, if it extends the common one. */
   readonly controlSchema?: ZodType<Control>
-  /** Carries out what a control message says besides the common faults. */
+  /** Applies the fields of a control message other than the common faults. */
   readonly onControl?: (control: Control) => void
   /** Stops timers. */
   readonly stop?: () => void
 }
 
-/** Addresses that a stand-in listens on. */
 export interface StandInAddresses {
   readonly listen: PortAddress
   readonly control: PortAddress
 }
 
-/** A stand-in that can be started and stopped. */
 export class StandIn {
   readonly guard = new FaultGuard()
   private readonly serving: HttpPort
   private readonly control: HttpPort
 
-  /**
-   * @param addresses - where to listen
-   * @param parts - what this kind of stand-in does
-   */
   constructor (addresses: StandInAddresses, private readonly parts: StandInParts) {
     this.serving = new HttpPort(addresses.listen, parts.routes, this.guard)
     this.control = new HttpPort(addresses.control, [...this.commonRoutes(), ...parts.controlRoutes ?? []])
   }
 
-  /** Opens both ports; answers where they are. */
+  /** Opens both ports and returns their addresses. */
   async start (): Promise<StandInAddresses> {
     return { listen: await this.serving.open(), control: await this.control.open() }
   }
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet that follows tables of heartbeats, in virtual time: presence and the digest are the product's, the table, its feeds and
- * the targets are small fakes. A VM may end, stand still, or be cut from the table one way or both.
+ * A fleet whose VMs follow heartbeat tables, in virtual time. Presence and digest are the product's; the table, its feeds and the
+ * targets are fakes. A VM may terminate, freeze, or lose reads, writes or both to the table.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -19,7 +19,7 @@
 const TARGET_BEAT_MS = 1_200
 const TARGETS_TABLE = 'register'
 
-/** Rows of one table, in the order of their versions. */
+/** Rows of one table, ordered by version. */
 class VirtualRows {
   private readonly rows = new Map<string, FeedRow>()
   private readonly waiting = new Set<() => void>()
@@ -39,7 +39,7 @@
     return [...this.rows.values()].filter(row => row.version > version)
   }
 
-  /** Resolves with the next write, at the latest when the time is over. */
+  /** Resolves at the next write, or after `ms`. */
   change (time: VirtualTime, ms: number): Promise<void> {
     return new Promise(resolve => {
       const cancel = time.after(ms, resolve)
@@ -51,7 +51,6 @@
   }
 }
 
-/** Rows of all tables. */
 class VirtualTable {
   private readonly tables = new Map<string, VirtualRows>()
   version = 0
@@ -72,23 +71,22 @@
   }
 }
 
-/** What a VM cannot do just now. */
+/** Current fault of a VM. */
 export type Trouble = 'ended' | 'frozen' | 'cut' | 'writesFail' | 'readsFail'
 
 const unreachable = new Failure('platformUnavailable', 'no connection')
 
-/** One VM. */
 export class DigestVm {
-  /** Calls of feeds, and rows that they brought. */
+  /** Number of feed calls, and of rows received by them. */
   calls = 0
   rows = 0
   trouble: Trouble | undefined
   readonly presence: VmPresence
   readonly digest: TableDigest
-  /** Targets as this VM knows them. */
+  /** State of each target, as seen by this VM. */
   readonly targets = new Map<string, unknown>()
   readonly events: string[] = []
-  /** Milliseconds by which its feeds lag behind. */
+  /** Lag of its feeds, in milliseconds. */
   lagMs = 0
 
   constructor (readonly name: string, private readonly fleet: DigestFleet) {
@@ -183,26 +181,17 @@
   }
 }
 
-/** The fleet. */
 export class DigestFleet {
   readonly time = new VirtualTime()
   readonly table = new VirtualTable()
   readonly vms: DigestVm[] = []
   private readonly beating = new Set<string>()
 
-  /**
-   * @param vms - number of VMs
-   * @param targets - number of targets
-   */
   constructor (vms: number, targets: number) {
     for (let index = 0; index < targets; index += 1) this.beatTarget(`t${index}`, index * TARGET_BEAT_MS / targets)
     this.add(vms)
   }
 
-  /**
-   * Starts more VMs.
-   * @param vms - how many
-   */
   add (vms: number): void {
     for (let index = 0; index < vms; index += 1) {
       const vm = new DigestVm(`vm-${this.vms.length}`, this)
@@ -211,22 +200,19 @@
     }
   }
 
-  /** VMs that pass tables on, the first one first. */
+  /** VMs that publish the digest, by rank. */
   get passing (): readonly DigestVm[] {
     const names = this.vms.filter(({ trouble }) => trouble !== 'ended').map(({ name }) => name)
     return this.vms.filter(({ name }) => passingRank(name, names) !== undefined).sort((a, b) => (passingRank(a.name, names) ?? 0) - (passingRank(b.name, names) ?? 0))
   }
 
-  /** VMs without trouble that read the digest. */
+  /** VMs without a fault that read the digest. */
   get readers (): readonly DigestVm[] {
     const passing = new Set(this.passing)
     return this.vms.filter(vm => vm.trouble === undefined && !passing.has(vm))
   }
 
-  /**
-   * Has a target say that it leaves.
-   * @param target - its key
-   */
+  /** Marks a target as leaving. */
   leave (target: string): void {
     this.table.put(TARGETS_TABLE, target, { state: 'leaving', beat: this.table.version })
   }
--- a/packages/stand-ins/src/digest/tableDigest.spec.ts
+++ b/packages/stand-ins/src/digest/tableDigest.spec.ts
@@ -1,17 +1,15 @@
 /**
- * What operators saw of a fleet of 195 VMs: days were given up for processor time. Each VM followed the heartbeats of all VMs and of all
- * targets itself, some 120 rows and five calls a second without any request, so that idle control took 20 ms of each second of a VM's
- * processor and 37 KB/s, and the store's calls grew with the number of VMs.
- * Evidence: a VM alone before a stand-in of the store spent 20 ms a second while 194 VMs and 92 targets beat, 10 ms while none did.
+ * In a fleet of 195 VMs, each VM followed the heartbeats of all VMs and all targets itself. The idle cost of a VM and the calls
+ * to the store grew with the size of the fleet. With the digest, the cost per VM is bounded.
  */
 import { expect } from 'chai'
 import { DIGEST_TABLE } from 'rosemaryspread/digest/digestTypes.js'
 import { DigestFleet, type DigestVm, type Trouble } from './digestFleet.fixture.js'
 
 const TARGETS = 92
-/** Milliseconds until a fleet that began relies on the digest. */
+/** Time until a new fleet relies on the digest. */
 const SETTLED_MS = 12_000
-/** Milliseconds within which a leaving target gets no more work. */
+/** Time within which all VMs must know that a target is leaving, so that it gets no more work. */
 const LEAVING_BOUND_MS = 4_000
 
 async function settled (vms: number): Promise<DigestFleet> {
@@ -20,7 +18,7 @@
   return fleet
 }
 
-/** Calls and rows a second of each VM that reads the digest, at most. */
+/** Highest number of calls and rows per second among the VMs that read the digest. */
 async function costOf (fleet: DigestFleet, seconds: number): Promise<{ readonly calls: number, readonly rows: number }> {
   const { readers } = fleet
   for (const vm of readers) {
@@ -32,9 +30,9 @@
   return { calls: most(({ calls }) => calls), rows: most(({ rows }) => rows) }
 }
 
-describe('digest of the tables of heartbeats', function () {
+describe('digest of the heartbeat tables', function () {
   for (const vms of [30, 100, 195, 360]) {
-    it(`costs a VM of ${vms} two calls and four rows a second at most`, async () => {
+    it(`costs each of ${vms} VMs at most two calls and four rows per second`, async () => {
       const { calls, rows } = await costOf(await settled(vms), 5)
       expect(calls).to.be.at.most(2)
       expect(rows).to.be.at.most(4)
@@ -48,19 +46,19 @@
   })
 
   const troubles: ReadonlyArray<{ readonly name: string, readonly of: number, readonly trouble: Trouble }> = [
-    { name: 'nobody has trouble', of: 0, trouble: 'ended' },
-    { name: 'the first VM that passes tables on ends', of: 1, trouble: 'ended' },
-    { name: 'the first two end', of: 2, trouble: 'ended' },
-    { name: 'all three end', of: 3, trouble: 'ended' },
-    { name: 'the first stands still', of: 1, trouble: 'frozen' },
-    { name: 'all three stand still', of: 3, trouble: 'frozen' },
-    { name: 'the first is cut from the store', of: 1, trouble: 'cut' },
-    { name: 'all three are cut from the store', of: 3, trouble: 'cut' },
-    { name: 'all three can read and not write', of: 3, trouble: 'writesFail' },
-    { name: 'the first can write and not read', of: 1, trouble: 'readsFail' }
+    { name: 'no VM has a fault', of: 0, trouble: 'ended' },
+    { name: 'the first publisher terminates', of: 1, trouble: 'ended' },
+    { name: 'the first two publishers terminate', of: 2, trouble: 'ended' },
+    { name: 'all three publishers terminate', of: 3, trouble: 'ended' },
+    { name: 'the first publisher freezes', of: 1, trouble: 'frozen' },
+    { name: 'all three publishers freeze', of: 3, trouble: 'frozen' },
+    { name: 'the first publisher is cut off from the store', of: 1, trouble: 'cut' },
+    { name: 'all three publishers are cut off from the store', of: 3, trouble: 'cut' },
+    { name: 'all three publishers can read but not write', of: 3, trouble: 'writesFail' },
+    { name: 'the first publisher can write but not read', of: 1, trouble: 'readsFail' }
   ]
   for (const { name, of, trouble } of troubles) {
-    it(`tells of a leaving target in time while ${name}`, async () => {
+    it(`reports a leaving target in time while ${name}`, async () => {
       const fleet = await settled(60)
       const troubled = fleet.passing.slice(0, of)
       for (const vm of troubled) vm.trouble = trouble
@@ -73,7 +71,7 @@
     })
   }
 
-  it('is not taken back by a VM that passes tables on and lags behind', async () => {
+  it('does not revert the state of a leaving target if other publishers lag', async () => {
     const fleet = await settled(60)
     for (const vm of fleet.passing.slice(1)) vm.lagMs = 1_500
     fleet.leave('t5')
@@ -84,15 +82,15 @@
     }
   })
 
-  /** Read in the code, seen by no user: readers would have gone on sending to a target whose entry nobody takes back. */
-  it('tells nothing of a target that went while no VM ran', async () => {
+  /** Readers would go on sending to a target whose stale entry no publisher removes. */
+  it('removes a target that was deregistered while no VM ran', async () => {
     const fleet = new DigestFleet(60, TARGETS)
     fleet.table.put(DIGEST_TABLE, 'targets/old', { version: 1, stage: 'present', value: { state: 'ready' } })
     await fleet.time.run(SETTLED_MS)
     expect(fleet.readers.filter(({ targets }) => targets.has('old')).map(vm => vm.name)).to.deep.equal([])
   })
 
-  it('tells of VMs that ended, as late first', async () => {
+  it('reports terminated VMs, first as overdue', async () => {
     const fleet = await settled(60)
     const ended = fleet.readers.slice(0, 20)
     for (const vm of ended) vm.trouble = 'ended'
@@ -103,7 +101,7 @@
     expect(new Set(fleet.readers.map(({ presence }) => presence.size))).to.deep.equal(new Set([40]))
   })
 
-  it('tells of a fleet that doubles within a second', async () => {
+  it('reports all VMs of a fleet that doubles within a second', async () => {
     const fleet = await settled(60)
     fleet.add(60)
     await fleet.time.run(5_000)
@@ -111,12 +109,12 @@
   })
 
   const undecodable: ReadonlyArray<{ readonly name: string, readonly key: string, readonly value: unknown }> = [
-    { name: 'an entry that is none', key: 'targets/t5', value: { version: 'one' } },
-    { name: 'a beat that is none', key: 'beat/vm-0', value: { beat: true } },
-    { name: 'a VM that is none', key: 'vms/vm-1', value: { version: 1e9, stage: 'present', value: 'a VM' } }
+    { name: 'a malformed entry', key: 'targets/t5', value: { version: 'one' } },
+    { name: 'a malformed heartbeat', key: 'beat/vm-0', value: { beat: true } },
+    { name: 'a malformed VM', key: 'vms/vm-1', value: { version: 1e9, stage: 'present', value: 'a VM' } }
   ]
   for (const { name, key, value } of undecodable) {
-    it(`is not relied on for a while after ${name}`, async () => {
+    it(`is not relied on for some time after ${name}`, async () => {
       const fleet = await settled(60)
       fleet.table.put(DIGEST_TABLE, key, value)
       await fleet.time.run(1_500)
@@ -128,11 +126,11 @@
   }
 
   /**
-   * Seen in a play of the digest, by no user: 57 of 60 VMs ended their feed of presence to rely on a digest that held a value which
-   * they could not decode, failed on it, and failed again at each later tick, with no news of other VMs from then on.
+   * VMs that stop their presence feed to rely on a digest with a value that they cannot decode must not fail at each later
+   * tick: they would get no further updates of other VMs.
    */
   for (const { name, key, value } of undecodable) {
-    it(`is relied on again, whole, some seconds after ${name}`, async () => {
+    it(`is complete and relied on again some seconds after ${name}`, async () => {
       const fleet = await settled(60)
       fleet.table.put(DIGEST_TABLE, key, value)
       await fleet.time.run(8_000)
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -1,32 +1,32 @@
 /**
- * Continuous batching: a limited number of slots, one token for each ready run in each step, and
- * prompts that are computed one after another beside it. Time comes from outside, so a step
- * happens at its due time however late the caller asks.
+ * Continuous batching: a limited number of slots, one token per step for each run that has a slot, and
+ * prompts computed one after another. The caller supplies the time in wall-clock milliseconds; a step is
+ * simulated at its due time, however late `advance` is called.
  */
 import type { EngineRun } from './engineRun.js'
 import type { PrefixCache } from './prefixCache.js'
 
-/** A full batch takes this much longer for one step than a single run. */
+/** Share by which a step of a full batch is slower than a step of a single run. */
 const FULL_BATCH_SLOWDOWN = 0.5
-/** Shortest step, in milliseconds, so that time always moves on. */
+/** Lower bound of a step, so that simulated time always advances. */
 const SHORTEST_STEP_MS = 0.1
 
-/** Speed of the engine. */
+/** Capacity and speed of the batch. */
 export interface BatchOptions {
   readonly slots: number
-  /** Milliseconds for one token of a run that is alone. */
+  /** Milliseconds per token of a single run. */
   msPerToken: number
-  /** Milliseconds for one token of a prompt that is not cached. */
+  /** Milliseconds per prompt token that is not cached. */
   readonly promptMsPerToken: number
 }
 
-/** Told of what the batch does. */
+/** Receives the starts and ends of runs. */
 export interface BatchObserver {
   began (run: EngineRun, at: number): void
   finished (run: EngineRun, at: number): void
 }
 
-/** The runs that wait and those that have a slot. */
+/** Waiting runs and runs that have a slot. */
 export class Batch {
   readonly running = new Set<EngineRun>()
   /** Ordered by priority, then by submission. */
@@ -34,43 +34,29 @@
   private nextStepAt: number | undefined
   private promptFreeAt = 0
 
-  /**
-   * @param options - slots and speed; `msPerToken` may change
-   * @param cache - prefixes that need no computing
-   * @param observer - told of starts and ends
-   */
+  /** @param options - `msPerToken` may change while the batch runs */
   constructor (readonly options: BatchOptions, private readonly cache: PrefixCache, private readonly observer: BatchObserver) {}
 
-  /** When {@link advance} has something to do; absent when idle. */
+  /** When the next step is due; absent while idle. */
   get dueAt (): number | undefined {
     return this.nextStepAt
   }
 
-  /**
-   * Queues a run.
-   * @param run - a new run
-   * @param now - wall milliseconds
-   */
+  /** Queues a new run by priority. */
   add (run: EngineRun, now: number): void {
     const later = this.waiting.findIndex(other => other.req.priority < run.req.priority)
     this.waiting.splice(later === -1 ? this.waiting.length : later, 0, run)
     this.nextStepAt ??= now
   }
 
-  /**
-   * Takes a run out, whether it waits or runs.
-   * @param run - the run
-   */
+  /** Removes a waiting or running run. */
   remove (run: EngineRun): void {
     this.running.delete(run)
     const index = this.waiting.indexOf(run)
     if (index !== -1) this.waiting.splice(index, 1)
   }
 
-  /**
-   * Takes all steps that are due.
-   * @param now - wall milliseconds
-   */
+  /** Simulates all steps due by `now`. */
   advance (now: number): void {
     while (this.nextStepAt !== undefined && this.nextStepAt <= now) this.step(this.nextStepAt)
   }
--- a/packages/stand-ins/src/engine/engineFaults.ts
+++ b/packages/stand-ins/src/engine/engineFaults.ts
@@ -1,30 +1,30 @@
 /**
- * Faults of the engine's streams that happen once after they are ordered.
+ * One-shot faults of the engine's streams, armed by control messages.
  */
 
-/** Faults still to happen. */
+/** Armed faults; each applies once. */
 export class StreamFaults {
   private mix = false
   private double = false
 
-  /** Lets the next stream that sends a second piece carry a piece of another run. */
+  /** The next stream that sends its second piece also sends a piece of another run. */
   mixNext (): void {
     this.mix = true
   }
 
-  /** Lets the next stream that ends send its end twice. */
+  /** The next stream that ends sends its end twice. */
   doubleEnd (): void {
     this.double = true
   }
 
-  /** Whether to mix now; true once for each order. */
+  /** Whether to send a piece of another run now; disarms the fault. */
   takeMix (): boolean {
     const due = this.mix
     this.mix = false
     return due
   }
 
-  /** Whether to send the end twice now; true once for each order. */
+  /** Whether to send the end twice now; disarms the fault. */
   takeDoubleEnd (): boolean {
     const due = this.double
     this.double = false
--- a/packages/stand-ins/src/engine/engineModels.ts
+++ b/packages/stand-ins/src/engine/engineModels.ts
@@ -1,13 +1,13 @@
 /**
- * What the engine has loaded, and the orders that change it. An engine that checks fencing
- * numbers refuses an order with a lower one than it has seen; another obeys any.
+ * Models, adapters and role of the engine, and the orders that change them. An engine that checks fencing
+ * numbers refuses an order with a lower number than an earlier order; others carry out any order.
  */
 import type { EngineOrder, LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
 
 /** How an order ended. */
 export type OrderOutcome = 'done' | 'oldFencing' | 'notLoaded'
 
-/** An order with how it ended, for tests. */
+/** An order and its outcome, for the state dump. */
 export interface OrderRecord {
   readonly order: EngineOrder
   readonly outcome: OrderOutcome
@@ -27,8 +27,8 @@
   private role = 'both'
 
   /**
-   * @param models - loaded at the start, as `model` or `model@version`
-   * @param checksFencing - whether old fencing numbers are refused
+   * @param models - initially loaded, as `model` or `model@version`
+   * @param checksFencing - whether stale fencing numbers are refused
    */
   constructor (models: readonly string[], private readonly checksFencing: boolean) {
     for (const name of models) {
@@ -37,23 +37,20 @@
     }
   }
 
-  /** Whether a model, and its adapter if one is named, can serve. */
+  /** Whether a model, and the adapter if given, is loaded. */
   serves (model: string, adapter?: string): boolean {
     const found = this.loaded.get(model)
     return found !== undefined && (adapter === undefined || found.adapters.has(adapter))
   }
 
-  /** Whether an order needs weights from the weight store. */
+  /** Whether an order has to fetch weights first. */
   needsWeights (order: EngineOrder): boolean {
     if (this.done.has(order.orderId) || this.isOld(order)) return false
     if (order.kind === 'load') return this.loaded.get(order.model)?.version !== order.version
     return order.kind === 'loadAdapter' && this.serves(order.model) && !this.serves(order.model, order.adapter)
   }
 
-  /**
-   * Carries out an order; one whose id was carried out before changes nothing.
-   * @param order - the order, its weights at hand
-   */
+  /** Carries out an order whose weights have been fetched. Idempotent by order id. */
   obey (order: EngineOrder): OrderOutcome {
     if (this.done.has(order.orderId)) return 'done'
     const outcome = this.isOld(order) ? 'oldFencing' : this.change(order)
@@ -63,12 +60,12 @@
     return outcome
   }
 
-  /** The models as reported. */
+  /** Models in the form of the load report. */
   get report (): LoadReport['models'] {
     return [...this.loaded].map(([model, { version, adapters }]) => ({ model, version, adapters: [...adapters] }))
   }
 
-  /** A dump for tests. */
+  /** State dump for tests. */
   get state (): unknown {
     return { models: this.report, role: this.role, fencing: this.fencing, orders: this.orders }
   }
--- a/packages/stand-ins/src/engine/engineParts.spec.ts
+++ b/packages/stand-ins/src/engine/engineParts.spec.ts
@@ -10,12 +10,12 @@
 describe('EngineModels', () => {
   const cases: readonly { name: string, checks: boolean, orders: ReturnType<typeof order>[], outcomes: string[], models: string[] }[] = [
     { name: 'load', checks: true, orders: [order('1', 1, 'load')], outcomes: ['done'], models: ['old@1', 'm@1'] },
-    { name: 'load of another version', checks: true, orders: [order('1', 1, 'load', 'old', '2')], outcomes: ['done'], models: ['old@2'] },
+    { name: 'load replaces another version', checks: true, orders: [order('1', 1, 'load', 'old', '2')], outcomes: ['done'], models: ['old@2'] },
     { name: 'unload', checks: true, orders: [order('1', 1, 'unload', 'old')], outcomes: ['done'], models: [] },
-    { name: 'unload of another version', checks: true, orders: [order('1', 1, 'unload', 'old', '9')], outcomes: ['done'], models: ['old@1'] },
-    { name: 'adapter without its model', checks: true, orders: [order('1', 1, 'loadAdapter')], outcomes: ['notLoaded'], models: ['old@1'] },
-    { name: 'old fencing number, checked', checks: true, orders: [order('1', 2, 'role'), order('2', 1, 'load')], outcomes: ['done', 'oldFencing'], models: ['old@1'] },
-    { name: 'old fencing number, ignored', checks: false, orders: [order('1', 2, 'role'), order('2', 1, 'load')], outcomes: ['done', 'done'], models: ['old@1', 'm@1'] },
+    { name: 'unload of a version that is not loaded', checks: true, orders: [order('1', 1, 'unload', 'old', '9')], outcomes: ['done'], models: ['old@1'] },
+    { name: 'adapter whose model is not loaded', checks: true, orders: [order('1', 1, 'loadAdapter')], outcomes: ['notLoaded'], models: ['old@1'] },
+    { name: 'stale fencing number on an engine that checks it', checks: true, orders: [order('1', 2, 'role'), order('2', 1, 'load')], outcomes: ['done', 'oldFencing'], models: ['old@1'] },
+    { name: 'stale fencing number on an engine that ignores it', checks: false, orders: [order('1', 2, 'role'), order('2', 1, 'load')], outcomes: ['done', 'done'], models: ['old@1', 'm@1'] },
     { name: 'repeated order', checks: true, orders: [order('1', 1, 'load'), order('2', 1, 'unload'), order('1', 1, 'load')], outcomes: ['done', 'done', 'done'], models: ['old@1'] }
   ]
   for (const { name, checks, orders, outcomes, models } of cases) {
@@ -30,7 +30,7 @@
 describe('PrefixCache', () => {
   const prefixesOf = (text: string) => promptPrefixes('m', [{ role: 'user', content: text }])
 
-  it('evicts the least recently used beyond its memory, and says so', () => {
+  it('evicts the least recently used prefix beyond its capacity and publishes the eviction', () => {
     const cache = new PrefixCache({ capacity: 2, eventLagMs: 0, eventLoss: 0 }, () => 0)
     const [a, b, c] = ['aaaa', 'bbbb', 'cccc'].map(prefixesOf) as [ReturnType<typeof prefixesOf>, ReturnType<typeof prefixesOf>, ReturnType<typeof prefixesOf>]
     cache.store(a, 0)
@@ -43,7 +43,7 @@
 
   const losses: readonly { name: string, loss: number, drop: boolean, sequences: number[], next: number }[] = [
     { name: 'no loss', loss: 0, drop: false, sequences: [1, 2, 3], next: 3 },
-    { name: 'gaps', loss: 0.5, drop: false, sequences: [2], next: 2 },
+    { name: 'some lost', loss: 0.5, drop: false, sequences: [2], next: 2 },
     { name: 'all dropped', loss: 0, drop: true, sequences: [], next: 0 }
   ]
   for (const { name, loss, drop, sequences, next } of losses) {
@@ -67,10 +67,10 @@
     { model: 'vi-llm', text: 'quote', language: 'vietnamese' }
   ]
   for (const { model, text, language } of cases) {
-    it(`"${text}" to ${model} is answered in ${language}`, () => expect(languageOf(model, text)).to.equal(language))
+    it(`"${text}" to ${model} gets an answer in ${language}`, () => expect(languageOf(model, text)).to.equal(language))
   }
 
-  it('a capped answer is the beginning of the whole one', () => {
+  it('an answer cut by the token limit is a prefix of the full answer', () => {
     const subject = { requestId: 'r', model: 'm', messages: [{ role: 'user' as const, content: 'hola' }] }
     expect(answerText(subject, 1000).startsWith(answerText(subject, 5))).to.equal(true)
   })
--- a/packages/stand-ins/src/engine/engineParts.ts
+++ b/packages/stand-ins/src/engine/engineParts.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the engine stand-in together: state, calls, control messages and the timer that drives it.
+ * Assembles the engine stand-in: state, routes, control messages and the timer that advances the simulation.
  */
 import seedrandom from 'seedrandom'
 import { engineControlSchema, type EngineControl } from '../control/controlTypes.js'
@@ -10,13 +10,13 @@
 import { EngineState, type EngineOptions } from './engineState.js'
 import type { WeightSource } from './weightSource.js'
 
-/** Wakes the engine when its next step is due. */
+/** Advances the engine when its next step is due. */
 class EngineTimer {
   private timer: NodeJS.Timeout | undefined
 
   constructor (private readonly state: EngineState) {}
 
-  /** Sets the timer for the next step, if there is one. */
+  /** Schedules the next step, unless idle or already scheduled. */
   readonly arm = (): void => {
     const { dueAt } = this.state.batch
     if (this.timer !== undefined || dueAt === undefined) return
@@ -35,10 +35,8 @@
 }
 
 /**
- * An engine without runs.
- * @param options - settings
- * @param seed - seed of its random decisions
- * @param weights - where orders take weights from
+ * Creates an idle engine.
+ * @param seed - seed of the random loss of cache events
  */
 export function engineParts (options: EngineOptions, seed: string, weights: WeightSource): StandInParts {
   const history = new HistoryLog()
--- a/packages/stand-ins/src/engine/engineRoutes.ts
+++ b/packages/stand-ins/src/engine/engineRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The engine stand-in over HTTP.
+ * HTTP API of the engine stand-in.
  */
 import * as z from 'zod'
 import { chatMessageSchema, engineOrderSchema, type EngineRequest } from '@rosemaryspread/runners/engine/engineTypes.js'
@@ -19,21 +19,16 @@
 })
 
 const refusals: Readonly<Record<Exclude<SubmitOutcome['kind'], 'started' | 'joined'>, { readonly status: number, readonly detail: string }>> = {
-  otherDigest: { status: 409, detail: 'the id is known with another digest' },
+  otherDigest: { status: 409, detail: 'the id is in use with another digest' },
   sealed: { status: 410, detail: 'the id is sealed' },
   notLoaded: { status: 404, detail: 'the model or adapter is not loaded' },
   leaving: { status: 503, detail: 'the engine is leaving' }
 }
 const unknownRun: HttpAnswer = { status: 404, body: { error: 'no such run' } }
 
-/** The engine's calls. */
+/** Handlers of the HTTP API. */
 export class EngineService {
-  /**
-   * @param state - the engine
-   * @param faults - faults of streams
-   * @param weights - where orders take weights from
-   * @param touched - called after each call, as the engine may have something to do now
-   */
+  /** @param touched - called after each request, which may have made a step due */
   constructor (
     private readonly state: EngineState,
     private readonly faults: StreamFaults,
--- a/packages/stand-ins/src/engine/engineRun.ts
+++ b/packages/stand-ins/src/engine/engineRun.ts
@@ -1,20 +1,20 @@
 /**
- * One run of the engine stand-in with those who listen to it.
+ * One run of the engine and the streams that follow it.
  */
 import type { EngineRequest, RunRecord, Usage } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { planAnswer, promptTokensOf, type PlannedAnswer } from './engineText.js'
 import { promptPrefixes, type PromptPrefix } from './prefixCache.js'
 
-/** Follows a run; called in the order of the pieces. */
+/** Follows a run; pieces arrive in order. */
 export interface RunListener {
   piece (index: number): void
   /** The run finished or was cancelled. */
   ended (): void
-  /** The engine lost the run; the stream breaks off. */
+  /** The engine lost the run; the stream ends without its final event. */
   lost (): void
 }
 
-/** A run from submission to its end. */
+/** A run, from submission to its end. */
 export class EngineRun {
   readonly answer: PlannedAnswer
   readonly prefixes: readonly PromptPrefix[]
@@ -22,17 +22,14 @@
   state: 'running' | 'finished' | 'cancelled' = 'running'
   /** Pieces generated so far. */
   generated = 0
-  /** Whether it got a slot; a run that never did has used nothing. */
+  /** Whether it ever had a slot; a run without one has used no tokens. */
   started = false
-  /** Wall milliseconds when its prompt is computed. */
+  /** Wall-clock milliseconds at which its prompt has been computed. */
   readyAt = 0
-  /** Tokens that the engine claims above its cap. */
+  /** Tokens that the engine reports above the limit of the request; 0 for a correct report. */
   overreport = 0
   private readonly promptTokens: number
 
-  /**
-   * @param req - the request as submitted
-   */
   constructor (readonly req: EngineRequest) {
     this.answer = planAnswer(req, req.maxTokens)
     this.prefixes = promptPrefixes(req.model, req.messages)
@@ -48,12 +45,12 @@
     return this.answer.pieces.slice(0, this.generated).join('')
   }
 
-  /** Tokens really used so far. */
+  /** Tokens actually used so far. */
   get tokens (): number {
     return this.started ? this.promptTokens + this.generated : 0
   }
 
-  /** Usage as the engine reports it. */
+  /** Usage as reported, including {@link overreport}. */
   get usage (): Usage {
     const completionTokens = this.overreport > 0 ? this.req.maxTokens + this.overreport : this.generated
     return { promptTokens: this.started ? this.promptTokens : 0, completionTokens }
@@ -64,24 +61,20 @@
     return { requestId, digest, holder, team, budget, model, state: this.state, ...this.usage }
   }
 
-  /** Generates the next piece; answers whether it was the last. */
+  /** Generates the next piece. Returns whether it was the last one. */
   generate (): boolean {
     const index = this.generated++
     for (const listener of this.listeners) listener.piece(index)
     return this.generated >= this.answer.pieces.length
   }
 
-  /**
-   * Ends the run.
-   * @param state - how it ended
-   */
   end (state: 'finished' | 'cancelled'): void {
     this.state = state
     for (const listener of this.listeners) listener.ended()
     this.listeners.clear()
   }
 
-  /** Breaks off every stream of the run. */
+  /** Cancels the run and cuts all its streams. */
   lose (): void {
     this.state = 'cancelled'
     for (const listener of this.listeners) listener.lost()
--- a/packages/stand-ins/src/engine/engineState.spec.ts
+++ b/packages/stand-ins/src/engine/engineState.spec.ts
@@ -41,15 +41,15 @@
 describe('EngineState', () => {
   const submissions: readonly { name: string, before: (state: EngineState) => void, req: EngineRequest, at?: number, kind: string }[] = [
     { name: 'a new id', before: () => {}, req: request('r'), kind: 'started' },
-    { name: 'a known id', before: state => state.submit(request('r'), 0), req: request('r', { holder: 'other~2' }), kind: 'joined' },
-    { name: 'a known id when leaving', before: state => { state.submit(request('r'), 0); state.setLeaving(true, 0) }, req: request('r'), kind: 'joined' },
+    { name: 'an existing id', before: state => state.submit(request('r'), 0), req: request('r', { holder: 'other~2' }), kind: 'joined' },
+    { name: 'an existing id while leaving', before: state => { state.submit(request('r'), 0); state.setLeaving(true, 0) }, req: request('r'), kind: 'joined' },
     { name: 'another digest', before: state => state.submit(request('r'), 0), req: request('r', { digest: 'x' }), kind: 'otherDigest' },
     { name: 'a sealed id', before: state => state.seal('r', 0), req: request('r'), kind: 'sealed' },
-    { name: 'a new id when leaving', before: state => state.setLeaving(true, 0), req: request('r'), kind: 'leaving' },
+    { name: 'a new id while leaving', before: state => state.setLeaving(true, 0), req: request('r'), kind: 'leaving' },
     { name: 'a model that is not loaded', before: () => {}, req: request('r', { model: 'none' }), kind: 'notLoaded' },
     { name: 'an adapter that is not loaded', before: () => {}, req: request('r', { adapter: 'none' }), kind: 'notLoaded' },
-    { name: 'an id whose record was forgotten', before: state => { state.seal('r', 0); state.advance(RECORD_KEPT_MS) }, req: request('r'), at: RECORD_KEPT_MS, kind: 'started' },
-    { name: 'an id whose seal is nearly forgotten', before: state => state.seal('r', 0), req: request('r'), at: RECORD_KEPT_MS - 1, kind: 'sealed' }
+    { name: 'an id whose record has expired', before: state => { state.seal('r', 0); state.advance(RECORD_KEPT_MS) }, req: request('r'), at: RECORD_KEPT_MS, kind: 'started' },
+    { name: 'an id whose seal expires in 1 ms', before: state => state.seal('r', 0), req: request('r'), at: RECORD_KEPT_MS - 1, kind: 'sealed' }
   ]
   for (const { name, before, req, at = 0, kind } of submissions) {
     it(`submit of ${name}: ${kind}`, () => {
@@ -59,7 +59,7 @@
     })
   }
 
-  it('answers whole, with the same text for the same request, and records the run', () => {
+  it('generates the full answer, the same for the same request, and records the run', () => {
     const { state, history } = makeEngine()
     state.submit(request('r'), 0)
     state.advance(1000)
@@ -69,7 +69,7 @@
     expect(answerText(request('r2'), 4)).to.not.equal(text)
   })
 
-  it('gives slots by priority, then by order, and one token a step to each', () => {
+  it('assigns slots by priority, then by submission, and generates one token per step for each run', () => {
     const { state, history } = makeEngine()
     for (const id of ['a', 'b']) state.submit(request(id), 0)
     state.advance(10)
@@ -96,7 +96,7 @@
     })
   }
 
-  it('cancel of a run that waits: nothing used and nothing ran', () => {
+  it('cancel of a waiting run: no tokens used and no run recorded', () => {
     const { state, history } = makeEngine({ slots: 1 })
     state.submit(request('a'), 0)
     state.submit(request('b'), 0)
@@ -105,7 +105,7 @@
     expect(of(history, 'ran')).to.deep.equal(['a'])
   })
 
-  it('seal of a known run answers its record and leaves it alone', () => {
+  it('seal of an existing run returns its record and does not affect it', () => {
     const { state } = makeEngine()
     state.submit(request('r'), 0)
     expect(state.seal('r', 5)).to.include({ requestId: 'r', state: 'running' })
@@ -113,14 +113,14 @@
     expect(state.find('q')).to.include({ state: 'sealed' })
   })
 
-  it('lists records by holder', () => {
+  it('lists the records of one holder', () => {
     const { state } = makeEngine()
     state.submit(request('a'), 0)
     state.submit(request('b', { holder: 'other~2' }), 0)
     expect(state.list('other~2').map(({ requestId }) => requestId)).to.deep.equal(['b'])
   })
 
-  it('loses runs on order, tells their streams and records what was used', () => {
+  it('aborts runs, notifies their streams and records the tokens used', () => {
     const { state, history } = makeEngine()
     const outcome = state.submit(request('r'), 0)
     let lost = 0
@@ -132,7 +132,7 @@
     expect(history.records.at(-1)).to.include({ kind: 'ended', state: 'cancelled', tokens: 2 })
   })
 
-  it('reports too much once when told to, and records the truth besides', () => {
+  it('overreports once when the fault is set, and records the actual usage', () => {
     const { state, history } = makeEngine()
     state.overreportNext = 7
     for (const id of ['a', 'b']) {
@@ -143,7 +143,7 @@
     expect(history.records.filter(record => record.kind === 'ended')[0]).to.include({ tokens: 5, reportedTokens: 12 })
   })
 
-  it('reports load late', () => {
+  it('reports load with the configured lag', () => {
     const { state } = makeEngine()
     for (const id of ['a', 'b', 'c']) state.submit(request(id, { maxTokens: 16 }), 1000)
     state.advance(1020)
@@ -152,7 +152,7 @@
     expect(state.report(9000)).to.include({ asOf: 8500, running: 0, waiting: 0 })
   })
 
-  it('needs no computing for a cached prefix, and publishes cache events late', () => {
+  it('skips computing a cached prefix, and publishes cache events with the configured lag', () => {
     const { state } = makeEngine({ promptMsPerToken: 100 })
     const messages = [{ role: 'user' as const, content: 'a'.repeat(20) }]
     state.submit(request('a', { messages, maxTokens: 1 }), 0)
--- a/packages/stand-ins/src/engine/engineState.ts
+++ b/packages/stand-ins/src/engine/engineState.ts
@@ -1,6 +1,6 @@
 /**
- * The engine stand-in without its sockets: runs by id, batching, prefix cache, load report and
- * models. Time and randomness come from outside.
+ * The engine stand-in without its sockets: runs by request id, batching, prefix cache, load report and
+ * models. The caller supplies time, in wall-clock milliseconds, and randomness.
  */
 import type { CacheEvents, EngineOrder, EngineRequest, LoadReport, RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { HistoryLog } from '../control/historyLog.js'
@@ -11,9 +11,8 @@
 import { PrefixCache, type PrefixCacheOptions } from './prefixCache.js'
 import { RunRegistry } from './runRegistry.js'
 
-/** Settings of an engine. */
 export interface EngineOptions extends BatchOptions {
-  /** Runner id as in the fleet configuration. */
+  /** Runner id in the fleet configuration. */
   readonly name: string
   readonly models: readonly string[]
   readonly checksFencing: boolean
@@ -21,33 +20,26 @@
   readonly cache: PrefixCacheOptions
 }
 
-/** What became of a submission. */
 export type SubmitOutcome =
   | { readonly kind: 'started' | 'joined', readonly run: EngineRun }
   | { readonly kind: 'otherDigest' | 'sealed' | 'notLoaded' | 'leaving' }
 
 type Load = Omit<LoadReport, 'asOf'>
 
-/** One engine. */
 export class EngineState {
   readonly models: EngineModels
   readonly cache: PrefixCache
   readonly batch: Batch
-  /** Tokens above its cap that the next run to finish reports; 0 for none. */
+  /** Tokens above its limit that the next run to finish reports; 0 for a correct report. */
   overreportNext = 0
   private readonly runs = new RunRegistry()
   private readonly load: LaggingValue<Load>
   private leaving = false
   private submitted = 0
-  /** What the newest sample of the load report says, to note only changes. */
+  /** Summary of the newest load sample, so that only changes are sampled. */
   private noted = ''
 
-  /**
-   * @param options - settings
-   * @param random - numbers in [0, 1)
-   * @param history - where runs are recorded
-   * @param now - wall milliseconds at the start
-   */
+  /** @param random - numbers in [0, 1) */
   constructor (private readonly options: EngineOptions, random: () => number, private readonly history: HistoryLog, now: number) {
     this.models = new EngineModels(options.models, options.checksFencing)
     this.cache = new PrefixCache(options.cache, random)
@@ -58,21 +50,14 @@
     this.load = new LaggingValue(this.loadNow(), now, options.loadLagMs)
   }
 
-  /**
-   * Does what is due; called before anything else is asked.
-   * @param now - wall milliseconds
-   */
+  /** Simulates everything due by `now`; callers do this before they read the state. */
   advance (now: number): void {
     this.batch.advance(now)
     this.runs.forget(now)
     this.noteLoad(now)
   }
 
-  /**
-   * Starts a run, or joins the one with this id.
-   * @param req - the request
-   * @param now - wall milliseconds
-   */
+  /** Starts a run, or joins the run with this id. */
   submit (req: EngineRequest, now: number): SubmitOutcome {
     this.advance(now)
     const known = this.runs.find(req.requestId)
@@ -88,35 +73,21 @@
     return { kind: 'started', run }
   }
 
-  /**
-   * A known run.
-   * @param requestId - its id
-   */
   run (requestId: string): EngineRun | undefined {
     return this.runs.find(requestId)
   }
 
-  /**
-   * The record of an id, sealed ones included.
-   * @param requestId - the id
-   */
+  /** The record of a run or of a sealed id. */
   find (requestId: string): RunRecord | undefined {
     return this.runs.record(requestId)
   }
 
-  /**
-   * Records of one holder, or of all.
-   * @param holder - holder id
-   */
+  /** Records of one holder, or of all holders. */
   list (holder?: string): readonly RunRecord[] {
     return this.runs.records(holder)
   }
 
-  /**
-   * Stops a run; one that ended stays as it is.
-   * @param requestId - its id
-   * @param now - wall milliseconds
-   */
+  /** Cancels a run; a run that has ended is unchanged. */
   cancel (requestId: string, now: number): RunRecord | undefined {
     this.advance(now)
     const run = this.runs.find(requestId)
@@ -130,10 +101,8 @@
   }
 
   /**
-   * Refuses later submissions of an id, unless its run is known already.
-   * @param requestId - the id
-   * @param now - wall milliseconds
-   * @returns the record of the known run, or nothing when the id is sealed now
+   * Refuses later submissions of an id, unless it already has a run.
+   * @returns the record of the existing run, or undefined if the id is now sealed
    */
   seal (requestId: string, now: number): RunRecord | undefined {
     this.advance(now)
@@ -142,10 +111,7 @@
     return run?.record
   }
 
-  /**
-   * The lagging report of load.
-   * @param now - wall milliseconds
-   */
+  /** The load report, delayed by `loadLagMs`. */
   report (now: number): LoadReport {
     this.advance(now)
     const { asOf, value } = this.load.seen(now)
@@ -153,9 +119,8 @@
   }
 
   /**
-   * Cache events as published by now.
-   * @param after - the last number known to the caller
-   * @param now - wall milliseconds
+   * Cache events published by `now`.
+   * @param after - last sequence number that the caller has
    */
   cacheEvents (after: number, now: number): CacheEvents {
     this.advance(now)
@@ -163,10 +128,8 @@
   }
 
   /**
-   * Carries out an order.
-   * @param order - the order, its weights at hand
-   * @param now - wall milliseconds
-   * @param vm - the VM that gave it
+   * Carries out an order whose weights have been fetched.
+   * @param vm - the VM that sent it
    */
   obey (order: EngineOrder, now: number, vm = ''): OrderOutcome {
     this.advance(now)
@@ -178,21 +141,14 @@
     return outcome
   }
 
-  /**
-   * Begins or ends leaving: no new runs, those known go on.
-   * @param leaving - whether it leaves
-   * @param now - wall milliseconds
-   */
+  /** Starts or stops leaving: new runs are refused, existing runs continue. */
   setLeaving (leaving: boolean, now: number): void {
     if (leaving && !this.leaving) this.history.add({ kind: 'runnerLeaving', at: now, runner: this.options.name })
     this.leaving = leaving
     this.noteLoad(now)
   }
 
-  /**
-   * Loses all unfinished runs, as a restart of the engine's process does.
-   * @param now - wall milliseconds
-   */
+  /** Aborts all unfinished runs, as a restart of the engine process does. */
   loseRuns (now: number): void {
     for (const run of [...this.batch.running, ...this.batch.waiting]) {
       this.batch.remove(run)
@@ -203,7 +159,7 @@
     this.noteLoad(now)
   }
 
-  /** A dump for tests. */
+  /** State dump for tests. */
   get state (): unknown {
     const { running, waiting } = this.loadNow()
     return { name: this.options.name, running, waiting, leaving: this.leaving, submitted: this.submitted, cache: this.cache.size, ...this.models.state as object, runs: this.list() }
@@ -238,7 +194,7 @@
     this.history.add({ kind: 'ended', at: Math.floor(at), requestId, runner: this.options.name, state, text: run.text, tokens: run.tokens, ...reported })
   }
 
-  /** The load as told with an answer. */
+  /** Current load, for the header of a response. */
   loadHeader (): string {
     const { running, waiting } = this.loadNow()
     return `running=${running};waiting=${waiting}`
--- a/packages/stand-ins/src/engine/engineStream.ts
+++ b/packages/stand-ins/src/engine/engineStream.ts
@@ -1,6 +1,6 @@
 /**
- * One SSE response that follows a run. It writes what is generated already from the piece asked,
- * then each piece as it comes.
+ * One SSE response that follows a run. It writes the pieces generated so far, from the requested one on, then
+ * each new piece.
  */
 import type { ServerResponse } from 'node:http'
 import type { StreamFaults } from './engineFaults.js'
@@ -9,23 +9,17 @@
 const MIXED_PIECE = 1
 const DONE = 'data: [DONE]\n\n'
 
-/** Writes a run to a response. */
 export class EngineStream implements RunListener {
   private readonly head: string
 
-  /**
-   * @param run - the run to follow
-   * @param res - response to write
-   * @param faults - faults to show
-   * @param load - load told with the answer
-   */
+  /** @param load - value of the `x-engine-load` header */
   constructor (private readonly run: EngineRun, private readonly res: ServerResponse, private readonly faults: StreamFaults, private readonly load: string) {
     this.head = headOf(run.req.requestId, run.req.model)
   }
 
   /**
-   * Writes the response's head and the pieces known so far, and follows the run.
-   * @param from - first piece wanted
+   * Writes the headers and the pieces generated so far, then follows the run.
+   * @param from - index of the first piece
    */
   open (from: number): void {
     const holder = this.run.req.holder
@@ -62,14 +56,14 @@
     this.res.write(`${end}${DONE}`)
   }
 
-  /** A piece as another run would send it. */
+  /** A piece with the id of another run. */
   private foreignPiece (index: number): string {
     const head = headOf(`foreign-${this.run.req.requestId}`, this.run.req.model)
     return `id: ${index}\n${head}"ajeno "},"finish_reason":null}]}\n\n`
   }
 }
 
-/** Data of an event up to the content. */
+/** The data of an event, up to the content. */
 function headOf (requestId: string, model: string): string {
   return `data: {"id":${JSON.stringify(requestId)},"model":${JSON.stringify(model)},"choices":[{"index":0,"delta":{"content":`
 }
--- a/packages/stand-ins/src/engine/engineText.ts
+++ b/packages/stand-ins/src/engine/engineText.ts
@@ -1,34 +1,29 @@
 /**
- * The answer of the engine stand-in: always the same for the same request id, model and messages,
- * and different for others. A checker can so tell whether an answer is whole and its own.
+ * Deterministic answers of the engine stand-in: the same request id, model and messages always give the same
+ * text, others a different one, so that a checker can tell whether an answer is complete and belongs to its request.
  */
 import seedrandom from 'seedrandom'
 import type { ChatMessage } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { answerWords, languageOf } from './engineWords.js'
 
-/** Fewest and most tokens of an answer that is not capped. */
+/** Bounds of the length of an answer that its token limit does not cut, in tokens. */
 export const SHORTEST_ANSWER = 16
 export const LONGEST_ANSWER = 240
 const CHARACTERS_PER_TOKEN = 4
 
-/** What decides an answer. */
+/** What determines an answer. */
 export interface AnswerSubject {
   readonly requestId: string
   readonly model: string
   readonly messages: readonly ChatMessage[]
 }
 
-/** An answer as it will be generated; every piece is one token. */
+/** An answer before it is generated; each piece is one token. */
 export interface PlannedAnswer {
   readonly pieces: readonly string[]
   readonly finishReason: 'stop' | 'length'
 }
 
-/**
- * Plans an answer.
- * @param subject - request id, model and messages
- * @param maxTokens - cap of generated tokens
- */
 export function planAnswer (subject: AnswerSubject, maxTokens: number): PlannedAnswer {
   const said = subject.messages.map(({ content }) => content).join('\n')
   const random = seedrandom(JSON.stringify([subject.requestId, subject.model, said]))
@@ -38,26 +33,19 @@
   return { pieces, finishReason: length > maxTokens ? 'length' : 'stop' }
 }
 
-/**
- * The whole text of an answer.
- * @param subject - request id, model and messages
- * @param maxTokens - cap of generated tokens
- */
+/** The full text of an answer. */
 export function answerText (subject: AnswerSubject, maxTokens: number): string {
   return planAnswer(subject, maxTokens).pieces.join('')
 }
 
-/**
- * Tokens of a prompt: one for each four characters of the contents together, rounded up.
- * @param messages - the conversation
- */
+/** Tokens of a prompt: one per four characters of all contents together, rounded up. */
 export function promptTokensOf (messages: readonly ChatMessage[]): number {
   return tokensFor(messages.reduce((sum, { content }) => sum + content.length, 0))
 }
 
 /**
- * Tokens of so many characters of prompt.
- * @param characters - UTF-16 units, as JavaScript counts them
+ * Tokens of a prompt of this length.
+ * @param characters - UTF-16 code units
  */
 export function tokensFor (characters: number): number {
   return Math.ceil(characters / CHARACTERS_PER_TOKEN)
--- a/packages/stand-ins/src/engine/engineWords.ts
+++ b/packages/stand-ins/src/engine/engineWords.ts
@@ -1,8 +1,7 @@
 /**
- * Words of which the engine stand-in makes its answers, one token each.
+ * Vocabulary of the engine stand-in's answers; each word is one token.
  */
 
-/** Language of an answer. */
 export type AnswerLanguage = 'spanish' | 'kichwa' | 'vietnamese'
 
 const spanish = `el la los una con para desde hasta entre cuando mañana tarde noche viaje terminal andén puerta silla
@@ -23,7 +22,6 @@
 
 const split = (words: string): readonly string[] => words.split(/\s+/)
 
-/** The words of each language. */
 export const answerWords: Readonly<Record<AnswerLanguage, readonly string[]>> = {
   spanish: split(spanish),
   kichwa: split(kichwa),
@@ -34,9 +32,9 @@
 const KICHWA_WORDS = /\b(imanalla|kichwa|kichwapi|mashi|yanapay|yanapaway|antawa|ñuka|ñukanchik|maypi|imashna|kayna|kunan)\b/i
 
 /**
- * Language in which a conversation is answered.
- * @param model - model name; `vi-` at its head means Vietnamese
- * @param text - what was said so far
+ * Language of the answer to a conversation.
+ * @param model - the prefix `vi-` selects Vietnamese
+ * @param text - all messages so far
  */
 export function languageOf (model: string, text: string): AnswerLanguage {
   if (model.startsWith('vi-') || VIETNAMESE_LETTERS.test(text)) return 'vietnamese'
--- a/packages/stand-ins/src/engine/prefixCache.ts
+++ b/packages/stand-ins/src/engine/prefixCache.ts
@@ -1,6 +1,6 @@
 /**
- * The engine's prompt prefix cache: prefixes end at message borders, memory is limited in tokens,
- * and the longest unused goes first. What it stores and evicts is published late and with gaps.
+ * Prompt prefix cache of the engine. Prefixes end at message boundaries, capacity is counted in tokens, and the
+ * least recently used prefix is evicted first. Stores and evictions are published with a lag, and some are lost.
  */
 import { createHash } from 'node:crypto'
 import type { CacheEvents, ChatMessage } from '@rosemaryspread/runners/engine/engineTypes.js'
@@ -12,26 +12,23 @@
 /** A prefix of a conversation. */
 export interface PromptPrefix {
   readonly hash: string
-  /** Tokens up to its end. */
+  /** Tokens from the start of the prompt to the end of the prefix. */
   readonly tokens: number
 }
 
-/** Settings of the cache. */
 export interface PrefixCacheOptions {
-  /** Memory, in tokens. */
+  /** In tokens. */
   readonly capacity: number
   readonly eventLagMs: number
-  /** Share of events that are lost, 0 to 1. */
+  /** Fraction of events that are lost, 0 to 1. */
   readonly eventLoss: number
 }
 
 type CacheEvent = CacheEvents['events'][number] & { readonly at: number }
 
 /**
- * The prefixes of a prompt, shortest first: one after each message, named by the first 16 hex
- * digits of SHA-256 over the model's name and, for each message so far, `\n` role `:` content.
- * @param model - model name
- * @param messages - the conversation
+ * The prefixes of a prompt, shortest first, one ending at each message. The hash is the first 16 hex digits of
+ * SHA-256 over the model name and, for each message up to there, `\n` role `:` content.
  */
 export function promptPrefixes (model: string, messages: readonly ChatMessage[]): readonly PromptPrefix[] {
   const hash = createHash('sha256').update(model)
@@ -43,25 +40,22 @@
   })
 }
 
-/** Least-recently-used cache with its events. */
+/** Least-recently-used cache that publishes its changes. */
 export class PrefixCache {
   /** While true, every event is lost. */
   dropEvents = false
-  /** Tokens each stored prefix adds to the one before it, least recently used first. */
+  /** Tokens that each prefix adds to the next shorter one, least recently used first. */
   private readonly stored = new Map<string, number>()
   private used = 0
   private lastSequence = 0
   private readonly events: CacheEvent[] = []
 
-  /**
-   * @param options - memory, lag and loss
-   * @param random - numbers in [0, 1)
-   */
+  /** @param random - numbers in [0, 1) */
   constructor (private readonly options: PrefixCacheOptions, private readonly random: () => number) {}
 
   /**
-   * Tokens of the longest prefix that need not be computed.
-   * @param prefixes - prefixes of the prompt, shortest first
+   * Tokens of the longest cached prefix.
+   * @param prefixes - shortest first
    */
   cachedTokens (prefixes: readonly PromptPrefix[]): number {
     let cached = 0
@@ -73,9 +67,8 @@
   }
 
   /**
-   * Stores the prefixes of a computed prompt and evicts others to make room.
+   * Stores the prefixes of a computed prompt, and evicts others beyond the capacity.
    * @param prefixes - shortest first
-   * @param now - wall milliseconds
    */
   store (prefixes: readonly PromptPrefix[], now: number): void {
     let before = 0
@@ -87,9 +80,8 @@
   }
 
   /**
-   * Events as published by now.
-   * @param after - the last number known to the caller
-   * @param now - wall milliseconds
+   * Events published by `now`.
+   * @param after - last sequence number that the caller has
    */
   eventsAfter (after: number, now: number): CacheEvents {
     const visible = this.events.filter(({ at }) => at <= now - this.options.eventLagMs)
@@ -99,7 +91,7 @@
     return { next: visible.at(-1)?.sequence ?? 0, events }
   }
 
-  /** Prefixes and tokens stored now. */
+  /** Number of prefixes and tokens stored. */
   get size (): { readonly prefixes: number, readonly tokens: number } {
     return { prefixes: this.stored.size, tokens: this.used }
   }
--- a/packages/stand-ins/src/engine/runRegistry.ts
+++ b/packages/stand-ins/src/engine/runRegistry.ts
@@ -1,19 +1,17 @@
 /**
- * Runs by request id, with the marks that seal ids, kept for two hours after their end.
+ * Runs and sealed request ids, retained for two hours after the end or the seal.
  */
 import type { RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { EngineRun } from './engineRun.js'
 
-/** How long a record is kept after the end of its run, in milliseconds. */
 export const RECORD_KEPT_MS = 7_200_000
 
-/** An id whose record ages. */
+/** A record that expires; `at` is the end of the run or the time of the seal. */
 interface Ended {
   readonly requestId: string
   readonly at: number
 }
 
-/** All runs that the engine knows. */
 export class RunRegistry {
   private readonly runs = new Map<string, EngineRun>()
   private readonly seals = new Set<string>()
@@ -32,35 +30,24 @@
     this.runs.set(run.req.requestId, run)
   }
 
-  /** Drops a run as if it had never been. */
+  /** Removes a run and its record. */
   drop (run: EngineRun): void {
     this.runs.delete(run.req.requestId)
   }
 
-  /**
-   * Marks an id so that it cannot be submitted any more.
-   * @param requestId - an id without a run
-   * @param now - wall milliseconds
-   */
+  /** Refuses later submissions of an id that has no run. */
   seal (requestId: string, now: number): void {
     if (this.seals.has(requestId)) return
     this.seals.add(requestId)
     this.noteEnd(requestId, now)
   }
 
-  /**
-   * Starts the time after which a record is forgotten.
-   * @param requestId - id whose run ended
-   * @param now - wall milliseconds
-   */
+  /** Starts the retention time of a record. */
   noteEnd (requestId: string, now: number): void {
     this.ended.push({ requestId, at: now })
   }
 
-  /**
-   * Forgets records whose time is over.
-   * @param now - wall milliseconds
-   */
+  /** Removes records whose retention time has passed. */
   forget (now: number): void {
     const old = this.ended.findIndex(({ at }) => at > now - RECORD_KEPT_MS)
     const count = old === -1 ? this.ended.length : old
@@ -71,19 +58,13 @@
     if (count > 0) this.ended = this.ended.slice(count)
   }
 
-  /**
-   * The record of an id.
-   * @param requestId - the id
-   */
+  /** The record of a run or of a sealed id. */
   record (requestId: string): RunRecord | undefined {
     if (this.seals.has(requestId)) return sealedRecord(requestId)
     return this.runs.get(requestId)?.record
   }
 
-  /**
-   * Records of one holder, or of all.
-   * @param holder - holder id
-   */
+  /** Records of one holder, or of all holders. */
   records (holder?: string): readonly RunRecord[] {
     return [...this.runs.values()].filter(({ req }) => holder === undefined || req.holder === holder).map(run => run.record)
   }
--- a/packages/stand-ins/src/engine/weightSource.ts
+++ b/packages/stand-ins/src/engine/weightSource.ts
@@ -1,30 +1,28 @@
 /**
- * Where the engine takes weights from when it is ordered to load: the weight store, or a limit of
- * its own when it was given none.
+ * Where the engine fetches weights for load orders: the weight store, or a local rate limit if none is configured.
  */
 import { got } from 'got'
 import { TokenBucket } from '../weights/tokenBucket.js'
 
 const TIMEOUT_MS = 5000
 
-/** Answer of the weight store; 200 when the weights were had. */
+/** Answer of the weight store; status 200 if the weights were fetched. */
 export interface WeightAnswer {
   readonly status: number
   readonly retryAfterSeconds: number
 }
 
-/** Takes weights. */
 export interface WeightSource {
   take (model: string, version: string): Promise<WeightAnswer>
 }
 
-/** A limit inside the engine. */
+/** A rate limit inside the engine, without a weight store. */
 export class LocalWeightSource implements WeightSource {
   private readonly bucket: TokenBucket
 
   /**
-   * @param perMinute - loads a minute
-   * @param burst - loads at once after a rest
+   * @param perMinute - loads per minute
+   * @param burst - loads at once after an idle time
    */
   constructor (perMinute: number, burst: number) {
     this.bucket = new TokenBucket(perMinute, burst)
@@ -36,12 +34,8 @@
   }
 }
 
-/** The weight store. */
 export class HttpWeightSource implements WeightSource {
-  /**
-   * @param baseUrl - where the weight store listens
-   * @param name - name of the engine, sent as `x-vm` so that a test can cut it off
-   */
+  /** @param name - engine name, sent as `x-vm` so that a test can cut its connections */
   constructor (private readonly baseUrl: string, private readonly name: string) {}
 
   async take (model: string, version: string): Promise<WeightAnswer> {
--- a/packages/stand-ins/src/objects/objectRoutes.ts
+++ b/packages/stand-ins/src/objects/objectRoutes.ts
@@ -1,12 +1,12 @@
 /**
- * The object store over HTTP, objects in memory.
+ * HTTP API of the object store stand-in; objects are in memory.
  */
 import { HistoryLog } from '../control/historyLog.js'
 import type { StandInParts } from '../control/standIn.js'
 
 const OBJECT_PATH = /^\/objects\/(.+)$/
 
-/** An object store without objects. */
+/** Creates an empty object store. */
 export function objectParts (): StandInParts {
   const objects = new Map<string, Buffer>()
   return {
--- a/packages/stand-ins/src/placement/placementChaos.spec.ts
+++ b/packages/stand-ins/src/placement/placementChaos.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Placement under random patches, deaths, cuts, lost answers and pauses of the holder: no unload
- * does harm, all heals to the declared state, and the number of orders stays bounded.
+ * Placement under random patches, crashes, cuts, lost answers and pauses of the lease holder: no unload is harmful, the
+ * declared state is reached, and the number of orders is bounded.
  */
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -13,7 +13,7 @@
 const HEAL_MS = 20 * MINUTE
 const RUNNERS = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2']
 const MODELS = ['m', 'n']
-/** Decisions that one disturbance may cause, and those of the start and the end. */
+/** Bound of the orders that one fault may cause; the start and the end count as one fault each. */
 const ORDERS_EACH = 12
 
 const runner = fc.constantFrom(...RUNNERS)
@@ -62,7 +62,7 @@
   if (item.kind === 'leave' || item.kind === 'stay') engine.isLeaving = item.kind === 'leave'
 }
 
-/** Mistakes of one run. */
+/** Violations of one run. */
 function play (planner: () => PlacementDecider, ignoring: readonly string[], steps: ReadonlyArray<readonly [Step, number]>): readonly string[] {
   const world = worldOf(planner, ignoring)
   for (const [item, pauseMs] of steps) {
@@ -87,13 +87,13 @@
 describe('placement under random faults', function () {
   this.timeout(300_000)
 
-  it('does no harm, reaches what is declared, and orders no more than a bound', () => {
+  it('unloads nothing harmfully, reaches the declared state, and issues a bounded number of orders', () => {
     fc.assert(fc.property(ignoring, script, (names, steps) => {
       expect(play(() => new PlacementPlanner(), names, steps)).to.deep.equal([])
     }), settings)
   })
 
-  it('a planner that orders everything at once does harm (counter-example)', () => {
+  it('detects a planner that orders everything at once (counter-example)', () => {
     expect(() => fc.assert(fc.property(ignoring, script, (names, steps) => {
       expect(play(() => new NaivePlanner(), names, steps)).to.deep.equal([])
     }), { ...settings, endOnFailure: true })).to.throw()
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -1,6 +1,5 @@
 /**
- * Placement under each fault, once by the product and once by a weaker planner or holder that
- * breaks the promise of the case.
+ * Placement under each fault. Every case also runs with a faulty planner or holder that must violate the guarantee.
  */
 import { expect } from 'chai'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
@@ -13,7 +12,7 @@
 
 type Part = Partial<PlacementWorldOptions>
 
-/** Three domains with two runners each, all of which may serve the model. */
+/** Three domains with two runners each; all may serve the model. */
 function fleet (copies: number, more: object = {}): object {
   const runners = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'].map((name, index) =>
     [name, { address: `127.0.0.1:${7000 + index}`, domain: name.slice(0, 1), models: ['m'], ...more }])
@@ -39,14 +38,14 @@
   readonly weak: () => PlacementDecider
   readonly weakPart?: Part
   readonly part: Part
-  /** Whether the promise held. */
+  /** Returns whether the guarantee held. */
   readonly run: (world: PlacementWorld) => boolean
 }
 
 const cases: readonly FaultCase[] = [
   {
     fault: 'a new version',
-    promise: 'never fewer copies serve than declared, and no more is loaded than needed',
+    promise: 'never fewer copies serve than declared, and no copy is loaded needlessly',
     weaker: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
@@ -60,7 +59,7 @@
   },
   {
     fault: 'a new version of a single copy whose spare runner is in another domain',
-    promise: 'the last copy is not unloaded before its replacement is up',
+    promise: 'the last copy is not unloaded before its replacement serves',
     weaker: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(1), engines: loaded('b1') },
@@ -71,20 +70,20 @@
     }
   },
   {
-    fault: 'an order of an old holder that is delivered after it wakes',
-    promise: 'engines that check refuse it, though the new holder had no order for them',
-    weaker: 'a planner that tells engines no number',
+    fault: 'an order of a former holder that is delivered after it resumes',
+    promise: 'engines that check fencing refuse it, though the new holder had no order for them',
+    weaker: 'a planner that does not announce its fencing number',
     weak: () => new NoFencePass(),
     part: { config: fleet(2), engines: loaded('a1', 'b1', 'c1') },
     run: world => {
       const [first] = world.holders
-      // The surplus copy is about to be unloaded: the order is on the wire when the machine stops.
+      // The order to unload the surplus copy is in transit when the holder is paused.
       while (!world.sent.some(({ kind }) => kind === 'unload')) world.run(100)
       first!.isFrozen = true
       const victim = world.sent.at(-1)!.orderId.split('/')[2]!
       const others = ['a1', 'b1', 'c1'].filter(name => name !== victim)
       others.forEach(name => { world.engine(name).die(world.now) })
-      // The new holder counts on the copy that the late order is to take away.
+      // The new holder relies on the copy that the late order unloads.
       world.run(12_000)
       first!.isFrozen = false
       world.run(2_000)
@@ -92,9 +91,9 @@
     }
   },
   {
-    fault: 'engines that ignore the number, and an order of an old holder that is delivered late',
-    promise: 'what it undoes is read back and ordered again',
-    weaker: 'a planner that reads nothing back',
+    fault: 'engines that ignore fencing numbers, and a late order of a former holder',
+    promise: 'its effect is detected in the reports and corrected',
+    weaker: 'a planner that ignores later reports',
     weak: () => new NoReadBack(),
     part: { config: fleet(6, { checksFencing: false }), engines: loaded('a1', 'a2', 'b1', 'b2', 'c1', 'c2') },
     run: world => {
@@ -111,9 +110,9 @@
     }
   },
   {
-    fault: 'engines that ignore the number, and a frozen holder that wakes',
-    promise: 'it gives no order after its lease ended',
-    weaker: 'a holder that does not ask whether it may act',
+    fault: 'engines that ignore fencing numbers, and a frozen holder that resumes',
+    promise: 'it sends no order after its lease has expired',
+    weaker: 'a holder that does not check its lease',
     weak: () => new PlacementPlanner(),
     weakPart: { holder: { checksLease: false } },
     part: { config: fleet(3, { checksFencing: false }), engines: loaded('a1', 'b1', 'c1') },
@@ -130,9 +129,9 @@
     }
   },
   {
-    fault: 'a copy that is undone after it was there',
-    promise: 'it is ordered again, under an id that the engine does not know',
-    weaker: 'a planner whose ids follow from the content alone',
+    fault: 'a copy that is unloaded by someone else',
+    promise: 'it is ordered again, under a new order id',
+    weaker: 'a planner whose order ids depend on the content alone',
     weak: () => new ContentIds(),
     part: { config: fleet(1), engines: loaded('b1') },
     run: world => {
@@ -149,7 +148,7 @@
   {
     fault: 'lost answers of orders',
     promise: 'the order is repeated under its id, and nothing is loaded twice',
-    weaker: 'a planner that forgets the order',
+    weaker: 'a planner that drops the order',
     weak: () => new ForgetfulPlanner(),
     part: { config: fleet(3), engines: {} },
     run: world => {
@@ -160,16 +159,16 @@
     }
   },
   {
-    fault: 'a weight store over its rate',
-    promise: 'it is asked again only when it said so',
-    weaker: 'a planner that asks at once',
+    fault: 'a weight store at its rate limit',
+    promise: 'requests are repeated only after its `retry-after`',
+    weaker: 'a planner that retries at once',
     weak: () => new ImpatientPlanner(),
     part: { config: fleet(6), engines: {}, weightsPerMinute: 2, weightsBurst: 1 },
     run: world => world.runUntilPlaced(10 * MINUTE) < 10 * MINUTE && world.weightRefusals <= 12
   },
   {
-    fault: 'a runner that dies',
-    promise: 'its copy is replaced in its domain once, and nothing else moves',
+    fault: 'a runner that crashes',
+    promise: 'its copy is replaced once, in its domain, and no other copy moves',
     weaker: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a2', 'b2', 'c2') },
@@ -182,8 +181,8 @@
     }
   },
   {
-    fault: 'a domain that is lost and comes back',
-    promise: 'copies go to the other domains, then spread again, and no copy is unloaded too early',
+    fault: 'a domain that fails and recovers',
+    promise: 'copies move to the other domains, then back, and no copy is unloaded too early',
     weaker: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
@@ -198,7 +197,7 @@
     }
   },
   {
-    fault: 'a runner that comes and goes',
+    fault: 'runners that are repeatedly unreachable',
     promise: 'copies move only the first time',
     weaker: 'a planner without hysteresis',
     weak: () => new HastyPlanner(),
@@ -217,9 +216,9 @@
     }
   },
   {
-    fault: 'a runner that leaves by its own word, and one by the configuration',
-    promise: 'it gets nothing new, and its copy is replaced elsewhere',
-    weaker: 'a planner that does not hear of it',
+    fault: 'a runner that reports that it is leaving, and one that the configuration marks as leaving',
+    promise: 'they get no new copies, and theirs are replaced elsewhere',
+    weaker: 'a planner that is not informed of it',
     weak: () => new DeafPlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
     run: world => {
@@ -247,7 +246,7 @@
       expect(run(worldOf(() => new PlacementPlanner(), part))).to.equal(true)
     })
 
-    it(`${fault}: ${weaker} breaks it (counter-example)`, () => {
+    it(`${fault}: ${weaker} violates it (counter-example)`, () => {
       expect(run(worldOf(weak, { ...part, ...weakPart }))).to.equal(false)
     })
   }
--- a/packages/stand-ins/src/placement/placementWorld.ts
+++ b/packages/stand-ins/src/placement/placementWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Engines, a weight store, a lease and VMs that may hold it, in virtual time: what placement
- * meets, with every fault on order. Counts orders and the time with fewer copies than declared.
+ * Test harness for placement in virtual time: engines, a weight store, a lease and the VMs that may hold it, with fault
+ * injection. Counts orders and the time with fewer copies than declared.
  */
 import { fleetConfigSchema, type FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { PlacementDecider, PlacementOrder } from '@rosemaryspread/decisions/placement/placementTypes.js'
@@ -9,15 +9,14 @@
 import { SimulatedHolder, type SimulatedHolderOptions } from './simulatedHolder.js'
 
 export const STEP_MS = 100
-/** The lease by its holder's count, and by that of others. */
+/** When the lease expires: for its holder, and later for the other VMs. */
 const LEASE_MS = { holder: 5_000, others: 7_000 }
-/** For how long what was declared or alive still counts in the judgement of an unload. */
+/** An unload is also checked against configurations and engines of this recent past, which the holder may still see. */
 const JUDGE_MS = 40_000
 
-/** What a world is made of. */
 export interface PlacementWorldOptions {
   readonly config: unknown
-  /** Each engine's settings; what is missing is taken from the configuration. */
+  /** Settings by runner; defaults come from the configuration. */
   readonly engines?: Readonly<Record<string, Partial<SimulatedEngineOptions>>>
   readonly planners: readonly PlacementDecider[]
   readonly holder?: SimulatedHolderOptions
@@ -25,30 +24,28 @@
   readonly weightsBurst?: number
 }
 
-/** The world. */
 export class PlacementWorld {
   now = 0
   readonly engines = new Map<string, SimulatedEngine>()
   readonly holders: readonly SimulatedHolder[]
   config: FleetConfig
-  /** Orders other than those that only tell the fencing number. */
+  /** Orders other than those that only announce the fencing number. */
   orders = 0
   fenceOrders = 0
   weightRefusals = 0
-  /** Milliseconds with fewer serving copies than declared, over all models. */
+  /** Milliseconds with fewer serving copies than declared, summed over all models. */
   shortMs = 0
-  /** Milliseconds without any serving copy of a declared model, over all models. */
+  /** Milliseconds without a serving copy, summed over all models. */
   absentMs = 0
   /** Unloads that left fewer copies than declared. */
   readonly harmful: string[] = []
-  /** Orders by runner and kind, for tests. */
+  /** All orders sent, including fencing announcements. */
   readonly sent: PlacementOrder[] = []
   private fencing = 0
   private lease: { holder: SimulatedHolder, renewedAt: number } | undefined
   private pending: { readonly at: number, readonly run: () => void }[] = []
   private configs: { readonly until: number, readonly config: FleetConfig }[] = []
 
-  /** @param options - engines, configuration and planners */
   constructor (options: PlacementWorldOptions) {
     this.config = fleetConfigSchema.parse(options.config)
     const weights = new TokenBucket(options.weightsPerMinute ?? 30, options.weightsBurst ?? 4)
@@ -59,12 +56,12 @@
     this.holders = options.planners.map(planner => new SimulatedHolder(this, planner, options.holder ?? { checksLease: true }))
   }
 
-  /** Runs something later. */
+  /** Schedules `run` in `ms` virtual milliseconds. */
   after (ms: number, run: () => void): void {
     this.pending.push({ at: this.now + ms, run })
   }
 
-  /** Brings a configuration into force; VMs see it at their next round. */
+  /** Changes the configuration; VMs see it at their next tick. */
   patch (change: (config: FleetConfig) => void): void {
     this.configs.push({ until: this.now, config: this.config })
     const next = structuredClone(this.config)
@@ -78,7 +75,7 @@
 
   /**
    * Runs until the declared state is reached.
-   * @returns milliseconds that it took, or the limit when it was not reached
+   * @returns milliseconds elapsed, at least `limitMs` if the state was not reached
    */
   runUntilPlaced (limitMs: number): number {
     const start = this.now
@@ -88,7 +85,7 @@
 
   engine (runner: string): SimulatedEngine {
     const engine = this.engines.get(runner)
-    if (engine === undefined) throw new Error(`there is no engine ${runner}`)
+    if (engine === undefined) throw new Error(`unknown engine ${runner}`)
     return engine
   }
 
@@ -98,19 +95,19 @@
     this.sent.push(order)
   }
 
-  /** Copies that serve now; of the declared version only, if asked. */
+  /** Number of serving copies, optionally only of the declared version. */
   serving (model: string, isDeclared = false): number {
     const version = isDeclared ? this.config.models[model]?.version : undefined
     return this.placesOf(model).filter(([, engine]) => !engine.isCut && engine.serves(model, version)).length
   }
 
-  /** Copies that can be had: declared, and no more than there are runners for them. */
+  /** Number of declared copies, limited by the reachable runners that may hold them. */
   declared (model: string, config = this.config): number {
     const found = config.models[model]
     return found === undefined ? 0 : Math.min(found.copies ?? Infinity, this.placesOf(model, config).filter(([, engine]) => engine.isReachable).length)
   }
 
-  /** Whether each model has the declared copies, in their version, and none above. */
+  /** Whether each model has exactly the declared copies, in the declared version. */
   isPlaced (): boolean {
     return Object.keys(this.config.models).every(model => {
       const { version = '', adapters = [] } = this.config.models[model] ?? {}
@@ -121,7 +118,7 @@
     })
   }
 
-  /** Failure domains with a copy of a model, one name for each copy. */
+  /** Failure domain of each serving copy of a model, sorted. */
   domainsOf (model: string): readonly string[] {
     return this.placesOf(model).filter(([, engine]) => engine.isReachable && engine.serves(model)).map(([, engine]) => engine.options.domain).sort()
   }
@@ -171,7 +168,7 @@
     }
   }
 
-  /** An unload may leave no fewer copies than declared, by any configuration or runner of the last while. */
+  /** Records an unload that leaves fewer copies than declared, by the recent configuration that declares the fewest. */
   private judgeUnload (runner: string, { model, fencing, orderId }: PlacementOrder): void {
     if (fencing < this.fencing && !this.engine(runner).options.checksFencing) return
     const known = [this.config, ...this.configs.filter(({ until }) => until > this.now - JUDGE_MS).map(({ config }) => config)]
--- a/packages/stand-ins/src/placement/simulatedEngine.ts
+++ b/packages/stand-ins/src/placement/simulatedEngine.ts
@@ -1,6 +1,6 @@
 /**
- * An engine in virtual time, for placement only: loading takes a while, during which the model
- * does not serve, reports lag, and it may be down, cut off or leaving.
+ * An engine in virtual time, for placement only. Loading takes time, during which the model does not serve; reports lag;
+ * the engine may be down, cut off or leaving.
  */
 import type { PlacementOrder, PlacementOutcome } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import type { LoadReport } from '@rosemaryspread/runners/engine/engineTypes.js'
@@ -10,7 +10,6 @@
 
 const MS_PER_SECOND = 1_000
 
-/** Settings of a simulated engine. */
 export interface SimulatedEngineOptions {
   readonly domain: string
   readonly models: readonly string[]
@@ -19,12 +18,11 @@
   readonly lagMs: number
 }
 
-/** One engine. */
 export class SimulatedEngine {
   isDown = false
   isCut = false
   isLeaving = false
-  /** Answers of orders to lose, after they took effect. */
+  /** Number of next orders that take effect but whose answer is lost. */
   loseAnswers = 0
   /** Since when it is down or cut off. */
   goneAt = 0
@@ -33,8 +31,7 @@
   private seen: LaggingValue<LoadReport['models']>
 
   /**
-   * @param options - settings
-   * @param weights - rate of the weight store
+   * @param weights - rate limit of the weight store
    * @param onUnload - called before a model is unloaded
    */
   constructor (readonly options: SimulatedEngineOptions, private readonly weights: TokenBucket, private readonly onUnload: (order: PlacementOrder) => void) {
@@ -46,19 +43,19 @@
     return !this.isDown && !this.isCut
   }
 
-  /** Whether some version of the model is there. */
+  /** Whether any version of the model is loaded. */
   holds (model: string): boolean {
     return this.models.serves(model)
   }
 
-  /** Whether a version of the model serves now; one that is being replaced does not. */
+  /** Whether the model serves in this version, or in any; a model that is being loaded does not. */
   serves (model: string, version?: string): boolean {
     const isLoading = [...this.loading.values()].some(({ order }) => order.kind === 'load' && order.model === model)
     const isThere = this.models.report.some(item => item.model === model && (version === undefined || item.version === version))
     return !this.isDown && isThere && !isLoading
   }
 
-  /** Ends the process; it comes back with nothing loaded. */
+  /** Crashes the process; it restarts with nothing loaded. */
   die (now: number): void {
     this.isDown = true
     this.goneAt = now
@@ -67,7 +64,7 @@
     this.seen = new LaggingValue(this.models.report, now, this.options.lagMs)
   }
 
-  /** Loads that end by now take effect. */
+  /** Completes the loads that end by `now`. */
   advance (now: number): void {
     for (const [id, { order, endsAt }] of this.loading) {
       if (endsAt > now) continue
@@ -77,16 +74,12 @@
     }
   }
 
-  /** The models as reported, some time ago. */
+  /** The models as reported, delayed by `lagMs`. */
   report (now: number): LoadReport['models'] {
     return this.seen.seen(now).value
   }
 
-  /**
-   * Takes an order. A load is answered only when it has ended, so its answer here is `unknown`.
-   * @param order - the order
-   * @param now - virtual milliseconds
-   */
+  /** Receives an order. A load is answered only after it ends, so its outcome here is `unknown`. */
   take (order: PlacementOrder, now: number): PlacementOutcome {
     const outcome = this.obey(order, now)
     if (outcome.kind !== 'done' || this.loseAnswers === 0) return outcome
--- a/packages/stand-ins/src/placement/simulatedHolder.ts
+++ b/packages/stand-ins/src/placement/simulatedHolder.ts
@@ -1,30 +1,26 @@
 /**
- * One VM that may hold the lease of placement, in virtual time. It polls reports and sends
- * orders only while it may act by its own count of the lease, and may be paused with orders on
- * the wire.
+ * One VM that may hold the placement lease, in virtual time. It polls reports and sends orders only while its lease is
+ * valid by its own clock, and may be paused with orders in transit.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { PlacementAction, PlacementDecider, PlacementEvent } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import type { PlacementWorld } from './placementWorld.js'
 
-/** Milliseconds between two ticks. */
 const TICK_MS = 1_000
-/** Milliseconds of a call in one direction. */
+/** One-way latency of a call. */
 const WIRE_MS = 5
-/** Milliseconds until a call without an answer is given up. */
+/** Timeout of a call without an answer. */
 const CALL_MS = 2_000
 
-/** How a holder counts its lease. */
 export interface SimulatedHolderOptions {
-  /** Whether it asks before each order if it may still act; a weak one only asks when it takes the lease. */
+  /** Whether it checks before each order that its lease is still valid; a faulty holder checks only on acquisition. */
   readonly checksLease: boolean
 }
 
-/** One VM. */
 export class SimulatedHolder {
   isFrozen = false
-  /** Fencing number of the lease that it believes to hold. */
+  /** Fencing number of the lease that it believes it holds. */
   fencing: number | undefined
   validUntil = 0
   private nextTickAt = 0
@@ -81,7 +77,7 @@
       world.after(ms, () => { this.whenAwake(() => { this.feed({ kind: 'answered', orderId: order.orderId, outcome }) }) })
     if (engine === undefined || !engine.isReachable) return answer({ kind: 'notSent' }, WIRE_MS)
     world.after(WIRE_MS, () => {
-      // What a paused machine had on the wire goes out when it wakes.
+      // Orders in transit from a paused VM are delivered when it resumes.
       this.whenAwake(() => {
         if (engine.isDown) return answer({ kind: 'unknown' }, CALL_MS)
         const outcome = engine.take(order, world.now)
--- a/packages/stand-ins/src/placement/weakPlanners.spec.ts
+++ b/packages/stand-ins/src/placement/weakPlanners.spec.ts
@@ -1,13 +1,12 @@
 /**
- * Planners that are weaker than the product's in one respect each, for tests that must be able
- * to fail.
+ * Planners with one deliberate fault each, for counter-examples: a test has to fail with them. It holds no tests.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { LoadedModel, PlacementAction, PlacementDecider, PlacementEvent, PlacementLimits } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import { defaultPlacementLimits } from '@rosemaryspread/decisions/placement/placementTypes.js'
 
-/** Changes what goes in and out of the product's planner. */
+/** Modifies the events and actions of the product's planner. */
 abstract class WeakPlanner implements PlacementDecider {
   protected readonly inner: PlacementDecider
 
@@ -18,7 +17,7 @@
   abstract handle (event: PlacementEvent, now: Instant): readonly PlacementAction[]
 }
 
-/** Gives the same order the same id for ever. */
+/** Reuses the id of an earlier order with the same content. */
 export class ContentIds extends WeakPlanner {
   private readonly own = new Map<string, string>()
 
@@ -32,7 +31,7 @@
   }
 }
 
-/** Takes an order that was once seen to be carried out for lasting, and reads nothing back after. */
+/** Assumes that an order, once reported as carried out, stays in effect, and ignores later reports. */
 export class NoReadBack extends WeakPlanner {
   private readonly believed = new Map<string, readonly LoadedModel[]>()
   private readonly ordered = new Map<string, string>()
@@ -53,7 +52,7 @@
   }
 }
 
-/** Tells engines no fencing number before it acts. */
+/** Does not announce its fencing number to engines before it sends orders. */
 export class NoFencePass extends WeakPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     const actions = this.inner.handle(event, now)
@@ -63,7 +62,7 @@
   }
 }
 
-/** Forgets an order whose answer was lost, and decides anew. */
+/** Drops an order whose answer was lost, and plans again. */
 export class ForgetfulPlanner extends WeakPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     const isLost = event.kind === 'answered' && event.outcome.kind === 'unknown'
@@ -71,7 +70,7 @@
   }
 }
 
-/** Comes back at once when the weight store is over its rate. */
+/** Retries at once when the weight store is at its rate limit. */
 export class ImpatientPlanner extends WeakPlanner {
   constructor () {
     super({ weightsPerMinute: 6_000, weightsBurst: 100, refusedMs: 0 })
@@ -83,7 +82,7 @@
   }
 }
 
-/** Believes whatever it saw last, without any waiting. */
+/** Acts on the latest report without hysteresis. */
 export class HastyPlanner extends WeakPlanner {
   constructor () {
     super({ downAfterMs: 2_500, steadyMs: 0, surplusMs: 0 })
@@ -94,7 +93,7 @@
   }
 }
 
-/** Never hears that a runner leaves. */
+/** Ignores that a runner is leaving. */
 export class DeafPlanner extends WeakPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     if (event.kind !== 'configured') return this.inner.handle(event.kind === 'reported' ? { ...event, leaving: false } : event, now)
--- a/packages/stand-ins/src/request/serviceCalls.spec.ts
+++ b/packages/stand-ins/src/request/serviceCalls.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A call that may not be repeated runs at most once, whatever happens to the claim, the VM or
- * the runner, and what callers are told of it is true.
+ * A call that may not be repeated runs at most once, whatever happens to the claim, the VM or the runner, and callers
+ * get a true answer about it.
  */
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
@@ -22,7 +22,7 @@
   return answer.map(({ repeated }) => repeated).extract() === true ? 'kept' : 'answered'
 }
 
-/** The table goes out right after the effect of the next write. */
+/** Starts an outage of the table right after the effect of the next write. */
 function outageAfterWrite (fleet: ServiceFleet): void {
   fleet.a.table.loseAnswers = 1
   fleet.a.table.before = async operation => {
@@ -35,7 +35,7 @@
   fleet.a.table.outage = false
 }
 
-/** The VM is paused while it waits for the answer of its claim. */
+/** Pauses the VM while it waits for the answer of its claim. */
 function pauseDuringClaim (fleet: ServiceFleet): void {
   fleet.a.table.before = async operation => {
     if (operation === 'transact') fleet.a.clock.jumpedMs += PAUSE_MS
@@ -48,7 +48,7 @@
   readonly arrange: (fleet: ServiceFleet) => void
   readonly heal?: (fleet: ServiceFleet) => void
   readonly first: Told
-  /** What a repeat is told at the other VM once all has healed. */
+  /** Result of a repeated call at the other VM, after all faults have ended. */
   readonly repeat: Told
   readonly executions: number
 }
@@ -60,15 +60,15 @@
 
 const faults: readonly FaultCase[] = [
   { name: 'no fault', arrange: () => {}, first: 'answered', repeat: 'kept', executions: 1 },
-  { name: 'the table out of service', arrange: ({ a }) => { a.table.outage = true }, heal: healTable, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
-  { name: 'the answer of the claim lost', arrange: ({ a }) => { a.table.loseAnswers = 1 }, first: 'answered', repeat: 'kept', executions: 1 },
-  { name: 'the claim lost on its way', arrange: ({ a }) => { a.table.loseRequests = 1 }, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
-  { name: 'the answer of the claim lost and the table out of service then', arrange: outageAfterWrite, heal: healTable, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
+  { name: 'an outage of the table', arrange: ({ a }) => { a.table.outage = true }, heal: healTable, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
+  { name: 'a lost answer of the claim', arrange: ({ a }) => { a.table.loseAnswers = 1 }, first: 'answered', repeat: 'kept', executions: 1 },
+  { name: 'a lost request of the claim', arrange: ({ a }) => { a.table.loseRequests = 1 }, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
+  { name: 'a lost answer of the claim, followed by an outage of the table', arrange: outageAfterWrite, heal: healTable, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
   { name: 'a pause between claim and dispatch', arrange: pauseDuringClaim, first: ['notClaimed', 'no'], repeat: 'answered', executions: 1 },
-  { name: 'one runner that cannot be connected to', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'unreachable') }, first: 'answered', repeat: 'kept', executions: 1 },
-  { name: 'no runner that can be connected to', arrange: allUnreachable, heal: healRunners, first: ['runnerUnreachable', 'no'], repeat: 'answered', executions: 1 },
-  { name: 'a runner that dies during the call', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') }, heal: healRunners, first: ['runnerUnreachable', 'unknown'], repeat: ['claimOutcomeUnknown', 'unknown'], executions: 1 },
-  { name: 'the answer of the outcome write lost', arrange: ({ a }) => { a.table.before = async () => { if (a.table.calls.transact === 2) a.table.loseAnswers = 1 } }, first: 'answered', repeat: 'kept', executions: 1 }
+  { name: 'one unreachable runner', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'unreachable') }, first: 'answered', repeat: 'kept', executions: 1 },
+  { name: 'no reachable runner', arrange: allUnreachable, heal: healRunners, first: ['runnerUnreachable', 'no'], repeat: 'answered', executions: 1 },
+  { name: 'a runner that crashes during the call', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') }, heal: healRunners, first: ['runnerUnreachable', 'unknown'], repeat: ['claimOutcomeUnknown', 'unknown'], executions: 1 },
+  { name: 'a lost answer of the write of the outcome', arrange: ({ a }) => { a.table.before = async () => { if (a.table.calls.transact === 2) a.table.loseAnswers = 1 } }, first: 'answered', repeat: 'kept', executions: 1 }
 ]
 
 describe('log lines of a call', () => {
@@ -76,10 +76,10 @@
   const keyed = keyedRequestId('desk', 'k')
   const attempt = (runner: string, ran: string, retried: boolean): object => ({ event: 'attemptFailed', request: keyed, runner, ran, retried })
   const cases: ReadonlyArray<{ readonly name: string, readonly arrange: (fleet: ServiceFleet) => void, readonly key: string | null, readonly lines: readonly object[] }> = [
-    { name: 'refused for want of a key', arrange: () => {}, key: null, lines: [{ event: 'requestRefused', request: id, ran: 'no' }] },
+    { name: 'refused for a missing key', arrange: () => {}, key: null, lines: [{ event: 'requestRefused', request: id, ran: 'no' }] },
     { name: 'refused by a draining VM', arrange: ({ a }) => { a.work.draining = true }, key: null, lines: [{ event: 'requestRefused', request: id, ran: 'no' }] },
-    { name: 'that no runner takes', arrange: allUnreachable, key: 'k', lines: [attempt('app1', 'no', true), attempt('app2', 'no', true), { event: 'requestRefused', request: keyed, ran: 'no' }] },
-    { name: 'whose runner dies', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') }, key: 'k', lines: [attempt('app1', 'unknown', false), { event: 'requestFailed', request: keyed, ran: 'unknown' }] }
+    { name: 'that no runner accepts', arrange: allUnreachable, key: 'k', lines: [attempt('app1', 'no', true), attempt('app2', 'no', true), { event: 'requestRefused', request: keyed, ran: 'no' }] },
+    { name: 'whose runner crashes', arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') }, key: 'k', lines: [attempt('app1', 'unknown', false), { event: 'requestFailed', request: keyed, ran: 'unknown' }] }
   ]
   for (const { name, arrange, key, lines } of cases) {
     it(`${name} carry the id that the caller reads`, async () => {
@@ -106,7 +106,7 @@
     })
   }
 
-  it('sent to two VMs at the same time runs once, and nobody is told that it did not run', async () => {
+  it('sent to two VMs at the same time runs once, and no answer says that it did not run', async () => {
     const { a, b, applications } = serviceFleet()
     const answers = (await Promise.all([a.dispatch(), b.dispatch(), a.dispatch(), b.dispatch()])).map(told)
     expect(applications.executions).to.have.length(1)
@@ -114,7 +114,7 @@
     answers.filter(answer => typeof answer !== 'string').forEach(([code, ran]) => { expect([code, ran]).to.deep.equal(['claimOutcomeUnknown', 'unknown']) })
   })
 
-  it('whose VM died after the claim is never run by another, and the repeat is told so', async () => {
+  it('whose VM crashed after the claim is never run by another VM, and a repeat gets an unknown outcome', async () => {
     const { a, b, applications } = serviceFleet()
     await b.dispatch()
     const requestId = applications.executions[0] ?? ''
@@ -131,7 +131,7 @@
     { name: 'a key used for another body', send: async ({ b }) => await b.dispatch('k', 'to Juan'), code: 'keyReused' }
   ]
   for (const { name, send, code } of misuses) {
-    it(`with ${name} is an error and not run`, async () => {
+    it(`with ${name} is refused and not run`, async () => {
       const fleet = serviceFleet()
       await fleet.a.dispatch()
       expect(told(await send(fleet))).to.deep.equal([code, 'no'])
@@ -143,11 +143,11 @@
     const { a, applications } = serviceFleet()
     applications.faults.set(applicationAddresses[0], 'diesDuring')
     expect(told(await a.dispatch('k', 'x', '/status'))).to.equal('answered')
-    expect(applications.executions, 'the second runner took it').to.have.length(2)
+    expect(applications.executions, 'the second runner executed it').to.have.length(2)
   })
 })
 
-/** Goes ahead when the outcome of the claim is not known. */
+/** Faulty: proceeds if the outcome of the claim is unknown. */
 class HopefulClaims extends ClaimStore {
   override async claim (wanted: ClaimRow): Promise<Either<Failure, ClaimOutcome>> {
     const claimed = await super.claim(wanted)
@@ -155,7 +155,7 @@
   }
 }
 
-/** Takes over claims that another VM made and has not finished, as an expiring lock would. */
+/** Faulty: takes over unfinished claims of another VM, as an expiring lock does. */
 class ExpiringClaims extends ClaimStore {
   override async claim (wanted: ClaimRow): Promise<Either<Failure, ClaimOutcome>> {
     const claimed = await super.claim(wanted)
@@ -163,10 +163,10 @@
   }
 }
 
-describe('weaker claims run a call twice', () => {
+describe('faulty claims run a call twice', () => {
   const weak: ReadonlyArray<{ readonly name: string, readonly claims: (table: TableStore) => ClaimStore, readonly arrange: (fleet: ServiceFleet) => void }> = [
-    { name: 'one that goes ahead without an answer', claims: table => new HopefulClaims(table), arrange: ({ a }) => { a.table.outage = true } },
-    { name: 'one that expires', claims: table => new ExpiringClaims(table), arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') } }
+    { name: 'a claim that proceeds without an answer', claims: table => new HopefulClaims(table), arrange: ({ a }) => { a.table.outage = true } },
+    { name: 'a claim that expires', claims: table => new ExpiringClaims(table), arrange: ({ applications }) => { applications.faults.set(applicationAddresses[0], 'diesDuring') } }
   ]
   for (const { name, claims, arrange } of weak) {
     it(name, async () => {
--- a/packages/stand-ins/src/request/serviceFakes.spec.ts
+++ b/packages/stand-ins/src/request/serviceFakes.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Fakes for the specs of calls to services: application runners that count what they ran, a
- * clock that jumps, VMs over one shared table. It holds no tests.
+ * Fakes for the specs of service calls: application runners that count executions, a clock that jumps, and VMs over one
+ * shared table. It holds no tests.
  */
 import { Just, Left, Right, type Either } from 'purify-ts'
 import type { ServiceAnswer } from '@rosemaryspread/callers/completion/completionTypes.js'
@@ -19,10 +19,10 @@
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { TableState } from '../table/tableState.js'
 
-/** What happens to the next calls at a runner. */
+/** Fault of the next calls to a runner. */
 export type RunnerFault = 'none' | 'unreachable' | 'diesDuring'
 
-/** Application runners that count executions. */
+/** Application runners that record the request id of each execution. */
 export class FakeApplications implements ApplicationClient {
   readonly faults = new Map<string, RunnerFault>()
   readonly executions: string[] = []
@@ -36,7 +36,7 @@
   }
 }
 
-/** A clock that a test moves on. */
+/** A real clock that a test can advance. */
 export class JumpingClock implements Clock {
   jumpedMs = 0
 
@@ -55,15 +55,13 @@
   }
 })
 
-/** Addresses of the two runners. */
 export const applicationAddresses = ['10.0.0.1:1', '10.0.0.2:1'] as const
 
-/** One VM of the specs. */
 export class ServiceVm {
   readonly clock = new JumpingClock()
   readonly work = new OpenWork()
   readonly table: MemoryTableStore
-  /** Log lines, each with its event. */
+  /** Log lines, each with its event name. */
   readonly lines: Array<Readonly<Record<string, unknown>>> = []
   private readonly service: ClaimedServiceCalls
 
@@ -109,8 +107,8 @@
 }
 
 /**
- * Makes a fleet of two VMs.
- * @param claimsOver - the claims of each VM; weaker ones as counter-examples
+ * Creates a fleet of two VMs.
+ * @param createClaims - claims of each VM; faulty ones for counter-examples
  */
 export function serviceFleet (claimsOver?: (table: TableStore) => ClaimStore): ServiceFleet {
   const state = new TableState()
--- a/packages/stand-ins/src/table/memoryTableStore.ts
+++ b/packages/stand-ins/src/table/memoryTableStore.ts
@@ -1,31 +1,27 @@
 /**
- * A table store without a socket, for tests in one process. Several stores may share one
- * {@link TableState}: each is then the table as one VM reaches it, with its own faults.
+ * An in-process table store with fault injection. Several stores may share one {@link TableState}: each is the table
+ * as one VM reaches it, with its own faults.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { transactionSchema, type ReadAnswer, type RowKey, type ScanAnswer, type ScanRequest, type TableStore, type TransactAnswer, type Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 import { TableState } from './tableState.js'
 
-/** Name of an operation of the store. */
 export type TableOperation = 'read' | 'scan' | 'transact'
 
-/** The table in memory with switches for its faults. */
 export class MemoryTableStore implements TableStore {
   /** While true, every call fails with `platformUnavailable` and has no effect. */
   outage = false
-  /** Answers of the next transactions that take effect to lose. */
+  /** Number of next transactions that take effect but whose answer is lost. */
   loseAnswers = 0
-  /** Next transactions to lose on the way there: no effect, and the caller cannot tell. */
+  /** Number of next transactions that are lost without effect; the outcome is unknown to the caller. */
   loseRequests = 0
-  /** Awaited before each call takes effect; lets a test hold or order calls. */
+  /** Awaited before each call takes effect; lets a test delay or order calls. */
   before: (operation: TableOperation) => Promise<void> = async () => {}
-  /** Calls so far, failed ones included. */
+  /** Number of calls, including failed ones. */
   readonly calls: Record<TableOperation, number> = { read: 0, scan: 0, transact: 0 }
 
-  /**
-   * @param state - rows, shared between stores where a test has several VMs
-   */
+  /** @param state - shared by the stores of a test with several VMs */
   constructor (readonly state: TableState = new TableState()) {}
 
   async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
@@ -44,7 +40,7 @@
   private async call<T> (operation: TableOperation, effect: () => Either<Failure, T>): Promise<Either<Failure, T>> {
     this.calls[operation]++
     await this.before(operation)
-    if (this.outage) return Left(new Failure('platformUnavailable', 'the table is out of service'))
+    if (this.outage) return Left(new Failure('platformUnavailable', 'simulated outage of the table'))
     return copyOf(effect())
   }
 
@@ -58,7 +54,7 @@
   }
 }
 
-/** Counts a switch down; answers whether it was set. */
+/** Decrements the counter of a fault; returns whether the fault applies now. */
 function take (store: MemoryTableStore, name: 'loseAnswers' | 'loseRequests'): boolean {
   if (store[name] <= 0) return false
   store[name]--
--- a/packages/stand-ins/src/table/tableHistory.ts
+++ b/packages/stand-ins/src/table/tableHistory.ts
@@ -1,7 +1,6 @@
 /**
- * Reads the history of budgets, claims, versions and leases out of committed table rows. Only
- * what is new in a row counts: a row that is written again as it was says nothing twice, and a
- * row that was deleted and written anew does.
+ * Derives history records of budgets, claims, versions and leases from committed rows. Only the new content of a row
+ * is recorded: rewriting a row without change adds nothing, deleting and recreating it does.
  */
 import * as z from 'zod'
 import type { Row } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -35,17 +34,14 @@
 
 /** Turns commits into history records. */
 export class TableHistory {
-  /** What each row said last, by `<table>/<key>`. */
+  /** Records derived from the last write of each row, by `<table>/<key>`. */
   private readonly said = new Map<string, ReadonlySet<string>>()
 
-  /**
-   * @param log - where records go
-   */
   constructor (private readonly log: HistoryLog) {}
 
   /**
-   * Takes the rows of one committed transaction.
-   * @param rows - rows as written; `null` deletes
+   * Records the rows of one committed transaction.
+   * @param rows - rows as written; the value `null` deletes the row
    */
   note (rows: readonly Row[]): void {
     for (const row of rows) {
@@ -64,7 +60,7 @@
   }
 }
 
-/** A record without its time. */
+/** Identifies a record, regardless of its time. */
 function contentOf (record: HistoryRecord): string {
   return JSON.stringify({ ...record, at: 0 })
 }
--- a/packages/stand-ins/src/table/tableRoutes.ts
+++ b/packages/stand-ins/src/table/tableRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The table service over HTTP.
+ * HTTP API of the table stand-in.
  */
 import * as z from 'zod'
 import { rowKeySchema, transactionSchema } from '@rosemaryspread/infra/table/tableTypes.js'
@@ -16,7 +16,7 @@
   'every write needs a value, or null to delete the row'
 )
 
-/** Calls served since the start of the process. */
+/** Counters since the start of the process. */
 interface TableCounts {
   reads: number
   scans: number
@@ -26,7 +26,6 @@
   rowsWritten: number
 }
 
-/** The table's calls and what they counted. */
 class TableService {
   readonly counts: TableCounts = { reads: 0, scans: 0, transactions: 0, conflicts: 0, rowsRead: 0, rowsWritten: 0 }
 
@@ -70,7 +69,7 @@
   }
 }
 
-/** A table stand-in with empty tables. */
+/** Creates a table service without rows. */
 export function tableParts (): StandInParts {
   const state = new TableState()
   const history = new HistoryLog()
--- a/packages/stand-ins/src/table/tableState.spec.ts
+++ b/packages/stand-ins/src/table/tableState.spec.ts
@@ -9,13 +9,13 @@
 describe('TableState', () => {
   const cases: readonly { name: string, checks: RowCheck[], conflicts: string[] }[] = [
     { name: 'no check', checks: [], conflicts: [] },
-    { name: 'present version', checks: [check('a', 1)], conflicts: [] },
+    { name: 'current version', checks: [check('a', 1)], conflicts: [] },
     { name: 'absent row', checks: [check('new', null)], conflicts: [] },
     { name: 'old version', checks: [check('b', 1)], conflicts: ['b'] },
     { name: 'row exists', checks: [check('a', null)], conflicts: ['a'] },
     { name: 'row is missing', checks: [check('new', 7)], conflicts: ['new'] },
     { name: 'one of two fails', checks: [check('a', 1), check('b', 1)], conflicts: ['b'] },
-    { name: 'version of a deleted row that came back', checks: [check('c', 1)], conflicts: ['c'] }
+    { name: 'version from before a row was deleted and recreated', checks: [check('c', 1)], conflicts: ['c'] }
   ]
   for (const { name, checks, conflicts } of cases) {
     it(`checks: ${name}`, () => {
@@ -31,7 +31,7 @@
     })
   }
 
-  it('scans by key order, prefix and page', () => {
+  it('scans a prefix page by page, in key order', () => {
     const state = new TableState()
     const keys = ['b/2', 'a/1', 'b/1', 'c', 'b/3', 'b']
     for (const key of keys) state.transact({ checks: [], writes: [write(key, key)] })
@@ -44,7 +44,7 @@
     expect(second.next).to.equal(undefined)
   })
 
-  it('tells listeners of committed writes only', () => {
+  it('notifies listeners of committed writes only', () => {
     const state = new TableState()
     const seen: string[] = []
     state.onCommit(rows => seen.push(...rows.map(row => row.key)))
@@ -73,7 +73,7 @@
     })
   }
 
-  it('keeps its rows apart from what callers hold', async () => {
+  it('copies rows, so that callers cannot change stored values', async () => {
     const store = new MemoryTableStore()
     const value = { n: 1 }
     await store.transact({ checks: [], writes: [write('a', value)] })
--- a/packages/stand-ins/src/table/tableState.ts
+++ b/packages/stand-ins/src/table/tableState.ts
@@ -1,18 +1,16 @@
 /**
- * Rows of the transactional table in memory: read, scan and transact with version checks. One
- * version number is given to each committed transaction and never again, so a row that was
- * deleted and written anew is told from the old one.
+ * Rows of the transactional table in memory: read, scan, and transact with version checks. Each committed transaction
+ * gets a new version number, never reused, so that a row deleted and recreated differs from the old one.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import type { ReadAnswer, Row, RowCheck, RowKey, ScanAnswer, ScanRequest, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Most rows that one scan answers. */
 export const SCAN_LIMIT = 1000
 
-/** What a committed transaction wrote; deleted rows have the value `null`. */
+/** Receives the rows of a committed transaction; deleted rows have the value `null`. */
 export type CommitListener = (rows: readonly Row[]) => void
 
-/** The rows of one table with their keys in order. */
+/** The rows of one table, with sorted keys. */
 class OrderedRows {
   readonly byKey = new Map<string, Row>()
   private readonly keys: string[] = []
@@ -26,7 +24,7 @@
     if (this.byKey.delete(key)) this.keys.splice(this.firstFrom(key), 1)
   }
 
-  /** Rows whose key begins with `prefix` and comes after `after`, at most `limit` of them. */
+  /** At most `limit` rows whose key starts with `prefix` and is greater than `after`. */
   range (prefix: string, after: string | undefined, limit: number): Row[] {
     const rows: Row[] = []
     const from = after !== undefined && after > prefix ? after : prefix
@@ -51,29 +49,21 @@
   }
 }
 
-/** All tables of the service. Rows handed out are shared; callers copy before they change one. */
+/** All tables of the service. Returned rows are shared; callers copy a row before they change it. */
 export class TableState {
   private readonly tables = new Map<string, OrderedRows>()
   private readonly listeners: CommitListener[] = []
   private lastVersion = 0
 
-  /**
-   * @param now - the service's clock, in wall milliseconds
-   */
+  /** @param now - clock of the service, in wall-clock milliseconds */
   constructor (private readonly now: () => number = Date.now) {}
 
-  /**
-   * Rows in the order asked.
-   * @param keys - rows wanted
-   */
+  /** Rows in the order of `keys`. */
   read (keys: readonly RowKey[]): ReadAnswer {
     return { rows: keys.map(key => this.find(key) ?? null), now: this.now() }
   }
 
-  /**
-   * One page of rows by key order.
-   * @param req - table, prefix and page
-   */
+  /** One page of rows in key order. */
   scan (req: ScanRequest): ScanAnswer {
     const limit = Math.min(Math.max(req.limit, 1), SCAN_LIMIT)
     const found = this.tables.get(req.table)?.range(req.prefix, req.after, limit + 1) ?? []
@@ -82,10 +72,7 @@
     return { rows, ...next, now: this.now() }
   }
 
-  /**
-   * Carries out a transaction, or answers the checks that failed and writes nothing.
-   * @param tx - checks and writes
-   */
+  /** Commits a transaction, or returns the keys whose checks failed and writes nothing. */
   transact (tx: Transaction): Either<readonly RowKey[], TransactAnswer> {
     const conflicts = tx.checks.filter(check => !this.holds(check))
     if (conflicts.length > 0) return Left(conflicts.map(({ table, key }) => ({ table, key })))
@@ -98,22 +85,19 @@
   }
 
   /**
-   * Registers for committed writes, in commit order.
-   * @param listener - called in the same turn as the commit
+   * Registers a listener for commits.
+   * @param listener - called in commit order, synchronously with the commit
    */
   onCommit (listener: CommitListener): void {
     this.listeners.push(listener)
   }
 
-  /**
-   * All rows of a table by key order.
-   * @param table - name of the table
-   */
+  /** All rows of a table in key order. */
   all (table: string): readonly Row[] {
     return this.tables.get(table)?.range('', undefined, Infinity) ?? []
   }
 
-  /** Names and sizes of all tables. */
+  /** Number of rows of each table. */
   sizes (): Readonly<Record<string, number>> {
     return Object.fromEntries([...this.tables].map(([table, rows]) => [table, rows.byKey.size]))
   }
--- a/packages/stand-ins/src/time/virtualTime.ts
+++ b/packages/stand-ins/src/time/virtualTime.ts
@@ -1,11 +1,11 @@
 /**
- * Virtual time for runs of many VMs in one process: timers fire in order of their time, and
- * between two of them all promises settle. The same seed gives the same run on any machine.
+ * Virtual time for simulations of many VMs in one process: timers fire in order of their due time, and all promises settle
+ * between two timers. The same seed gives the same run on any machine.
  */
 import { setImmediate } from 'node:timers/promises'
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 
-/** One timer; those of one time fire in the order in which they were set. */
+/** One timer; timers due at the same time fire in the order in which they were set. */
 interface Timer {
   readonly at: number
   readonly order: number
@@ -16,7 +16,7 @@
   return a.at < b.at || (a.at === b.at && a.order < b.order)
 }
 
-/** A clock and its timers, in a binary heap. */
+/** A clock with its timers in a binary heap. */
 export class VirtualTime implements Clock {
   private present = 0
   private order = 0
@@ -32,10 +32,9 @@
   }
 
   /**
-   * Runs something later.
+   * Schedules a timer.
    * @param ms - virtual milliseconds from now
-   * @param run - what to run
-   * @returns cancels the timer
+   * @returns function that cancels the timer
    */
   after (ms: number, run: () => void): () => void {
     const timer = { at: this.present + Math.max(0, ms), order: this.order++, run }
@@ -43,18 +42,12 @@
     return () => { timer.run = () => {} }
   }
 
-  /**
-   * Resolves later.
-   * @param ms - virtual milliseconds
-   */
+  /** Resolves after `ms` virtual milliseconds. */
   async sleep (ms: number): Promise<void> {
     await new Promise<void>(resolve => { this.after(ms, resolve) })
   }
 
-  /**
-   * Lets time pass, after what is pending now has settled.
-   * @param ms - virtual milliseconds
-   */
+  /** Advances time by `ms` virtual milliseconds, after pending promises have settled. */
   async run (ms: number): Promise<void> {
     const end = this.present + ms
     await setImmediate()
@@ -62,7 +55,7 @@
   }
 
   /**
-   * Fires all timers up to a time.
+   * Advances time, firing all timers due.
    * @param end - virtual milliseconds since the start
    */
   async runUntil (end: number): Promise<void> {
@@ -75,10 +68,7 @@
     this.present = end
   }
 
-  /**
-   * Lets time pass until a promise settles.
-   * @param work - the promise
-   */
+  /** Advances time until a promise settles. */
   async until<T> (work: Promise<T>): Promise<T> {
     const state = { settled: false }
     const mark = (): void => { state.settled = true }
@@ -86,7 +76,7 @@
     await setImmediate()
     while (!state.settled) {
       const next = this.heap[0]
-      if (next === undefined) throw new Error('nothing is due and the work has not settled')
+      if (next === undefined) throw new Error('no timer is due and the promise has not settled')
       await this.run(next.at - this.present)
     }
     return await work
--- a/packages/stand-ins/src/vmList/vmListRoutes.ts
+++ b/packages/stand-ins/src/vmList/vmListRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's list of VMs over HTTP. Tests set its entries; callers see them late.
+ * HTTP API of the platform's VM list. Tests set the entries; callers see changes with a lag.
  */
 import * as z from 'zod'
 import { vmEntrySchema, type VmEntry } from '@rosemaryspread/infra/vmList/vmListTypes.js'
@@ -9,10 +9,7 @@
 
 const entriesSchema = z.strictObject({ vms: z.array(vmEntrySchema) })
 
-/**
- * A list without entries.
- * @param lagMs - how late a change is seen, in milliseconds
- */
+/** Creates an empty list whose changes become visible after `lagMs`. */
 export function vmListParts (lagMs: number): StandInParts {
   let present: readonly VmEntry[] = []
   const list = new LaggingValue(present, Date.now(), lagMs)
--- a/packages/stand-ins/src/weights/tokenBucket.ts
+++ b/packages/stand-ins/src/weights/tokenBucket.ts
@@ -1,23 +1,23 @@
 /**
- * A token bucket: how often something may be done, with a burst.
+ * Token bucket rate limiter.
  */
 
-/** Takes are allowed at a steady rate, and `burst` of them at once after a rest. */
+/** Allows a steady rate, and `burst` acquisitions at once after an idle time. */
 export class TokenBucket {
   private left: number
   private at: number | undefined
 
   /**
-   * @param perMinute - takes a minute
-   * @param burst - most takes at once
+   * @param perMinute - tokens added per minute
+   * @param burst - capacity of the bucket
    */
   constructor (private readonly perMinute: number, private readonly burst: number) {
     this.left = burst
   }
 
   /**
-   * Takes one token; answers 0, or the milliseconds until there is one.
-   * @param now - milliseconds of a clock that does not step back
+   * Acquires one token. Returns 0, or the milliseconds until one is available.
+   * @param now - milliseconds of a monotonic clock
    */
   take (now: number): number {
     const perMs = this.perMinute / 60_000
--- a/packages/stand-ins/src/weights/weightRoutes.ts
+++ b/packages/stand-ins/src/weights/weightRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The weight store over HTTP: what it knows of a set of weights, at a limited rate.
+ * HTTP API of the weight store: metadata of weights, at a limited rate.
  */
 import { createHash } from 'node:crypto'
 import { HistoryLog } from '../control/historyLog.js'
@@ -10,18 +10,13 @@
 const GIGABYTE = 1_000_000_000
 const MOST_GIGABYTES = 16
 
-/** Options of the weight store. */
 export interface WeightOptions {
   readonly perMinute: number
   readonly burst: number
-  /** Names `model@version` that exist; every name does when there are none. */
+  /** Existing `model@version` names; if empty, every name exists. */
   readonly sets: readonly string[]
 }
 
-/**
- * A weight store.
- * @param options - rate and contents
- */
 export function weightParts (options: WeightOptions): StandInParts {
   const bucket = new TokenBucket(options.perMinute, options.burst)
   const taken: Record<string, number> = {}
@@ -29,7 +24,7 @@
     const name = `${model}@${version}`
     if (options.sets.length > 0 && !options.sets.includes(name)) return { status: 404, body: { error: `no weights ${name}` } }
     const waitMs = bucket.take(performance.now())
-    if (waitMs > 0) return { status: 429, headers: { 'retry-after': String(Math.ceil(waitMs / 1000)) }, body: { error: 'over the rate' } }
+    if (waitMs > 0) return { status: 429, headers: { 'retry-after': String(Math.ceil(waitMs / 1000)) }, body: { error: 'rate limit exceeded' } }
     taken[name] = (taken[name] ?? 0) + 1
     return { status: 200, body: { model, version, bytes: bytesOf(name) } }
   }
@@ -40,7 +35,7 @@
   }
 }
 
-/** A size that is always the same for the same name. */
+/** A size derived from the name, so that it is always the same. */
 function bytesOf (name: string): number {
   return (1 + createHash('sha256').update(name).digest()[0]! % MOST_GIGABYTES) * GIGABYTE
 }
