--- a/packages/stand-ins/src/budget/billArchive.spec.ts
+++ b/packages/stand-ins/src/budget/billArchive.spec.ts
@@ -14,7 +14,7 @@
 const log = { write: () => {} }
 const unknown = (): Failure => new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
 
-/** A shared table and object store, filled with segments of two terminated holders and a recent one. */
+/** A shared table and object store, with old segments of three holders and recent ones of a fourth. */
 class Setup {
   now = 1_000
   readonly state = new TableState(() => this.now)
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -49,7 +49,7 @@
     { name: 'the table slow on one VM', begin: (_, vm) => { vm.extraTableMs = 4_000 }, end: (_, vm) => { vm.extraTableMs = 0 }, follows: true },
     { name: 'one VM cut off from the table', begin: (_, vm) => { vm.table.cut = true }, end: (_, vm) => { vm.table.cut = false }, follows: true },
     { name: 'one VM cut off from the table and pushes lost', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (_from, _to, method) => method === PUSH_METHOD }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: true, withinMs: 2_500 },
-    { name: 'one VM cut off from the table and all peers', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (from, to) => from === vm || to === vm }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: false },
+    { name: 'one VM cut off from everything', begin: (fleet, vm) => { vm.table.cut = true; fleet.isLost = (from, to) => from === vm || to === vm }, end: (fleet, vm) => { vm.table.cut = false; fleet.isLost = () => false }, follows: false },
     { name: 'one VM reads a lagging replica', begin: (fleet, vm) => { vm.table.replica = new MemoryTableStore(fleet.replica.state) }, end: (_, vm) => { vm.table.replica = undefined }, follows: true },
     { name: 'one VM frozen', begin: (_, vm) => { vm.freeze() }, end: (_, vm) => { vm.thaw() }, follows: false },
     { name: 'one VM restarted', begin: async (fleet, vm) => { vm.kill(); await fleet.time.until(vm.start()) }, end: () => {}, follows: true },
--- a/packages/stand-ins/src/config/configJudge.ts
+++ b/packages/stand-ins/src/config/configJudge.ts
@@ -36,7 +36,7 @@
   if (newest !== rows.length) findings.push(`there are ${rows.length} versions, but the current one is ${newest}`)
   const patches = new Map(fleet.state.all(PATCH_TABLE).map(row => [row.key, patchRowSchema.parse(row.value).version]))
   for (const row of rows) {
-    if (patches.get(row.patchId) !== row.version) findings.push(`patch ${row.patchId} is not recorded with its version ${row.version}`)
+    if (patches.get(row.patchId) !== row.version) findings.push(`version ${row.version} is not recorded for patch ${row.patchId}`)
   }
   return findings
 }
--- a/packages/stand-ins/src/control/clients.spec.ts
+++ b/packages/stand-ins/src/control/clients.spec.ts
@@ -78,7 +78,7 @@
     { name: 'none', control: {}, first: 'done', second: 'platformConflict no' },
     { name: 'outage', control: { outage: true }, first: 'platformUnavailable no', second: 'platformUnavailable no' },
     { name: 'lost answer', control: { loseAnswers: 1 }, first: 'platformOutcomeUnknown unknown', second: 'platformConflict no' },
-    { name: 'cut connection', control: { cut: [VM] }, first: 'platformOutcomeUnknown unknown', second: 'platformOutcomeUnknown unknown' }
+    { name: 'cut', control: { cut: [VM] }, first: 'platformOutcomeUnknown unknown', second: 'platformOutcomeUnknown unknown' }
   ]
   for (const { name, control, first, second } of tables) {
     it(`table with fault "${name}": ${first}, then ${second}`, async () => {
--- a/packages/stand-ins/src/control/laggingValue.spec.ts
+++ b/packages/stand-ins/src/control/laggingValue.spec.ts
@@ -11,7 +11,7 @@
     { now: 900, asOf: 800, value: 'third' }
   ]
   for (const { now, asOf, value } of cases) {
-    it(`returns the ${value} value at ${now} ms, as of ${asOf} ms`, () => {
+    it(`at ${now} ms readers see the ${value} value, as of ${asOf} ms`, () => {
       const lagging = new LaggingValue('first', 0, 100)
       lagging.set('second', 100)
       lagging.set('third', 150)
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -182,7 +182,7 @@
   },
   {
     fault: 'a domain that fails and recovers',
-    promise: 'copies move to the other domains, then back, and no copy is unloaded too early',
+    promise: 'copies move to the other domains, are then distributed over all domains again, and no copy is unloaded too early',
     weaker: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
--- a/packages/stand-ins/src/placement/placementWorld.ts
+++ b/packages/stand-ins/src/placement/placementWorld.ts
@@ -11,7 +11,7 @@
 export const STEP_MS = 100
 /** When the lease expires: for its holder, and later for the other VMs. */
 const LEASE_MS = { holder: 5_000, others: 7_000 }
-/** An unload is also checked against configurations and engines of this recent past, which the holder may still see. */
+/** How long a replaced configuration or an unreachable engine still counts when an unload is checked. */
 const JUDGE_MS = 40_000
 
 export interface PlacementWorldOptions {
