--- a/packages/stand-ins/src/application/applicationRoutes.ts
+++ b/packages/stand-ins/src/application/applicationRoutes.ts
@@ -6,8 +6,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { runnerControlSchema, type RunnerControl } from '../control/controlTypes.js'
 import { HistoryLog } from '../control/historyLog.js'
-import { HttpFault, type HttpAnswer, type HttpRequest, type HttpRoute } from '../control/httpTypes.js'
-import type { StandInParts } from '../control/standIn.js'
+import { HttpError, type HttpAnswer, type HttpRequest, type HttpRoute } from '../control/httpTypes.js'
+import type { StandInDefinition } from '../control/standIn.js'
 
 const CONFIRMATION_LENGTH = 8
 
@@ -36,8 +36,8 @@
   constructor (private readonly options: ApplicationOptions, private readonly history: HistoryLog) {}
 
   async serve (req: HttpRequest): Promise<HttpAnswer> {
-    if (this.leaving) throw new HttpFault(503, 'the runner is leaving')
-    const execution = this.begin(req)
+    if (this.leaving) throw new HttpError(503, 'the runner is leaving')
+    const execution = this.recordExecution(req)
     await sleep(this.options.delayMs)
     const body = JSON.stringify(this.answer(execution))
     const { requestId } = execution
@@ -46,13 +46,13 @@
     return { status, body, headers: { 'content-type': 'application/json' }, effect: execution.method === 'POST' }
   }
 
-  obey (control: RunnerControl): void {
+  applyControl (control: RunnerControl): void {
     const { leaving = this.leaving } = control
     if (leaving && !this.leaving) this.history.add({ kind: 'runnerLeaving', at: Date.now(), runner: this.options.name })
     this.leaving = leaving
   }
 
-  private begin (req: HttpRequest): Execution {
+  private recordExecution (req: HttpRequest): Execution {
     const execution: Execution = {
       execution: this.executions.length + 1,
       at: Date.now(),
@@ -75,7 +75,7 @@
 }
 
 /** Creates an application runner without executions. */
-export function applicationParts (options: ApplicationOptions): StandInParts {
+export function applicationDefinition (options: ApplicationOptions): StandInDefinition {
   const history = new HistoryLog()
   const application = new Application(options, history)
   const serve: HttpRoute['serve'] = async req => await application.serve(req)
@@ -84,7 +84,7 @@
     history,
     state: () => ({ ...options, executions: application.executions }),
     controlSchema: runnerControlSchema,
-    onControl: control => application.obey(control),
+    onControl: control => application.applyControl(control),
     controlRoutes: [{ method: 'GET', pattern: /^\/control\/executions$/, serve: () => ({ status: 200, body: { executions: application.executions } }) }]
   }
 }
--- a/packages/stand-ins/src/budget/billArchive.spec.ts
+++ b/packages/stand-ins/src/budget/billArchive.spec.ts
@@ -9,10 +9,10 @@
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { TableState } from '../table/tableState.js'
 
-const OLD = ['vm-a~01', 'vm-a~010', 'vm-b~02']
+const OLD_HOLDERS = ['vm-a~01', 'vm-a~010', 'vm-b~02']
 const LAST_SEQ = 2 * BLOCK_SEGMENTS
 const log = { write: () => {} }
-const unknown = (): Failure => new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
+const outcomeUnknown = (): Failure => new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
 
 /** A shared table and object store, with old segments of three holders and recent ones of a fourth. */
 class Setup {
@@ -24,23 +24,23 @@
   losePuts = 0
   /** Rows deleted before an object contained them. */
   readonly lost: string[] = []
-  private readonly seen = new Map<string, string>()
+  private readonly lastContents = new Map<string, string>()
 
   constructor () {
     this.state.onCommit(rows => {
       const archived = rows.some(row => row.value === null) ? this.archived() : new Set()
       for (const { key, value } of rows) {
-        if (value !== null) this.seen.set(key, JSON.stringify(value))
-        else if (!archived.has(`${key} ${this.seen.get(key)}`)) this.lost.push(key)
+        if (value !== null) this.lastContents.set(key, JSON.stringify(value))
+        else if (!archived.has(`${key} ${this.lastContents.get(key)}`)) this.lost.push(key)
       }
     })
-    for (const holder of OLD) for (let seq = 1; seq <= LAST_SEQ; seq++) this.bill(segmentKey(holder, seq), holder, seq)
-    this.bill(recoveredSegmentKey('vm-b~02', 'mesa', 7), 'vm-b~02', 0)
+    for (const holder of OLD_HOLDERS) for (let seq = 1; seq <= LAST_SEQ; seq++) this.addSegment(segmentKey(holder, seq), holder, seq)
+    this.addSegment(recoveredSegmentKey('vm-b~02', 'mesa', 7), 'vm-b~02', 0)
     this.now += SEGMENT_ARCHIVE_MS + 1
-    for (let seq = 1; seq <= LAST_SEQ; seq++) this.bill(segmentKey('vm-c~03', seq), 'vm-c~03', seq)
+    for (let seq = 1; seq <= LAST_SEQ; seq++) this.addSegment(segmentKey('vm-c~03', seq), 'vm-c~03', seq)
   }
 
-  bill (key: string, holder: string, seq: number): void {
+  addSegment (key: string, holder: string, seq: number): void {
     const bill = { requestId: `run-${key}`, budget: 'mesa', team: 'mesa', tokens: seq + 1, runner: 'r1' }
     this.state.transact({ checks: [], writes: [{ table: budgetTables.segments, key, value: { holder, seq, bills: [bill] } }] })
   }
@@ -61,19 +61,19 @@
   }
 
   /** Violated invariants; empty while all hold. */
-  faults (): readonly string[] {
-    const partly = OLD.flatMap(holder => [0, 1].filter(block => {
+  violations (): readonly string[] {
+    const partialBlocks = OLD_HOLDERS.flatMap(holder => [0, 1].filter(block => {
       const rows = this.left(holder).filter(key => Math.floor(Number(key.split('/')[1]) / BLOCK_SEGMENTS) === block).length
       return rows !== 0 && rows !== BLOCK_SEGMENTS - (block === 0 ? 1 : 0)
     }))
     const differing = [...this.sent].filter(([, bodies]) => bodies.size > 1).map(([name]) => name)
-    return [...this.lost, ...partly.map(block => `block ${block} archived partially`), ...differing]
+    return [...this.lost, ...partialBlocks.map(block => `block ${block} archived partially`), ...differing]
   }
 
   private async put (name: string, body: Buffer): ReturnType<MemoryObjects['put']> {
     this.sent.set(name, (this.sent.get(name) ?? new Set()).add(body.toString()))
     const done = await this.objects.put(name, body)
-    return this.losePuts-- > 0 ? Left(unknown()) : done
+    return this.losePuts-- > 0 ? Left(outcomeUnknown()) : done
   }
 }
 
@@ -100,15 +100,15 @@
   ['answer of a put lost', setup => { setup.losePuts = 1 }],
   ['table outage', (_, { store }) => { store.outage = true }],
   ['table outage half way, before a deletion', (_, { store }) => {
-    store.before = async operation => { if (operation === 'transact' && store.calls.transact === 3) store.outage = true }
+    store.beforeCall = async operation => { if (operation === 'transact' && store.calls.transact === 3) store.outage = true }
   }],
   ['object store outage half way', (setup, { store }) => {
-    store.before = async () => { if (store.calls.transact === 2) setup.objects.outage = true }
+    store.beforeCall = async () => { if (store.calls.transact === 2) setup.objects.outage = true }
   }],
   ['answers of deletions lost', (_, { store }) => { store.loseAnswers = 1 }],
   ['requests of deletions lost', (_, { store }) => { store.loseRequests = 1 }],
   ['a row rewritten before the deletion', (setup, { store }) => {
-    store.before = async operation => {
+    store.beforeCall = async operation => {
       if (operation === 'transact' && store.calls.transact === 1) {
         const key = segmentKey('vm-a~01', 5)
         setup.state.transact({ checks: [], writes: [{ table: budgetTables.segments, key, value: setup.state.read([{ table: budgetTables.segments, key }]).rows[0]?.value }] })
@@ -124,13 +124,13 @@
       const [first, second] = [setup.vm(), setup.vm()]
       fault(setup, first)
       await Promise.all([new BillArchive(first.parts).pass(), new BillArchive(second.parts).pass()])
-      expect(setup.faults()).to.deep.equal([])
+      expect(setup.violations()).to.deep.equal([])
       setup.objects.outage = false
       setup.now += SEGMENT_ARCHIVE_MS / 2
       const later = new BillArchive(setup.vm().parts)
       for (let pass = 0; pass < 3; pass++) await later.pass()
       expect(setup.lost).to.deep.equal([])
-      for (const holder of OLD.slice(name.startsWith('a row') ? 1 : 0)) {
+      for (const holder of OLD_HOLDERS.slice(name.startsWith('a row') ? 1 : 0)) {
         expect(setup.left(holder).slice(0, 1), 'the newest numbered segment stays in the table').to.deep.equal([segmentKey(holder, LAST_SEQ)])
       }
       expect(setup.left('vm-b~02')).to.have.length(2)
@@ -142,7 +142,7 @@
     const setup = new Setup()
     setup.objects.outage = true
     await new BillArchive(deletesFirst(setup.vm().parts)).pass()
-    expect(setup.faults()).to.include(segmentKey('vm-a~01', 1))
+    expect(setup.violations()).to.include(segmentKey('vm-a~01', 1))
   })
 
   it('names an object by its fixed block, and archives a bounded number of blocks per pass', async () => {
--- a/packages/stand-ins/src/budget/budgetDriver.spec.ts
+++ b/packages/stand-ins/src/budget/budgetDriver.spec.ts
@@ -22,7 +22,7 @@
 }
 
 /** One driver in virtual time, without peers. */
-class Bench {
+class DriverHarness {
   readonly store = new MemoryTableStore()
   readonly events: LogEventName[] = []
   private mono = 0
@@ -36,7 +36,7 @@
     log: { write: event => this.events.push(event) }
   })
 
-  async pass (ms: number): Promise<void> {
+  async advance (ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += TICK_MS) {
       this.mono += TICK_MS
       this.driver.tick()
@@ -51,7 +51,7 @@
 
   async reserve (tokens: number, budget = 'b'): Promise<Reservation | Failure> {
     const promise = this.driver.reserve(budget, tokens, 5000)
-    await this.pass(6000)
+    await this.advance(6000)
     return (await promise).extract()
   }
 
@@ -69,17 +69,17 @@
 
 describe('budget driver', () => {
   it('bills a reservation once and returns the rest of the allotment on drain', async () => {
-    const bench = new Bench()
-    await bench.topUp(10_000)
-    const first = await bench.reserve(1000)
-    bench.settle(first, 'r1', 600)
-    bench.settle(first, 'r1', 600)
-    await bench.pass(3000)
-    expect(await bench.spent()).to.include({ spent: 600 })
-    const drained = bench.driver.drain()
-    await bench.pass(3000)
+    const harness = new DriverHarness()
+    await harness.topUp(10_000)
+    const first = await harness.reserve(1000)
+    harness.settle(first, 'r1', 600)
+    harness.settle(first, 'r1', 600)
+    await harness.advance(3000)
+    expect(await harness.spent()).to.include({ spent: 600 })
+    const drained = harness.driver.drain()
+    await harness.advance(3000)
     await drained
-    expect(await bench.spent()).to.deep.equal({ spent: 600, allotted: 0 })
+    expect(await harness.spent()).to.deep.equal({ spent: 600, allotted: 0 })
   })
 
   const refusals: ReadonlyArray<{ title: string, tokens: number, budget?: string, outage?: boolean, code: string }> = [
@@ -93,10 +93,10 @@
   ]
   for (const { title, tokens, budget, outage = false, code } of refusals) {
     it(`refuses ${title} with ${code}`, async () => {
-      const bench = new Bench()
-      await bench.topUp(10_000)
-      bench.store.outage = outage
-      expect(await bench.reserve(tokens, budget)).to.include({ code, ran: 'no' })
+      const harness = new DriverHarness()
+      await harness.topUp(10_000)
+      harness.store.outage = outage
+      expect(await harness.reserve(tokens, budget)).to.include({ code, ran: 'no' })
     })
   }
 
@@ -109,11 +109,11 @@
   ]
   for (const { title, tokens, billed } of reports) {
     it(`bills at most the reservation when a runner reports ${title}`, async () => {
-      const bench = new Bench()
-      await bench.topUp(10_000)
-      bench.settle(await bench.reserve(1000), 'r1', tokens)
-      await bench.pass(3000)
-      expect(await bench.spent()).to.include({ spent: billed })
+      const harness = new DriverHarness()
+      await harness.topUp(10_000)
+      harness.settle(await harness.reserve(1000), 'r1', tokens)
+      await harness.advance(3000)
+      expect(await harness.spent()).to.include({ spent: billed })
     })
   }
 
@@ -129,53 +129,53 @@
   for (const { title, ops, answers } of topUps) {
     for (const loseAnswers of [0, 1]) {
       it(`answers a top-up ${title}, answers lost: ${loseAnswers}`, async () => {
-        const bench = new Bench()
+        const harness = new DriverHarness()
         const found: string[] = []
         for (const [id, tokens] of ops) {
-          bench.store.loseAnswers = loseAnswers
-          found.push(await bench.topUp(tokens, id))
+          harness.store.loseAnswers = loseAnswers
+          found.push(await harness.topUp(tokens, id))
         }
         expect(found).to.deep.equal(answers)
       })
     }
   }
 
-  for (const brokenRow of [false, true]) {
-    it(`refills many budgets in one transaction${brokenRow ? ', except the one whose row is malformed' : ''}`, async () => {
-      const bench = new Bench()
+  for (const isRowMalformed of [false, true]) {
+    it(`refills many budgets in one transaction${isRowMalformed ? ', except the one whose row is malformed' : ''}`, async () => {
+      const harness = new DriverHarness()
       const budgets = ['b0', 'b1', 'b2', 'b3', 'b4']
-      const held = (): number => bench.driver.views().reduce((sum, view) => sum + view.held, 0)
-      for (const budget of budgets) await bench.driver.topUp({ operationId: budget, budget, tokens: 1e6, author: 'ana' })
+      const held = (): number => harness.driver.views().reduce((sum, view) => sum + view.held, 0)
+      for (const budget of budgets) await harness.driver.topUp({ operationId: budget, budget, tokens: 1e6, author: 'ana' })
       for (const budget of budgets) {
-        const run = await bench.reserve(2000, budget)
-        if ('reservationId' in run) bench.driver.settle(run, { requestId: budget, budget, team: 't', tokens: 2000, runner: 'r' })
+        const run = await harness.reserve(2000, budget)
+        if ('reservationId' in run) harness.driver.settle(run, { requestId: budget, budget, team: 't', tokens: 2000, runner: 'r' })
       }
-      await bench.pass(3000)
+      await harness.advance(3000)
       const before = held()
       const draws: number[] = []
-      bench.store.state.onCommit(rows => { draws.push(rows.filter(row => row.table === 'budgets').length) })
-      if (brokenRow) bench.store.state.transact({ checks: [], writes: [{ table: 'budgets', key: 'b0', value: { budget: 'b0', paid: 'x' } }] })
-      const runs = await Promise.all(budgets.map(async budget => (await bench.driver.reserve(budget, 2000, 5000)).extract()))
+      harness.store.state.onCommit(rows => { draws.push(rows.filter(row => row.table === 'budgets').length) })
+      if (isRowMalformed) harness.store.state.transact({ checks: [], writes: [{ table: 'budgets', key: 'b0', value: { budget: 'b0', paid: 'x' } }] })
+      const runs = await Promise.all(budgets.map(async budget => (await harness.driver.reserve(budget, 2000, 5000)).extract()))
       runs.forEach((run, index) => {
-        if ('reservationId' in run) bench.driver.settle(run, { requestId: `s${index}`, budget: budgets[index] ?? '', team: 't', tokens: 2000, runner: 'r' })
+        if ('reservationId' in run) harness.driver.settle(run, { requestId: `s${index}`, budget: budgets[index] ?? '', team: 't', tokens: 2000, runner: 'r' })
       })
-      await bench.pass(4000)
-      if (brokenRow) expect(bench.driver.views().filter(view => view.held < 8000).map(view => view.budget)).to.deep.equal(['b0'])
+      await harness.advance(4000)
+      if (isRowMalformed) expect(harness.driver.views().filter(view => view.held < 8000).map(view => view.budget)).to.deep.equal(['b0'])
       else expect([draws.filter(count => count > 0), held() >= before]).to.deep.equal([[5], true])
     })
   }
 
   it('loses no bill during an outage and lost answers', async () => {
-    const bench = new Bench()
-    await bench.topUp(10_000)
-    bench.store.loseAnswers = 1
-    const runs = [await bench.reserve(100), await bench.reserve(100), await bench.reserve(100)]
-    bench.store.outage = true
-    runs.forEach((run, index) => bench.settle(run, `r${index}`, 50))
-    await bench.pass(60_000)
-    bench.store.outage = false
-    bench.store.loseAnswers = 3
-    await bench.pass(60_000)
-    expect(await bench.spent()).to.include({ spent: 150 })
+    const harness = new DriverHarness()
+    await harness.topUp(10_000)
+    harness.store.loseAnswers = 1
+    const runs = [await harness.reserve(100), await harness.reserve(100), await harness.reserve(100)]
+    harness.store.outage = true
+    runs.forEach((run, index) => harness.settle(run, `r${index}`, 50))
+    await harness.advance(60_000)
+    harness.store.outage = false
+    harness.store.loseAnswers = 3
+    await harness.advance(60_000)
+    expect(await harness.spent()).to.include({ spent: 150 })
   })
 })
--- a/packages/stand-ins/src/budget/budgetRowCache.spec.ts
+++ b/packages/stand-ins/src/budget/budgetRowCache.spec.ts
@@ -12,8 +12,8 @@
 import { BudgetTable } from 'rosemaryspread/budget/budgetTable.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 
-const own = { table: 'allotments', key: 'b/own' }
-const shared = { table: 'budgets', key: 'b' }
+const holderRow = { table: 'allotments', key: 'b/own' }
+const sharedRow = { table: 'budgets', key: 'b' }
 
 class CountingStore extends MemoryTableStore {
   /** Number of rows read. */
@@ -35,33 +35,33 @@
 }
 
 const cases: readonly CacheCase[] = [
-  { name: 'does not read a row that only the holder writes', keys: [own], reads: 1, value: 2 },
-  { name: 'reads only shared rows', keys: [own, shared], reads: 3, value: 2 },
+  { name: 'does not read a row that only the holder writes', keys: [holderRow], reads: 1, value: 2 },
+  { name: 'reads only shared rows', keys: [holderRow, sharedRow], reads: 3, value: 2 },
   {
     name: 'reads all rows again after a conflict in a transaction with a shared row',
-    keys: [own, shared],
-    between: async store => await store.transact({ checks: [], writes: [{ ...own, value: 10 }] }),
+    keys: [holderRow, sharedRow],
+    between: async store => await store.transact({ checks: [], writes: [{ ...holderRow, value: 10 }] }),
     reads: 5,
     value: 11
   },
   {
     name: 'reads again after another writer changed the cached row',
-    keys: [own],
-    between: async store => await store.transact({ checks: [], writes: [{ ...own, value: 10 }] }),
+    keys: [holderRow],
+    between: async store => await store.transact({ checks: [], writes: [{ ...holderRow, value: 10 }] }),
     reads: 2,
     value: 11
   },
   {
     name: 'reads again after the cached row was deleted',
-    keys: [own],
-    between: async store => await store.transact({ checks: [], writes: [{ ...own, value: null }] }),
+    keys: [holderRow],
+    between: async store => await store.transact({ checks: [], writes: [{ ...holderRow, value: null }] }),
     reads: 2,
     value: 1
   }
 ]
 
-function addOne (rows: RowSet): Either<Failure, { readonly kind: 'write' }> {
-  rows.set(own.table, own.key, (rows.get(z.number(), own.table, own.key) ?? 0) + 1)
+function increment (rows: RowSet): Either<Failure, { readonly kind: 'write' }> {
+  rows.set(holderRow.table, holderRow.key, (rows.get(z.number(), holderRow.table, holderRow.key) ?? 0) + 1)
   return Right({ kind: 'write' })
 }
 
@@ -69,12 +69,12 @@
   for (const { name, keys, between, reads, value } of cases) {
     it(name, async () => {
       const store = new CountingStore()
-      const cache = new BudgetRowCache(key => key.table === own.table)
+      const cache = new BudgetRowCache(key => key.table === holderRow.table)
       const table = new BudgetTable(store, { now: () => ({ mono: 0, wall: 0 }) }, cache)
-      await table.run('first', keys, addOne)
+      await table.run('first', keys, increment)
       await between?.(store)
-      await table.run('second', keys, addOne)
-      const row = (await store.read([own])).unsafeCoerce().rows[0]
+      await table.run('second', keys, increment)
+      const row = (await store.read([holderRow])).unsafeCoerce().rows[0]
       expect([store.reads - 1, row?.value]).to.deep.equal([reads, value])
     })
   }
@@ -82,11 +82,11 @@
   it('finishes without a write only on rows that were read', async () => {
     const store = new CountingStore()
     const table = new BudgetTable(store, { now: () => ({ mono: 0, wall: 0 }) }, new BudgetRowCache(() => true))
-    await table.run('first', [own], addOne)
-    await store.transact({ checks: [], writes: [{ ...own, value: 10 }] })
+    await table.run('first', [holderRow], increment)
+    await store.transact({ checks: [], writes: [{ ...holderRow, value: 10 }] })
     let seen: number | undefined
-    await table.run('second', [own], rows => {
-      seen = rows.get(z.number(), own.table, own.key)
+    await table.run('second', [holderRow], rows => {
+      seen = rows.get(z.number(), holderRow.table, holderRow.key)
       return Right({ kind: 'done' })
     })
     expect(seen).to.equal(10)
--- a/packages/stand-ins/src/budget/heldAsSpent.spec.ts
+++ b/packages/stand-ins/src/budget/heldAsSpent.spec.ts
@@ -15,7 +15,7 @@
 const PAID = 1_000_000
 const REQUEST = 1_000
 
-const alone: BudgetPeers = {
+const noPeers: BudgetPeers = {
   members: () => [],
   requestTransfer: async () => Right({}),
   recall: async () => Right({ returned: 0 }),
@@ -23,7 +23,7 @@
 }
 
 /** One VM and the successive processes on it. */
-class World {
+class VmHarness {
   mono = 0
   private readonly state = new TableState(() => this.mono)
   readonly store = new MemoryTableStore(this.state)
@@ -35,7 +35,7 @@
       place: '10.0.0.1:80',
       processStartedAt: begunAt,
       store: this.store,
-      peers: alone,
+      peers: noPeers,
       policy: gatewayBudgetPolicy,
       clock: { now: () => ({ mono: this.mono, wall: this.mono }) },
       log: { write: () => {} },
@@ -44,7 +44,7 @@
     })
   }
 
-  async pass (ms: number, driver: BudgetDriver): Promise<void> {
+  async advance (ms: number, driver: BudgetDriver): Promise<void> {
     for (let passed = 0; passed < ms; passed += TICK_MS) {
       this.mono += TICK_MS
       driver.tick()
@@ -53,9 +53,9 @@
   }
 
   /** Starts the successor of a process that made requests; the store is unreachable from before its start. */
-  async successorInOutage (requests: number): Promise<BudgetDriver> {
+  async startSuccessorInOutage (requests: number): Promise<BudgetDriver> {
     const first = this.process('a')
-    await this.pass(200, first)
+    await this.advance(200, first)
     await this.use(first, requests)
     this.store.outage = true
     return this.process('b')
@@ -65,10 +65,10 @@
   async use (driver: BudgetDriver, requests: number): Promise<number> {
     let used = 0
     for (let i = 0; i < requests; i += 1) {
-      const asked = driver.reserve('b', REQUEST, 100)
-      await this.pass(TICK_MS, driver)
-      if (i % 2 === 0) await this.pass(TICK_MS, driver)
-      const reserved = await Promise.race([asked, Promise.resolve(undefined)])
+      const pending = driver.reserve('b', REQUEST, 100)
+      await this.advance(TICK_MS, driver)
+      if (i % 2 === 0) await this.advance(TICK_MS, driver)
+      const reserved = await Promise.race([pending, Promise.resolve(undefined)])
       if (reserved?.isRight() === true) used += REQUEST
     }
     return used
@@ -79,44 +79,44 @@
   readonly name: string
   readonly requests: number
   /** Requests made while the store is unreachable, before the process terminates. */
-  readonly cutOff: number
+  readonly requestsInOutage: number
 }
 
 const cases: readonly EndCase[] = [
-  { name: 'at once', requests: 1, cutOff: 0 },
-  { name: 'under load', requests: 60, cutOff: 0 },
-  { name: 'under load after the store became unreachable', requests: 40, cutOff: 40 }
+  { name: 'at once', requests: 1, requestsInOutage: 0 },
+  { name: 'under load', requests: 60, requestsInOutage: 0 },
+  { name: 'under load after the store became unreachable', requests: 40, requestsInOutage: 40 }
 ]
 
 describe('recovery without records of runs', () => {
-  for (const { name, requests, cutOff } of cases) {
+  for (const { name, requests, requestsInOutage: cutOff } of cases) {
     it(`overspends nothing and returns most of the allotment of a VM that terminated ${name}`, async () => {
-      const world = new World()
-      const first = world.process('a')
-      await world.pass(200, first)
-      let used = await world.use(first, requests)
-      world.store.outage = true
-      used += await world.use(first, cutOff)
-      world.store.outage = false
-      const second = world.process('b')
-      await world.pass(1_000, second)
-      const held = (await second.show('b')).map(({ allotted }) => allotted).orDefault(0)
+      const harness = new VmHarness()
+      const first = harness.process('a')
+      await harness.advance(200, first)
+      let used = await harness.use(first, requests)
+      harness.store.outage = true
+      used += await harness.use(first, cutOff)
+      harness.store.outage = false
+      const second = harness.process('b')
+      await harness.advance(1_000, second)
+      const allottedBefore = (await second.show('b')).map(({ allotted }) => allotted).orDefault(0)
       await second.recoverTerminated()
       const shown = (await second.show('b')).unsafeCoerce()
       expect(used).to.be.greaterThan(0)
       expect(shown.spent).to.be.at.least(used)
       expect(shown.allotted).to.equal(0)
-      expect(shown.spent).to.be.at.most(Math.max(held / 2 + used, used * 3 + 8 * REQUEST))
+      expect(shown.spent).to.be.at.most(Math.max(allottedBefore / 2 + used, used * 3 + 8 * REQUEST))
     })
   }
 
   it('bills no more if its successor reaches the store late', async () => {
     const spentAfter = async (outageMs: number): Promise<number> => {
-      const world = new World()
-      const second = await world.successorInOutage(30)
-      await world.pass(outageMs, second)
-      world.store.outage = false
-      await world.pass(1_000, second)
+      const harness = new VmHarness()
+      const second = await harness.startSuccessorInOutage(30)
+      await harness.advance(outageMs, second)
+      harness.store.outage = false
+      await harness.advance(1_000, second)
       await second.recoverTerminated()
       return (await second.show('b')).unsafeCoerce().spent
     }
@@ -124,10 +124,10 @@
   })
 
   it('reports whether a successor recovered the allotment of its VM', async () => {
-    const world = new World()
-    const second = await world.successorInOutage(10)
+    const harness = new VmHarness()
+    const second = await harness.startSuccessorInOutage(10)
     const during = await second.recoverPredecessors()
-    world.store.outage = false
+    harness.store.outage = false
     const after = await second.recoverPredecessors()
     expect([during, after, (await second.show('b')).unsafeCoerce().allotted]).to.deep.equal([false, true, 0])
   })
--- a/packages/stand-ins/src/budget/recoveryRuns.spec.ts
+++ b/packages/stand-ins/src/budget/recoveryRuns.spec.ts
@@ -13,7 +13,7 @@
 const ENDED = 'a~1'
 const [first, second] = ['r1', 'r2'].sort((a, b) => keyedRank(ID, b, 0, 0) - keyedRank(ID, a, 0, 0)) as [string, string]
 
-function runBy (holder: string, state: RunRecord['state'] = 'finished'): RunRecord {
+function createRun (holder: string, state: RunRecord['state'] = 'finished'): RunRecord {
   return { requestId: ID, digest: 'd', holder, team: 't', budget: 'b', model: 'm', state, promptTokens: 1, completionTokens: 2 }
 }
 
@@ -21,20 +21,20 @@
   readonly name: string
   readonly runs: Readonly<Record<string, RunRecord>>
   /** Runner that lists its runs, but does not answer queries for a single run. */
-  readonly mute?: string
+  readonly unresponsive?: string
   readonly billed: number | 'pending'
 }
 
 const cases: readonly RunCase[] = [
-  { name: 'the only run', runs: { [second]: runBy(ENDED) }, billed: 1 },
-  { name: 'a run whose earlier runner is sealed', runs: { [first]: runBy('', 'sealed'), [second]: runBy(ENDED) }, billed: 1 },
-  { name: 'a run that another holder made at an earlier runner', runs: { [first]: runBy('b~1'), [second]: runBy(ENDED) }, billed: 0 },
-  { name: 'a run that another holder made at a later runner', runs: { [first]: runBy(ENDED), [second]: runBy('b~1') }, billed: 1 },
-  { name: 'two runs of the terminated holder', runs: { [first]: runBy(ENDED), [second]: runBy(ENDED) }, billed: 1 },
-  { name: 'a run whose earlier runner does not answer', runs: { [second]: runBy(ENDED) }, mute: first, billed: 'pending' }
+  { name: 'the only run', runs: { [second]: createRun(ENDED) }, billed: 1 },
+  { name: 'a run whose earlier runner is sealed', runs: { [first]: createRun('', 'sealed'), [second]: createRun(ENDED) }, billed: 1 },
+  { name: 'a run that another holder made at an earlier runner', runs: { [first]: createRun('b~1'), [second]: createRun(ENDED) }, billed: 0 },
+  { name: 'a run that another holder made at a later runner', runs: { [first]: createRun(ENDED), [second]: createRun('b~1') }, billed: 1 },
+  { name: 'two runs of the terminated holder', runs: { [first]: createRun(ENDED), [second]: createRun(ENDED) }, billed: 1 },
+  { name: 'a run whose earlier runner does not answer', runs: { [second]: createRun(ENDED) }, unresponsive: first, billed: 'pending' }
 ]
 
-function runnersOf ({ runs, mute }: RunCase): RecoveryRunners {
+function createRunners ({ runs, unresponsive: mute }: RunCase): RecoveryRunners {
   return {
     declared: () => [first, second].map(runner => ({ runner, address: runner, servesSince: { m: 0 } })),
     engines: {
@@ -52,7 +52,7 @@
 describe('recovery of runs', () => {
   for (const test of cases) {
     it(`bills ${test.billed} for ${test.name}`, async () => {
-      const runs = new RecoveryRuns(new MemoryTableStore(), runnersOf(test))
+      const runs = new RecoveryRuns(new MemoryTableStore(), createRunners(test))
       const owed = await runs.unbilled('b', [{ holder: ENDED, lastSeq: undefined, mayCancel: false }], 1_000)
       expect(owed.caseOf<number | 'pending'>({ Left: () => 'pending', Right: bills => bills.length })).to.equal(test.billed)
     })
--- a/packages/stand-ins/src/cli/standInMain.ts
+++ b/packages/stand-ins/src/cli/standInMain.ts
@@ -4,15 +4,15 @@
  */
 import yargs, { type Argv } from 'yargs'
 import { hideBin } from 'yargs/helpers'
-import { applicationParts } from '../application/applicationRoutes.js'
+import { applicationDefinition } from '../application/applicationRoutes.js'
 import type { PortAddress } from '../control/httpPort.js'
-import { StandIn, type StandInAddresses, type StandInParts } from '../control/standIn.js'
-import { engineParts } from '../engine/engineParts.js'
+import { StandIn, type StandInAddresses, type StandInDefinition } from '../control/standIn.js'
+import { engineDefinition } from '../engine/engineParts.js'
 import { HttpWeightSource, LocalWeightSource } from '../engine/weightSource.js'
-import { objectParts } from '../objects/objectRoutes.js'
-import { tableParts } from '../table/tableRoutes.js'
-import { vmListParts } from '../vmList/vmListRoutes.js'
-import { weightParts } from '../weights/weightRoutes.js'
+import { objectStoreDefinition } from '../objects/objectRoutes.js'
+import { tableDefinition } from '../table/tableRoutes.js'
+import { vmListDefinition } from '../vmList/vmListRoutes.js'
+import { weightStoreDefinition } from '../weights/weightRoutes.js'
 
 const DEFAULT_CACHE_EVENT_LOSS = 0.05
 const DEFAULT_CACHE_TOKENS = 100_000
@@ -67,7 +67,7 @@
   return text.split(',').map(item => item.trim()).filter(item => item !== '')
 }
 
-async function run (kind: string, addresses: StandInAddresses, parts: StandInParts, labels: Readonly<Record<string, string>> = {}): Promise<void> {
+async function run (kind: string, addresses: StandInAddresses, parts: StandInDefinition, labels: Readonly<Record<string, string>> = {}): Promise<void> {
   const standIn = new StandIn(addresses, parts)
   const { listen, control } = await standIn.start()
   const show = ({ host, port }: PortAddress): string => `${host}:${port}`
@@ -86,25 +86,25 @@
 
 function withStores (argv: Argv): Argv {
   return argv
-    .command('table', 'the transactional table service', builder => builder.options(addressOptions), async args => await run('table', args, tableParts()))
-    .command('objects', 'the object store', builder => builder.options(addressOptions), async args => await run('objects', args, objectParts()))
+    .command('table', 'the transactional table service', builder => builder.options(addressOptions), async args => await run('table', args, tableDefinition()))
+    .command('objects', 'the object store', builder => builder.options(addressOptions), async args => await run('objects', args, objectStoreDefinition()))
     .command('weights', 'the weight store', builder => builder.options(addressOptions).options(rateOptions)
       .option('sets', { type: 'string', default: '', describe: 'model@version that exist, comma-separated; all when empty' }),
-    async args => await run('weights', args, weightParts({ ...args, sets: listOf(args.sets) })))
+    async args => await run('weights', args, weightStoreDefinition({ ...args, sets: listOf(args.sets) })))
     .command('vm-list', 'the list of VMs', builder => builder.options(addressOptions)
       .option('lag-ms', { type: 'number', default: 2000, describe: 'how late a change is seen' }),
-    async args => await run('vm-list', args, vmListParts(args.lagMs)))
+    async args => await run('vm-list', args, vmListDefinition(args.lagMs)))
 }
 
 function withRunners (argv: Argv): Argv {
   return argv
     .command('engine', 'a model engine', builder => builder.options(addressOptions).options(engineOptions), async args => {
       const cache = { capacity: args.cacheTokens, eventLagMs: args.cacheEventLagMs, eventLoss: args.cacheEventLoss }
-      const parts = engineParts({ ...args, models: listOf(args.models), cache }, args.seed, weightSourceOf(args))
+      const parts = engineDefinition({ ...args, models: listOf(args.models), cache }, args.seed, weightSourceOf(args))
       await run('engine', args, parts, { name: args.name, domain: args.domain })
     })
     .command('application', 'an application runner', builder => builder.options(addressOptions).options(applicationOptions), async args => {
-      await run('application', args, applicationParts({ name: args.name, service: args.service, delayMs: args.delayMs }), { name: args.name, service: args.service })
+      await run('application', args, applicationDefinition({ name: args.name, service: args.service, delayMs: args.delayMs }), { name: args.name, service: args.service })
     })
 }
 
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -6,12 +6,12 @@
 import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { ConfigFleet, modelPatch, type FleetVm } from './configFleet.js'
-import { judgeFleet, versionRows, type ToldOutcome } from './configJudge.js'
+import { verifyFleet, versionRows, type ReportedOutcome } from './configJudge.js'
 
-const SPREAD_MS = 2_000
+const PROPAGATION_MS = 2_000
 
 /** Counter-example: applies whatever was delivered last, if it verifies, even an older version. */
-class SlidingHolder implements ConfigDecider {
+class RegressingDecider implements ConfigDecider {
   readonly #seen = new Map<number, VerifiedConfig>([[0, initialConfig()]])
   #inner = new MonotonicConfigDecider(initialConfig())
 
@@ -29,7 +29,7 @@
   }
 }
 
-const inForceOf = (fleet: ConfigFleet): (number | undefined)[] => fleet.vms.map(vm => vm.store.inForce?.version)
+const versionsInForce = (fleet: ConfigFleet): (number | undefined)[] => fleet.vms.map(vm => vm.store.inForce?.version)
 
 describe('faults during configuration propagation', () => {
   interface FaultCase {
@@ -55,12 +55,12 @@
     { name: 'one VM restarted', begin: async (fleet, vm) => { vm.kill(); await fleet.time.until(vm.start()) }, end: () => {}, follows: true },
     { name: 'one VM restarted while cut off from the table', begin: async (fleet, vm) => { vm.kill(); vm.table.cut = true; await fleet.time.until(vm.start()) }, end: (_, vm) => { vm.table.cut = false }, follows: true }
   ]
-  for (const { name, begin, end, follows, withinMs = SPREAD_MS } of cases) {
+  for (const { name, begin, end, follows, withinMs = PROPAGATION_MS } of cases) {
     it(`${name}: the VM ${follows ? 'follows' : 'keeps its version, then follows'}, and no VM regresses`, async () => {
       const fleet = new ConfigFleet({ vms: 6, seed: name })
       await fleet.start()
       for (let base = 0; base < 3; base++) await fleet.addModel(fleet.vm(0), base, `m${base}`)
-      await fleet.time.run(SPREAD_MS)
+      await fleet.time.run(PROPAGATION_MS)
       const vm = fleet.vm(3)
       await begin(fleet, vm)
       for (let base = 3; base < 6; base++) {
@@ -68,27 +68,27 @@
         await fleet.time.run(withinMs)
       }
       const others = [6, 6, 6, 6, 6]
-      expect(inForceOf(fleet)).to.deep.equal([...others.slice(0, 3), follows ? 6 : 3, ...others.slice(3)])
+      expect(versionsInForce(fleet)).to.deep.equal([...others.slice(0, 3), follows ? 6 : 3, ...others.slice(3)])
       await end(fleet, vm)
-      await fleet.time.run(SPREAD_MS)
-      expect(inForceOf(fleet)).to.deep.equal([6, ...others])
-      expect(judgeFleet(fleet)).to.deep.equal([])
+      await fleet.time.run(PROPAGATION_MS)
+      expect(versionsInForce(fleet)).to.deep.equal([6, ...others])
+      expect(verifyFleet(fleet)).to.deep.equal([])
     })
   }
 
   it('all VMs restarted at once while the table is down: the accepted version is in force', async () => {
     const fleet = new ConfigFleet({ vms: 6, seed: 'whole' })
     await fleet.start()
-    for (let base = 0; base < 5; base++) await fleet.addModel(fleet.vm(base), base, `m${base}`).then(async () => { await fleet.time.run(SPREAD_MS) })
+    for (let base = 0; base < 5; base++) await fleet.addModel(fleet.vm(base), base, `m${base}`).then(async () => { await fleet.time.run(PROPAGATION_MS) })
     for (const vm of fleet.vms) vm.kill()
     for (const vm of fleet.vms) vm.table.cut = true
     await fleet.start()
-    expect(inForceOf(fleet)).to.deep.equal([5, 5, 5, 5, 5, 5])
+    expect(versionsInForce(fleet)).to.deep.equal([5, 5, 5, 5, 5, 5])
     for (const vm of fleet.vms) vm.table.cut = false
     expect((await fleet.addModel(fleet.vm(2), 5, 'm5')).isRight()).to.equal(true)
-    await fleet.time.run(SPREAD_MS)
-    expect(inForceOf(fleet)).to.deep.equal([6, 6, 6, 6, 6, 6])
-    expect(judgeFleet(fleet)).to.deep.equal([])
+    await fleet.time.run(PROPAGATION_MS)
+    expect(versionsInForce(fleet)).to.deep.equal([6, 6, 6, 6, 6, 6])
+    expect(verifyFleet(fleet)).to.deep.equal([])
   })
 
   it('a new process without table and object store starts with the version of a peer', async () => {
@@ -101,7 +101,7 @@
     fleet.objects.outage = true
     await fleet.time.until(vm.start())
     expect(vm.store.inForce).to.equal(undefined)
-    await fleet.time.run(SPREAD_MS)
+    await fleet.time.run(PROPAGATION_MS)
     expect(vm.log).to.include('configApplied {"version":3,"source":"peer"}')
   })
 
@@ -126,19 +126,19 @@
     const fleet = new ConfigFleet({ vms: 2, seed: 'fresh' })
     await fleet.start()
     for (let base = 0; base < 3; base++) await fleet.addModel(fleet.vm(0), base, `m${base}`)
-    await fleet.time.run(SPREAD_MS)
+    await fleet.time.run(PROPAGATION_MS)
     const vm = fleet.vm(1)
     vm.kill()
     vm.extraTableMs = 300
     vm.start().catch(() => {})
-    await vm.spread.onPush({ version: 1, digest: versionRows(fleet)[0]!.digest, from: 'vm1' })
-    await fleet.time.run(SPREAD_MS)
+    await vm.propagation.onPush({ version: 1, digest: versionRows(fleet)[0]!.digest, from: 'vm1' })
+    await fleet.time.run(PROPAGATION_MS)
     expect(vm.store.inForce?.version).to.equal(3)
-    expect(judgeFleet(fleet)).to.deep.equal([])
+    expect(verifyFleet(fleet)).to.deep.equal([])
   })
 
-  async function frozenFetch (holder?: () => ConfigDecider): Promise<readonly string[]> {
-    const fleet = new ConfigFleet({ vms: 3, seed: 'freeze', ...(holder === undefined ? {} : { holder }) })
+  async function frozenFetch (createDecider?: () => ConfigDecider): Promise<readonly string[]> {
+    const fleet = new ConfigFleet({ vms: 3, seed: 'freeze', ...(createDecider === undefined ? {} : { holder: createDecider }) })
     await fleet.start()
     const vm = fleet.vm(2)
     vm.extraTableMs = 700
@@ -151,13 +151,13 @@
     await fleet.time.run(20_000)
     vm.thaw()
     vm.extraTableMs = 0
-    await fleet.time.run(SPREAD_MS)
+    await fleet.time.run(PROPAGATION_MS)
     expect(vm.store.inForce?.version).to.equal(5)
-    return judgeFleet(fleet)
+    return verifyFleet(fleet)
   }
   it('a VM frozen while it fetches does not regress when it resumes', async () => { expect(await frozenFetch()).to.deep.equal([]) })
   it('the verifier detects a decider that applies the last answer (counter-example)', async () => {
-    expect((await frozenFetch(() => new SlidingHolder())).join()).to.include('regressed')
+    expect((await frozenFetch(() => new RegressingDecider())).join()).to.include('regressed')
   })
 })
 
@@ -170,7 +170,7 @@
 
 /** Operators that patch and resend at several VMs, under faults. */
 class OperatorRun {
-  readonly told: ToldOutcome[] = []
+  readonly reported: ReportedOutcome[] = []
   #sent: { base: number, patchId: string }[] = []
 
   constructor (readonly fleet: ConfigFleet) {}
@@ -203,10 +203,10 @@
     if (patch === undefined) return
     this.#sent.push(patch)
     const { patchId } = patch
-    this.told.push({ patchId, outcome: 'unknown' })
-    const index = this.told.length - 1
+    this.reported.push({ patchId, outcome: 'unknown' })
+    const index = this.reported.length - 1
     vm.store.patch(modelPatch(patch.base, patchId)).then(result => {
-      this.told[index] = result.caseOf<ToldOutcome>({
+      this.reported[index] = result.caseOf<ReportedOutcome>({
         Left: failure => ({ patchId, outcome: failure.ran === 'no' ? 'notRun' : 'unknown' }),
         Right: ({ version }) => ({ patchId, outcome: 'accepted', version })
       })
@@ -240,8 +240,8 @@
       const newest = versionRows(run.fleet).length
       accepted += newest
       run.fleet.stop()
-      expect(judgeFleet(run.fleet, run.told)).to.deep.equal([])
-      expect(inForceOf(run.fleet)).to.deep.equal([newest, newest, newest, newest])
+      expect(verifyFleet(run.fleet, run.reported)).to.deep.equal([])
+      expect(versionsInForce(run.fleet)).to.deep.equal([newest, newest, newest, newest])
     }), { seed: 3, numRuns: 80 })
     expect(accepted).to.be.greaterThan(100)
   })
--- a/packages/stand-ins/src/config/configFleet.ts
+++ b/packages/stand-ins/src/config/configFleet.ts
@@ -44,7 +44,7 @@
   readonly peerTraffic: Traffic = { messages: 0, bytes: 0 }
   readonly log: string[] = []
   store!: ConfigStore
-  spread!: ConfigPropagation
+  propagation!: ConfigPropagation
   alive = false
   incarnation = 0
   /** Additional latency of each message to and from the table, in milliseconds. */
@@ -52,7 +52,7 @@
   #frozen: (() => void)[] | undefined
 
   constructor (readonly name: string, private readonly fleet: ConfigFleet) {
-    this.table = new FleetTable(fleet.options.table?.(fleet.state) ?? new MemoryTableStore(fleet.state), async () => { await this.#travel() })
+    this.table = new FleetTable(fleet.options.table?.(fleet.state) ?? new MemoryTableStore(fleet.state), async () => { await this.#delayMessage() })
   }
 
   /** Starts a new process, without any state of an earlier one. */
@@ -64,19 +64,19 @@
     const parts = { table: this.table, objects: fleet.objects, clock: fleet.time, log, timers: this, random }
     this.store = new ConfigStore(parts, fleet.options.holder?.())
     const settings = { ...defaultPropagationSettings, ...fleet.options.settings }
-    this.spread = new ConfigPropagation({ store: this.store, peers: this, address: this.name, timers: this, random, log, settings })
+    this.propagation = new ConfigPropagation({ store: this.store, peers: this, address: this.name, timers: this, random, log, settings })
     this.store.onChange(({ version, digest }, source) => {
       if (this.alive && incarnation === this.incarnation) fleet.inForce.push({ vm: this.name, incarnation, version, digest, source, at: fleet.time.now().wall })
     })
     this.alive = true
     await this.store.load()
-    this.spread.start()
+    this.propagation.start()
   }
 
   /** Terminates the process immediately. */
   kill (): void {
     this.alive = false
-    this.spread.stop()
+    this.propagation.stop()
   }
 
   /** Pauses the process; timers and answers wait until {@link thaw}. */
@@ -85,9 +85,9 @@
   }
 
   thaw (): void {
-    const waiting = this.#frozen ?? []
+    const pending = this.#frozen ?? []
     this.#frozen = undefined
-    for (const go of waiting) go()
+    for (const resume of pending) resume()
   }
 
   /** Resolves as soon as the process is not frozen. */
@@ -98,9 +98,9 @@
   after (ms: number, fn: () => void): () => void {
     const { incarnation } = this
     return this.fleet.time.after(ms, () => {
-      const go = (): void => { if (this.alive && incarnation === this.incarnation) fn() }
-      if (this.#frozen === undefined) go()
-      else this.#frozen.push(go)
+      const fire = (): void => { if (this.alive && incarnation === this.incarnation) fn() }
+      if (this.#frozen === undefined) fire()
+      else this.#frozen.push(fire)
     })
   }
 
@@ -111,7 +111,7 @@
   async call (address: string, method: string, params: unknown, timeoutMs: number): Promise<Either<Failure, unknown>> {
     const { fleet } = this
     const peer = fleet.vms.find(vm => vm.name === address)
-    this.#count(params)
+    this.#countMessage(params)
     if (peer === undefined || fleet.isLost(this, peer, method)) {
       await fleet.time.sleep(timeoutMs)
       return Left(new Failure('peerUnreachable', address, { ran: 'unknown' }))
@@ -121,12 +121,12 @@
     const answer = await peer.serve(method, structuredClone(params))
     await fleet.time.sleep(fleet.latency(fleet.peerMs))
     await this.thawed()
-    this.#count(answer)
+    this.#countMessage(answer)
     return Right(structuredClone(answer))
   }
 
   /** Delays one message from or to the table; never resolves if the process has terminated meanwhile. */
-  async #travel (): Promise<void> {
+  async #delayMessage (): Promise<void> {
     const { incarnation, fleet } = this
     await fleet.time.sleep(fleet.latency(fleet.tableMs) + this.extraTableMs)
     await this.thawed()
@@ -134,14 +134,14 @@
   }
 
   private async serve (method: string, params: unknown): Promise<unknown> {
-    this.#count(params)
+    this.#countMessage(params)
     if (!this.alive) return null
-    const answer = method === PUSH_METHOD ? await this.spread.onPush(params) : method === FETCH_METHOD ? await this.spread.onFetch(params) : null
-    this.#count(answer)
+    const answer = method === PUSH_METHOD ? await this.propagation.onPush(params) : method === FETCH_METHOD ? await this.propagation.onFetch(params) : null
+    this.#countMessage(answer)
     return answer
   }
 
-  #count (value: unknown): void {
+  #countMessage (value: unknown): void {
     this.peerTraffic.messages++
     this.peerTraffic.bytes += JSON.stringify(value ?? null).length
   }
--- a/packages/stand-ins/src/config/configJudge.ts
+++ b/packages/stand-ins/src/config/configJudge.ts
@@ -7,7 +7,7 @@
 import type { ConfigFleet, InForceRecord } from './configFleet.js'
 
 /** The outcome of a patch id as reported to an operator. */
-export interface ToldOutcome {
+export interface ReportedOutcome {
   readonly patchId: string
   readonly outcome: 'accepted' | 'notRun' | 'unknown'
   readonly version?: number
@@ -22,11 +22,11 @@
  * All violated guarantees of a finished run.
  * @param reported - outcomes reported to operators; an id may occur several times
  */
-export function judgeFleet (fleet: ConfigFleet, told: readonly ToldOutcome[] = []): readonly string[] {
-  return [...judgeChain(fleet), ...judgeForce(fleet), ...judgeTold(fleet, told)]
+export function verifyFleet (fleet: ConfigFleet, reported: readonly ReportedOutcome[] = []): readonly string[] {
+  return [...verifyChain(fleet), ...verifyInForce(fleet), ...verifyReported(fleet, reported)]
 }
 
-function judgeChain (fleet: ConfigFleet): string[] {
+function verifyChain (fleet: ConfigFleet): string[] {
   const rows = versionRows(fleet)
   const findings = replayRows(initialConfig(), rows).swap().map(failure => [`the versions do not form a chain: ${failure.message}`]).orDefault([])
   const ids = rows.map(row => row.patchId)
@@ -45,27 +45,27 @@
  * A VM must not return to an older version, also not after a restart. The first version of a new process that cannot
  * reach the table is exempt: it is the newest that another source proves.
  */
-function judgeForce (fleet: ConfigFleet): string[] {
+function verifyInForce (fleet: ConfigFleet): string[] {
   const digests = new Map([[0, initialConfig().digest], ...versionRows(fleet).map(row => [row.version, row.digest] as const)])
   const last = new Map<string, InForceRecord>()
   return fleet.inForce.flatMap(record => {
-    const before = last.get(record.vm)
+    const previous = last.get(record.vm)
     last.set(record.vm, record)
-    const excused = before?.incarnation !== record.incarnation && record.source !== 'table'
-    const slid = before !== undefined && record.version < before.version && !excused
+    const isExempt = previous?.incarnation !== record.incarnation && record.source !== 'table'
+    const hasRegressed = previous !== undefined && record.version < previous.version && !isExempt
     return [
-      ...(slid ? [`${record.vm} regressed from version ${before.version} to ${record.version}`] : []),
+      ...(hasRegressed ? [`${record.vm} regressed from version ${previous.version} to ${record.version}`] : []),
       ...(digests.get(record.version) === record.digest ? [] : [`${record.vm} has version ${record.version}, which was not accepted`])
     ]
   })
 }
 
-function judgeTold (fleet: ConfigFleet, told: readonly ToldOutcome[]): string[] {
+function verifyReported (fleet: ConfigFleet, reported: readonly ReportedOutcome[]): string[] {
   const versions = new Map(versionRows(fleet).map(row => [row.patchId, row.version]))
-  const open = new Set(told.filter(({ outcome }) => outcome !== 'notRun').map(({ patchId }) => patchId))
-  return told.flatMap(({ patchId, outcome, version }) => {
+  const possiblyExecuted = new Set(reported.filter(({ outcome }) => outcome !== 'notRun').map(({ patchId }) => patchId))
+  return reported.flatMap(({ patchId, outcome, version }) => {
     if (outcome === 'accepted' && versions.get(patchId) !== version) return [`${patchId} was accepted as ${version} but is ${versions.get(patchId)}`]
-    if (outcome === 'notRun' && !open.has(patchId) && versions.has(patchId)) return [`${patchId} was refused but took effect`]
+    if (outcome === 'notRun' && !possiblyExecuted.has(patchId) && versions.has(patchId)) return [`${patchId} was refused but took effect`]
     return []
   })
 }
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -10,11 +10,11 @@
 import { ConfigReader } from 'rosemaryspread/config/configReader.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { ConfigFleet, modelPatch, type FleetOptions } from './configFleet.js'
-import { judgeFleet, versionRows } from './configJudge.js'
+import { verifyFleet, versionRows } from './configJudge.js'
 
 const codeOf = (outcome: Either<Failure, unknown>): string => outcome.swap().map(failure => failure.code as string).orDefault('accepted')
 
-async function fleetOf (vms: number, options: Partial<FleetOptions> = {}): Promise<ConfigFleet> {
+async function startFleet (vms: number, options: Partial<FleetOptions> = {}): Promise<ConfigFleet> {
   const fleet = new ConfigFleet({ vms, seed: 'store', ...options })
   await fleet.start()
   return fleet
@@ -50,13 +50,13 @@
 }
 
 /** Counter-example: a table client that reports a write whose answer was lost as not executed. */
-class ForgettingTable extends LosingTable {
+class AssumesFailureTable extends LosingTable {
   override async transact (tx: Transaction): Promise<Either<Failure, TransactAnswer>> {
     return (await super.transact(tx)).mapLeft(failure => failure.code === 'platformOutcomeUnknown' ? new PlatformFailure('platformUnavailable', '') : failure)
   }
 }
 
-async function race (fleet: ConfigFleet, base: number): Promise<Either<Failure, PatchAnswer>[]> {
+async function patchConcurrently (fleet: ConfigFleet, base: number): Promise<Either<Failure, PatchAnswer>[]> {
   const patches = fleet.vms.map(async (vm, index) => await vm.store.patch(modelPatch(base, `race${base}-${index}`)))
   return await fleet.time.until(Promise.all(patches))
 }
@@ -64,9 +64,9 @@
 describe('concurrent patches', () => {
   for (const operators of [2, 10]) {
     it(`${operators} on one version: one is accepted and no update is lost`, async () => {
-      const fleet = await fleetOf(operators)
+      const fleet = await startFleet(operators)
       for (let base = 0; base < 5; base++) {
-        const outcomes = await race(fleet, base)
+        const outcomes = await patchConcurrently(fleet, base)
         const codes = outcomes.map(codeOf)
         expect(codes.filter(code => code === 'accepted')).to.have.length(1)
         expect(codes.filter(code => code === 'configConflict')).to.have.length(operators - 1)
@@ -75,16 +75,16 @@
         expect(lost.errors[0]).to.match(new RegExp(`^version ${base + 1} by operator \\(patch race${base}-\\d+\\): add /models/`))
         await fleet.time.run(3_000)
       }
-      expect(judgeFleet(fleet)).to.deep.equal([])
+      expect(verifyFleet(fleet)).to.deep.equal([])
       expect(Object.keys(fleet.vm(0).store.inForce!.config.models)).to.have.members(versionRows(fleet).map(row => row.patchId))
     })
 
     it(`${operators} on a table without checks: the verifier detects the lost updates (counter-example)`, async () => {
-      const fleet = await fleetOf(operators, { table: state => new UncheckedTable(state) })
-      const codes = (await race(fleet, 0)).map(codeOf)
+      const fleet = await startFleet(operators, { table: state => new UncheckedTable(state) })
+      const codes = (await patchConcurrently(fleet, 0)).map(codeOf)
       expect(codes.filter(code => code === 'accepted')).to.have.length(operators)
-      const told = codes.map((_, index) => ({ patchId: `race0-${index}`, outcome: 'accepted', version: 1 } as const))
-      expect(judgeFleet(fleet, told).filter(text => text.includes('but is undefined'))).to.have.length(operators - 1)
+      const reported = codes.map((_, index) => ({ patchId: `race0-${index}`, outcome: 'accepted', version: 1 } as const))
+      expect(verifyFleet(fleet, reported).filter(text => text.includes('but is undefined'))).to.have.length(operators - 1)
     })
   }
 })
@@ -101,28 +101,28 @@
   for (const { name, lose, thenOutage = false, code, later } of cases) {
     it(`${name}: ${code}; the same patch again: version 1, repeated ${String(later.repeated)}`, async () => {
       const tables: LosingTable[] = []
-      const fleet = await fleetOf(2, { table: state => { tables.push(new LosingTable(state)); return tables.at(-1)! } })
+      const fleet = await startFleet(2, { table: state => { tables.push(new LosingTable(state)); return tables.at(-1)! } })
       Object.assign(tables[0]!, { loseWrites: [...lose], thenOutage })
       expect(codeOf(await fleet.addModel(fleet.vm(0), 0, 'p1'))).to.equal(code)
       Object.assign(tables[0]!, { outage: false, loseWrites: [], thenOutage: false })
       const again = (await fleet.addModel(fleet.vm(1), 0, 'p1')).unsafeCoerce()
       expect(again).to.deep.equal({ ...later, dryRun: false })
-      expect(judgeFleet(fleet, [{ patchId: 'p1', outcome: 'accepted', version: 1 }])).to.deep.equal([])
+      expect(verifyFleet(fleet, [{ patchId: 'p1', outcome: 'accepted', version: 1 }])).to.deep.equal([])
     })
   }
 
   it('the verifier detects a client that reports a lost answer as no write (counter-example)', async () => {
-    const table = (state: MemoryTableStore['state']): ForgettingTable => Object.assign(new ForgettingTable(state), { loseWrites: ['answer'], thenOutage: true })
-    const fleet = await fleetOf(1, { table })
+    const table = (state: MemoryTableStore['state']): AssumesFailureTable => Object.assign(new AssumesFailureTable(state), { loseWrites: ['answer'], thenOutage: true })
+    const fleet = await startFleet(1, { table })
     const failure = (await fleet.addModel(fleet.vm(0), 0, 'p1')).swap().unsafeCoerce()
     expect(failure.ran).to.equal('no')
-    expect(judgeFleet(fleet, [{ patchId: 'p1', outcome: 'notRun' }])).to.deep.equal(['p1 was refused but took effect'])
+    expect(verifyFleet(fleet, [{ patchId: 'p1', outcome: 'notRun' }])).to.deep.equal(['p1 was refused but took effect'])
   })
 })
 
 describe('patch ids, history and versions', () => {
   it('repeats the answer for a patch id, refuses the id for another patch, and stores nothing for a dry run', async () => {
-    const fleet = await fleetOf(1)
+    const fleet = await startFleet(1)
     await acceptMany(fleet, 2)
     const { store } = fleet.vm(0)
     const send = async (base: number, patchId: string, model: string, dryRun = false): Promise<Either<Failure, PatchAnswer>> =>
@@ -134,11 +134,11 @@
     expect(codeOf(await send(1, 'dry', 'm3', true))).to.equal('configConflict')
     expect(codeOf(await send(2, 'dry', 'BAD', true))).to.equal('configInvalid')
     expect(versionRows(fleet)).to.have.length(2)
-    expect(judgeFleet(fleet)).to.deep.equal([])
+    expect(verifyFleet(fleet)).to.deep.equal([])
   })
 
   it('retains history, returns old versions, and reverts only by a new version', async () => {
-    const fleet = await fleetOf(1)
+    const fleet = await startFleet(1)
     await acceptMany(fleet, 70)
     const { store, table } = fleet.vm(0)
     const revert = { base: 70, patchId: 'revert', author: 'operator', dryRun: false, patch: [{ op: 'remove', path: '/models/m70' }] }
@@ -158,8 +158,8 @@
 })
 
 describe('a VM that reads a lagging replica', () => {
-  async function lagging (): Promise<ConfigFleet> {
-    const fleet = await fleetOf(2)
+  async function startLaggingFleet (): Promise<ConfigFleet> {
+    const fleet = await startFleet(2)
     await acceptMany(fleet, 2)
     fleet.replica.catchUp()
     await fleet.addModel(fleet.vm(0), 2, 'm3')
@@ -169,7 +169,7 @@
   }
 
   it('never returns to an older version, and accepts patches only after a current read', async () => {
-    const fleet = await lagging()
+    const fleet = await startLaggingFleet()
     const { store } = fleet.vm(1)
     await fleet.time.run(5_000)
     expect(store.inForce?.version).to.equal(3)
@@ -178,11 +178,11 @@
     const late = fleet.time.until(store.patch(modelPatch(3, 'm4')))
     fleet.time.after(120, () => { fleet.replica.catchUp() })
     expect((await late).unsafeCoerce().version).to.equal(4)
-    expect(judgeFleet(fleet)).to.deep.equal([])
+    expect(verifyFleet(fleet)).to.deep.equal([])
   })
 
   it('reports an outdated current version if its reads are not confirmed', async () => {
-    const fleet = await lagging()
+    const fleet = await startLaggingFleet()
     const vm = fleet.vm(1)
     const parts = { table: vm.table, objects: fleet.objects, clock: fleet.time, timers: vm, random: () => 0, log: { write: () => {} } }
     const reader = new ConfigReader(vm.table, initialConfig())
@@ -207,7 +207,7 @@
   }
   for (const { name, damage, version } of cases) {
     it(`${name}: ${version === undefined ? 'no version until a source answers' : `version ${version}, and the log says so`}`, async () => {
-      const fleet = await fleetOf(1)
+      const fleet = await startFleet(1)
       await acceptMany(fleet, 66)
       const vm = fleet.vm(0)
       damage(fleet)
@@ -224,7 +224,7 @@
   }
 
   it('starts with the newest version although the object store was down for some versions', async () => {
-    const fleet = await fleetOf(1)
+    const fleet = await startFleet(1)
     await acceptMany(fleet, 2)
     fleet.objects.outage = true
     await fleet.addModel(fleet.vm(0), 2, 'm3')
--- a/packages/stand-ins/src/config/fleetTable.ts
+++ b/packages/stand-ins/src/config/fleetTable.ts
@@ -16,20 +16,20 @@
 /** A replica that applies commits only when {@link catchUp} is called. */
 export class LaggingReplica {
   readonly state: TableState
-  #waiting: Transaction[] = []
+  #pending: Transaction[] = []
 
   /** @param primary - must be empty */
   constructor (primary: TableState, now: () => number) {
     this.state = new TableState(now)
     primary.onCommit(rows => {
       const writes = rows.map(({ table, key, value }) => ({ table, key, value }))
-      this.#waiting.push({ checks: [], writes })
+      this.#pending.push({ checks: [], writes })
     })
   }
 
   /** Applies all pending commits. */
   catchUp (): void {
-    for (const tx of this.#waiting.splice(0)) this.state.transact(tx)
+    for (const tx of this.#pending.splice(0)) this.state.transact(tx)
   }
 }
 
@@ -44,7 +44,7 @@
    * @param primary - with the faults of this VM
    * @param delayMessage - resolves after the one-way latency of a message, once the VM is not frozen
    */
-  constructor (readonly primary: MemoryTableStore, private readonly travel: () => Promise<void>) {}
+  constructor (readonly primary: MemoryTableStore, private readonly delayMessage: () => Promise<void>) {}
 
   async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
     return await this.#call({ keys }, async () => await (this.replica ?? this.primary).read(keys))
@@ -58,13 +58,13 @@
     return await this.#call(tx, async () => await this.primary.transact(tx))
   }
 
-  async #call<T> (question: unknown, effect: () => Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+  async #call<T> (request: unknown, effect: () => Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
     if (this.cut) return Left(new Failure('platformUnavailable', 'simulated loss of the connection to the table'))
-    await this.travel()
+    await this.delayMessage()
     const answer = await effect()
-    await this.travel()
+    await this.delayMessage()
     this.traffic.messages++
-    this.traffic.bytes += JSON.stringify(question).length + JSON.stringify(answer.extract()).length
+    this.traffic.bytes += JSON.stringify(request).length + JSON.stringify(answer.extract()).length
     return answer
   }
 }
--- a/packages/stand-ins/src/control/clients.spec.ts
+++ b/packages/stand-ins/src/control/clients.spec.ts
@@ -11,16 +11,16 @@
 import type { EngineRequest, EngineStream } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { HttpEngineClient } from '@rosemaryspread/runners/engine/httpEngineClient.js'
 import { HttpApplicationClient } from '@rosemaryspread/runners/application/httpApplicationClient.js'
-import { applicationParts } from '../application/applicationRoutes.js'
-import { engineParts } from '../engine/engineParts.js'
+import { applicationDefinition } from '../application/applicationRoutes.js'
+import { engineDefinition } from '../engine/engineParts.js'
 import { answerText } from '../engine/engineText.js'
 import { LocalWeightSource } from '../engine/weightSource.js'
-import { objectParts } from '../objects/objectRoutes.js'
-import { tableParts } from '../table/tableRoutes.js'
-import { vmListParts } from '../vmList/vmListRoutes.js'
-import { weightParts } from '../weights/weightRoutes.js'
+import { objectStoreDefinition } from '../objects/objectRoutes.js'
+import { tableDefinition } from '../table/tableRoutes.js'
+import { vmListDefinition } from '../vmList/vmListRoutes.js'
+import { weightStoreDefinition } from '../weights/weightRoutes.js'
 import type { EngineControl } from './controlTypes.js'
-import { StandIn, type StandInParts } from './standIn.js'
+import { StandIn, type StandInDefinition } from './standIn.js'
 
 const VM = 'vm-1'
 const TIMEOUT_MS = 30_000
@@ -53,8 +53,8 @@
 
 describe('product clients against stand-ins', () => {
   const stops: (() => unknown)[] = []
-  const start = async (parts: StandInParts): Promise<{ address: string, standIn: StandIn }> => {
-    const standIn = new StandIn({ listen: LOOPBACK, control: LOOPBACK }, parts)
+  const start = async (definition: StandInDefinition): Promise<{ address: string, standIn: StandIn }> => {
+    const standIn = new StandIn({ listen: LOOPBACK, control: LOOPBACK }, definition)
     const { listen } = await standIn.start()
     stops.push(async () => await standIn.stop())
     return { address: `${listen.host}:${listen.port}`, standIn }
@@ -62,10 +62,10 @@
   const startEngine = async (control: EngineControl): Promise<{ client: HttpEngineClient, address: string }> => {
     const cache = { capacity: 100, eventLagMs: 0, eventLoss: 0 }
     const options = { name: 'e', slots: 4, msPerToken: 1, promptMsPerToken: 0, models: ['es'], checksFencing: true, loadLagMs: 0, cache }
-    const parts = engineParts(options, '1', new LocalWeightSource(1, 1))
-    const { address, standIn } = await start(parts)
+    const definition = engineDefinition(options, '1', new LocalWeightSource(1, 1))
+    const { address, standIn } = await start(definition)
     standIn.guard.apply(control)
-    parts.onControl?.(control)
+    definition.onControl?.(control)
     const client = new HttpEngineClient({ vm: VM, connectMs: TIMEOUT_MS, callMs: TIMEOUT_MS, firstEventMs: TIMEOUT_MS, betweenEventsMs: TIMEOUT_MS, afterEndMs: TIMEOUT_MS })
     stops.push(() => client.close())
     return { client, address }
@@ -82,7 +82,7 @@
   ]
   for (const { name, control, first, second } of tables) {
     it(`table with fault "${name}": ${first}, then ${second}`, async () => {
-      const { address, standIn } = await start(tableParts())
+      const { address, standIn } = await start(tableDefinition())
       const store = new HttpTableStore(`http://${address}`, VM, TIMEOUT_MS)
       standIn.guard.apply(control)
       expect([codeOf(await store.transact(WRITE)), codeOf(await store.transact(WRITE))]).to.deep.equal([first, second])
@@ -92,9 +92,9 @@
     })
   }
 
-  const whole = answerText(REQUEST, REQUEST.maxTokens)
+  const fullText = answerText(REQUEST, REQUEST.maxTokens)
   const streams: readonly { name: string, control: EngineControl, seen: string }[] = [
-    { name: 'none', control: {}, seen: whole },
+    { name: 'none', control: {}, seen: fullText },
     { name: 'a piece of another run', control: { mixNext: true }, seen: 'answerMixed' },
     { name: 'two ends', control: { doubleEnd: true }, seen: 'answerMixed' }
   ]
@@ -104,7 +104,7 @@
       const stream = (await client.submit(address, REQUEST)).unsafeCoerce()
       expect(stream.holder).to.equal(REQUEST.holder)
       expect(await drain(stream)).to.equal(seen)
-      expect(await drain((await client.resume(address, 'r', 0)).unsafeCoerce())).to.equal(whole)
+      expect(await drain((await client.resume(address, 'r', 0)).unsafeCoerce())).to.equal(fullText)
     })
   }
 
@@ -128,17 +128,17 @@
   it('application, object store, weight store and VM list', async () => {
     const application = new HttpApplicationClient({ vm: VM, connectMs: TIMEOUT_MS, maxBytes: 10_000 })
     stops.push(() => application.close())
-    const { address } = await start(applicationParts({ name: 'app', service: 's', delayMs: 0 }))
+    const { address } = await start(applicationDefinition({ name: 'app', service: 's', delayMs: 0 }))
     const answer = await application.call(address, { requestId: 'r', method: 'POST', path: '/escorts', contentType: 'application/json', body: Buffer.from('{}'), timeoutMs: TIMEOUT_MS })
     expect(answer.unsafeCoerce().status).to.equal(201)
-    const objects = new HttpObjectStore(`http://${(await start(objectParts())).address}`, VM, TIMEOUT_MS)
+    const objects = new HttpObjectStore(`http://${(await start(objectStoreDefinition())).address}`, VM, TIMEOUT_MS)
     expect(codeOf(await objects.put('config/1', Buffer.from('x')))).to.equal('done')
     expect((await objects.get('config/1')).unsafeCoerce().extract()?.toString()).to.equal('x')
     expect((await objects.get('config/2')).unsafeCoerce().isNothing()).to.equal(true)
-    const weights = new HttpWeightStore(`http://${(await start(weightParts({ perMinute: 1, burst: 1, sets: [] }))).address}`, VM, TIMEOUT_MS)
+    const weights = new HttpWeightStore(`http://${(await start(weightStoreDefinition({ perMinute: 1, burst: 1, sets: [] }))).address}`, VM, TIMEOUT_MS)
     expect((await weights.describe('m', '1')).unsafeCoerce()).to.include({ model: 'm', version: '1' })
     expect((await weights.describe('m', '1')).isLeft()).to.equal(true)
-    const list = new HttpVmList(`http://${(await start(vmListParts(0))).address}`, VM, TIMEOUT_MS)
+    const list = new HttpVmList(`http://${(await start(vmListDefinition(0))).address}`, VM, TIMEOUT_MS)
     expect((await list.list()).unsafeCoerce().vms).to.deep.equal([])
   })
 })
--- a/packages/stand-ins/src/control/faultGuard.ts
+++ b/packages/stand-ins/src/control/faultGuard.ts
@@ -8,7 +8,7 @@
 import type { Socket } from 'node:net'
 import { noFaults, type Control, type FaultSwitches } from './controlTypes.js'
 import type { PortGuard } from './httpPort.js'
-import { HttpFault, type HttpAnswer } from './httpTypes.js'
+import { HttpError, type HttpAnswer } from './httpTypes.js'
 
 export class FaultGuard implements PortGuard {
   readonly switches: FaultSwitches = noFaults()
@@ -32,7 +32,7 @@
     if (this.switches.cut.has(vm)) return false
     if (this.switches.slowMs > 0) await sleep(this.switches.slowMs)
     if (this.switches.cut.has(vm)) return false
-    if (this.switches.outage) throw new HttpFault(503, 'simulated outage')
+    if (this.switches.outage) throw new HttpError(503, 'simulated outage')
     return true
   }
 
--- a/packages/stand-ins/src/control/httpPort.ts
+++ b/packages/stand-ins/src/control/httpPort.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { once } from 'node:events'
 import type { AddressInfo } from 'node:net'
-import { HttpFault, HttpRequest, type BodyAnswer, type HttpAnswer, type HttpRoute } from './httpTypes.js'
+import { HttpError, HttpRequest, type BodyAnswer, type HttpAnswer, type HttpRoute } from './httpTypes.js'
 
 /** Hooks around each call. */
 export interface PortGuard {
@@ -66,32 +66,32 @@
       else if ('open' in answer) answer.open(res)
       else send(res, answer)
     } catch (err) {
-      this.fail(req, res, err)
+      this.sendError(req, res, err)
     }
   }
 
   private async answer (req: IncomingMessage, body: Buffer): Promise<HttpAnswer> {
     const url = new URL(req.url ?? '/', 'http://stand-in')
     const path = decodeURIComponent(url.pathname)
-    const fitting = this.routes.filter(route => route.pattern.test(path))
-    const route = fitting.find(({ method }) => method === req.method)
-    if (route === undefined) throw new HttpFault(fitting.length === 0 ? 404 : 405, `no route for ${req.method} ${path}`)
+    const matching = this.routes.filter(route => route.pattern.test(path))
+    const route = matching.find(({ method }) => method === req.method)
+    if (route === undefined) throw new HttpError(matching.length === 0 ? 404 : 405, `no route for ${req.method} ${path}`)
     const params = route.pattern.exec(path)?.slice(1) ?? []
     return await route.serve(new HttpRequest(route.method, url, req.headers, body, params))
   }
 
-  private fail (req: IncomingMessage, res: ServerResponse, err: unknown): void {
+  private sendError (req: IncomingMessage, res: ServerResponse, err: unknown): void {
     if (req.socket.destroyed) return
     if (res.headersSent) req.socket.destroy()
-    else if (err instanceof HttpFault) send(res, { status: err.status, body: { error: err.message } })
+    else if (err instanceof HttpError) send(res, { status: err.status, body: { error: err.message } })
     else send(res, { status: 500, body: { error: String(err) } })
   }
 }
 
 async function readBody (req: IncomingMessage): Promise<Buffer> {
-  const parts: Buffer[] = []
-  for await (const part of req) parts.push(part as Buffer)
-  return Buffer.concat(parts)
+  const chunks: Buffer[] = []
+  for await (const chunk of req) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks)
 }
 
 function send (res: ServerResponse, { status, body, headers = {} }: BodyAnswer): void {
--- a/packages/stand-ins/src/control/httpTypes.ts
+++ b/packages/stand-ins/src/control/httpTypes.ts
@@ -5,7 +5,7 @@
 import type { ZodType } from 'zod'
 
 /** Ends a request early with an error answer. */
-export class HttpFault extends Error {
+export class HttpError extends Error {
   constructor (readonly status: number, detail: string) {
     super(detail)
   }
@@ -35,25 +35,25 @@
   }
 
   /** A non-negative integer of the query string, or the default if absent. */
-  count (name: string, otherwise: number): number {
+  count (name: string, defaultValue: number): number {
     const text = this.url.searchParams.get(name)
-    if (text === null) return otherwise
-    if (!/^\d+$/.test(text)) throw new HttpFault(400, `query parameter ${name} is not a non-negative integer`)
+    if (text === null) return defaultValue
+    if (!/^\d+$/.test(text)) throw new HttpError(400, `query parameter ${name} is not a non-negative integer`)
     return Number(text)
   }
 
   /** The JSON body checked against a schema; a mismatch is a 400. */
   json<T> (schema: ZodType<T>): T {
-    const checked = schema.safeParse(this.parsed())
-    if (!checked.success) throw new HttpFault(400, checked.error.message)
+    const checked = schema.safeParse(this.parseBody())
+    if (!checked.success) throw new HttpError(400, checked.error.message)
     return checked.data
   }
 
-  private parsed (): unknown {
+  private parseBody (): unknown {
     try {
       return JSON.parse(this.body.toString('utf8'))
     } catch {
-      throw new HttpFault(400, 'the body is not valid JSON')
+      throw new HttpError(400, 'the body is not valid JSON')
     }
   }
 }
--- a/packages/stand-ins/src/control/laggingValue.spec.ts
+++ b/packages/stand-ins/src/control/laggingValue.spec.ts
@@ -15,7 +15,7 @@
       const lagging = new LaggingValue('first', 0, 100)
       lagging.set('second', 100)
       lagging.set('third', 150)
-      expect(lagging.seen(now)).to.deep.equal({ asOf, value })
+      expect(lagging.valueAt(now)).to.deep.equal({ asOf, value })
     })
   }
 })
@@ -23,6 +23,6 @@
 describe('TokenBucket', () => {
   it('allows a burst, then the steady rate', () => {
     const bucket = new TokenBucket(60, 2)
-    expect([0, 0, 0, 500, 1000, 1000].map(now => bucket.take(now))).to.deep.equal([0, 0, 1000, 500, 0, 1000])
+    expect([0, 0, 0, 500, 1000, 1000].map(now => bucket.tryAcquire(now))).to.deep.equal([0, 0, 1000, 500, 0, 1000])
   })
 })
--- a/packages/stand-ins/src/control/laggingValue.ts
+++ b/packages/stand-ins/src/control/laggingValue.ts
@@ -22,20 +22,20 @@
 
   set (value: T, now: number): void {
     this.samples.push({ at: now, value })
-    this.forget(now)
+    this.dropOldSamples(now)
   }
 
   /** The value that readers see at `now`, and the time at which it held, in milliseconds. */
-  seen (now: number): { readonly asOf: number, readonly value: T } {
-    this.forget(now)
+  valueAt (now: number): { readonly asOf: number, readonly value: T } {
+    this.dropOldSamples(now)
     const { at, value } = this.samples[0]!
     return { asOf: Math.max(at, now - this.lagMs), value }
   }
 
   /** Drops samples that were replaced at least `lagMs` ago. */
-  private forget (now: number): void {
+  private dropOldSamples (now: number): void {
     const next = this.samples.findIndex(sample => sample.at > now - this.lagMs)
-    const keepFrom = next === -1 ? this.samples.length - 1 : Math.max(0, next - 1)
-    if (keepFrom > 0) this.samples = this.samples.slice(keepFrom)
+    const firstRetained = next === -1 ? this.samples.length - 1 : Math.max(0, next - 1)
+    if (firstRetained > 0) this.samples = this.samples.slice(firstRetained)
   }
 }
--- a/packages/stand-ins/src/control/standIn.spec.ts
+++ b/packages/stand-ins/src/control/standIn.spec.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai'
 import { got, type Method, type Response } from 'got'
-import { applicationParts } from '../application/applicationRoutes.js'
-import { engineParts } from '../engine/engineParts.js'
+import { applicationDefinition } from '../application/applicationRoutes.js'
+import { engineDefinition } from '../engine/engineParts.js'
 import type { EngineOptions } from '../engine/engineState.js'
 import { answerText } from '../engine/engineText.js'
 import { LocalWeightSource } from '../engine/weightSource.js'
-import { objectParts } from '../objects/objectRoutes.js'
-import { tableParts } from '../table/tableRoutes.js'
-import { vmListParts } from '../vmList/vmListRoutes.js'
-import { weightParts } from '../weights/weightRoutes.js'
-import { StandIn, type StandInParts } from './standIn.js'
+import { objectStoreDefinition } from '../objects/objectRoutes.js'
+import { tableDefinition } from '../table/tableRoutes.js'
+import { vmListDefinition } from '../vmList/vmListRoutes.js'
+import { weightStoreDefinition } from '../weights/weightRoutes.js'
+import { StandIn, type StandInDefinition } from './standIn.js'
 
 const LOOPBACK = { host: '127.0.0.1', port: 0 }
 const CUT = 'cut'
@@ -29,7 +29,7 @@
 interface Call { method?: Method, json?: unknown, headers?: Record<string, string> }
 
 /** A started stand-in, reached over its two ports. */
-class Started {
+class RunningStandIn {
   constructor (readonly standIn: StandIn, private readonly listen: number, private readonly control: number) {}
 
   /** Status and body of a call, or `cut` if the connection ended without a complete answer. */
@@ -53,15 +53,15 @@
 }
 
 describe('stand-ins over HTTP', () => {
-  const started: Started[] = []
-  const start = async (parts: StandInParts): Promise<Started> => {
-    const standIn = new StandIn({ listen: LOOPBACK, control: LOOPBACK }, parts)
+  const started: RunningStandIn[] = []
+  const start = async (definition: StandInDefinition): Promise<RunningStandIn> => {
+    const standIn = new StandIn({ listen: LOOPBACK, control: LOOPBACK }, definition)
     const { listen, control } = await standIn.start()
-    started.push(new Started(standIn, listen.port, control.port))
+    started.push(new RunningStandIn(standIn, listen.port, control.port))
     return started.at(-1)!
   }
-  const startEngine = async (changes: Partial<EngineOptions> = {}): Promise<Started> =>
-    await start(engineParts({ ...ENGINE, ...changes }, '1', new LocalWeightSource(1, 1)))
+  const startEngine = async (changes: Partial<EngineOptions> = {}): Promise<RunningStandIn> =>
+    await start(engineDefinition({ ...ENGINE, ...changes }, '1', new LocalWeightSource(1, 1)))
   const complete = (requestId: string, digest = 'd'): Call => ({
     headers: { 'x-request-id': requestId, 'x-run-digest': digest, 'x-holder': 'vm~1', 'x-vm': 'vm' },
     json: { model: 'es', messages: MESSAGES, max_tokens: 6, stream: true }
@@ -80,7 +80,7 @@
   ]
   for (const { name, control, status, effect, after } of faults) {
     it(`table with fault "${name}"`, async () => {
-      const table = await start(tableParts())
+      const table = await start(tableDefinition())
       const write = async () => await table.call('/table/transact', { json: WRITE, headers: { 'x-vm': 'vm' } })
       await table.order(control)
       expect((await write()).status).to.equal(status)
@@ -90,39 +90,39 @@
     })
   }
 
-  const bad: readonly { name: string, path: string, call: Call, status: number }[] = [
+  const invalidRequests: readonly { name: string, path: string, call: Call, status: number }[] = [
     { name: 'unknown path', path: '/nothing', call: {}, status: 404 },
     { name: 'wrong method', path: '/table/read', call: {}, status: 405 },
     { name: 'body that does not match the schema', path: '/table/read', call: { json: { key: 1 } }, status: 400 },
     { name: 'write without a value', path: '/table/transact', call: { json: { checks: [], writes: [{ table: 't', key: 'k' }] } }, status: 400 },
     { name: 'failed check', path: '/table/transact', call: { json: { checks: [{ table: 't', key: 'k', version: 3 }], writes: [] } }, status: 409 }
   ]
-  for (const { name, path, call, status } of bad) {
+  for (const { name, path, call, status } of invalidRequests) {
     it(`table refuses: ${name}`, async () => {
-      const table = await start(tableParts())
+      const table = await start(tableDefinition())
       expect((await table.call(path, call)).status).to.equal(status)
     })
   }
 
   it('refuses control messages with unknown fields', async () => {
-    expect(await (await start(tableParts())).order({ mixNext: true })).to.equal(400)
+    expect(await (await start(tableDefinition())).order({ mixNext: true })).to.equal(400)
   })
 
   it('stores objects, limits the rate of weights and lists VMs', async () => {
-    const objects = await start(objectParts())
+    const objects = await start(objectStoreDefinition())
     expect((await objects.call('/objects/a/b', { method: 'PUT', json: { n: 1 } })).status).to.equal(204)
     expect((await objects.call('/objects/a/b')).body).to.equal('{"n":1}')
     expect((await objects.call('/objects/c')).status).to.equal(404)
-    const weights = await start(weightParts({ perMinute: 1, burst: 1, sets: ['m@1'] }))
+    const weights = await start(weightStoreDefinition({ perMinute: 1, burst: 1, sets: ['m@1'] }))
     const statuses = []
     for (const path of ['/weights/m/2', '/weights/m/1', '/weights/m/1']) statuses.push((await weights.call(path)).status)
     expect(statuses).to.deep.equal([404, 200, 429])
-    const list = await start(vmListParts(0))
+    const list = await start(vmListDefinition(0))
     expect(JSON.parse((await list.call('/vms')).body).vms).to.deep.equal([])
   })
 
   it('an application executes a repeated call again, also after its answer was lost', async () => {
-    const application = await start(applicationParts({ name: 'app', service: 's', delayMs: 0 }))
+    const application = await start(applicationDefinition({ name: 'app', service: 's', delayMs: 0 }))
     await application.order({ loseAnswers: 1 })
     const statuses = []
     for (const requestId of ['r', 'r']) statuses.push((await application.call('/escorts', { json: { n: 1 }, headers: { 'x-request-id': requestId } })).status)
@@ -137,12 +137,12 @@
   const text = answerText({ requestId: 'r', model: 'es', messages: MESSAGES }, 6)
   const contents = (body: string, id: string): string =>
     [...body.matchAll(/^data: (\{.*\})$/gm)].map(match => JSON.parse(match[1]!)).filter(event => event.id === id).map(event => event.choices[0].delta.content).join('')
-  const streams: readonly { name: string, control: object, own: string, foreign: string, ends: number }[] = [
-    { name: 'none', control: {}, own: text, foreign: '', ends: 1 },
-    { name: 'a piece of another run', control: { mixNext: true }, own: text, foreign: 'ajeno ', ends: 1 },
-    { name: 'two ends', control: { doubleEnd: true }, own: text, foreign: '', ends: 2 }
+  const streams: readonly { name: string, control: object, expected: string, expectedOther: string, ends: number }[] = [
+    { name: 'none', control: {}, expected: text, expectedOther: '', ends: 1 },
+    { name: 'a piece of another run', control: { mixNext: true }, expected: text, expectedOther: 'ajeno ', ends: 1 },
+    { name: 'two ends', control: { doubleEnd: true }, expected: text, expectedOther: '', ends: 2 }
   ]
-  for (const { name, control, own, foreign, ends } of streams) {
+  for (const { name, control, expected: own, expectedOther: foreign, ends } of streams) {
     it(`engine stream with fault "${name}"`, async () => {
       const engine = await startEngine()
       await engine.order(control)
@@ -167,14 +167,14 @@
     expect((await engine.ask('/control/history')).trim().split('\n')).to.have.length(2)
   })
 
-  for (const [name, control, known] of [['killed streams', { killStreams: true }, 404], ['a cut VM', { cut: ['vm'] }, 200]] as const) {
+  for (const [name, control, expectedStatus] of [['killed streams', { killStreams: true }, 404], ['a cut VM', { cut: ['vm'] }, 200]] as const) {
     it(`engine stream ends without its final event on ${name}`, async () => {
       const engine = await startEngine({ msPerToken: 60_000 })
       const stream = engine.call('/v1/chat/completions', complete('r'))
       while ((await engine.call('/v1/runs/r')).status !== 200) await new Promise(resolve => setImmediate(resolve))
       await engine.order(control)
       expect((await stream).status).to.equal(CUT)
-      expect((await engine.call('/v1/runs/r')).status).to.equal(known)
+      expect((await engine.call('/v1/runs/r')).status).to.equal(expectedStatus)
     })
   }
 
--- a/packages/stand-ins/src/control/standIn.ts
+++ b/packages/stand-ins/src/control/standIn.ts
@@ -9,7 +9,7 @@
 import type { HttpRoute } from './httpTypes.js'
 
 /** What is specific to one kind of stand-in. */
-export interface StandInParts {
+export interface StandInDefinition {
   readonly routes: readonly HttpRoute[]
   readonly history: HistoryLog
   /** State dump for tests, sent as JSON. */
@@ -34,7 +34,7 @@
   private readonly serving: HttpPort
   private readonly control: HttpPort
 
-  constructor (addresses: StandInAddresses, private readonly parts: StandInParts) {
+  constructor (addresses: StandInAddresses, private readonly parts: StandInDefinition) {
     this.serving = new HttpPort(addresses.listen, parts.routes, this.guard)
     this.control = new HttpPort(addresses.control, [...this.commonRoutes(), ...parts.controlRoutes ?? []])
   }
@@ -51,7 +51,7 @@
 
   private commonRoutes (): readonly HttpRoute[] {
     return [
-      { method: 'POST', pattern: /^\/control$/, serve: async req => await this.obey(req.json(this.parts.controlSchema ?? controlSchema)) },
+      { method: 'POST', pattern: /^\/control$/, serve: async req => await this.applyControl(req.json(this.parts.controlSchema ?? controlSchema)) },
       { method: 'GET', pattern: /^\/control$/, serve: () => ({ status: 200, body: this.switches() }) },
       { method: 'GET', pattern: /^\/control\/state$/, serve: () => ({ status: 200, body: this.parts.state() }) },
       {
@@ -62,7 +62,7 @@
     ]
   }
 
-  private async obey (control: Control): Promise<{ status: number, body: unknown }> {
+  private async applyControl (control: Control): Promise<{ status: number, body: unknown }> {
     this.guard.apply(control)
     this.parts.onControl?.(control)
     await (this.guard.switches.refuse ? this.serving.close() : this.serving.open())
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -11,12 +11,12 @@
 import { VmPresence } from 'rosemaryspread/presence/vmPresence.js'
 import { VirtualTime } from '../time/virtualTime.js'
 
-const CALL_MS = 4
-const WAIT_MS = 1_000
-const GATHER_MS = 500
-const RETRY_MS = 150
+const CALL_LATENCY_MS = 4
+const FEED_WAIT_MS = 1_000
+const FEED_BATCH_MS = 500
+const FEED_RETRY_MS = 150
 const TICK_MS = 150
-const TARGET_BEAT_MS = 1_200
+const TARGET_HEARTBEAT_MS = 1_200
 const TARGETS_TABLE = 'register'
 
 /** Rows of one table, ordered by version. */
@@ -40,7 +40,7 @@
   }
 
   /** Resolves at the next write, or after `ms`. */
-  change (time: VirtualTime, ms: number): Promise<void> {
+  nextWrite (time: VirtualTime, ms: number): Promise<void> {
     return new Promise(resolve => {
       const cancel = time.after(ms, resolve)
       this.waiting.add(() => {
@@ -72,7 +72,7 @@
 }
 
 /** Current fault of a VM. */
-export type Trouble = 'ended' | 'frozen' | 'cut' | 'writesFail' | 'readsFail'
+export type VmFault = 'ended' | 'frozen' | 'cut' | 'writesFail' | 'readsFail'
 
 const unreachable = new Failure('platformUnavailable', 'no connection')
 
@@ -80,7 +80,7 @@
   /** Number of feed calls, and of rows received by them. */
   calls = 0
   rows = 0
-  trouble: Trouble | undefined
+  fault: VmFault | undefined
   readonly presence: VmPresence
   readonly digest: TableDigest
   /** State of each target, as seen by this VM. */
@@ -114,26 +114,26 @@
       handler: {
         replaced: rows => {
           this.targets.clear()
-          this.take(rows)
+          this.applyRows(rows)
         },
-        changed: rows => { this.take(rows) },
+        changed: rows => { this.applyRows(rows) },
         failed: () => {}
       }
     })
-    while (!this.hasEnded) {
+    while (!this.isTerminated) {
       await this.fleet.time.sleep(TICK_MS)
-      if (this.hasEnded || this.trouble === 'frozen') continue
+      if (this.isTerminated || this.fault === 'frozen') continue
       await this.presence.publishState('serving')
       this.presence.tick()
       this.digest.tick()
     }
   }
 
-  private get hasEnded (): boolean {
-    return this.trouble === 'ended'
+  private get isTerminated (): boolean {
+    return this.fault === 'ended'
   }
 
-  private take (rows: readonly FeedRow[]): void {
+  private applyRows (rows: readonly FeedRow[]): void {
     for (const { key, value } of rows) {
       if (value === null) this.targets.delete(key)
       else this.targets.set(key, (value as { readonly state: string }).state)
@@ -141,42 +141,42 @@
   }
 
   private async transact ({ writes }: Transaction): Promise<Either<Failure, TransactAnswer>> {
-    await this.fleet.time.sleep(CALL_MS)
-    if (this.trouble !== undefined && this.trouble !== 'readsFail') return Left(unreachable)
+    await this.fleet.time.sleep(CALL_LATENCY_MS)
+    if (this.fault !== undefined && this.fault !== 'readsFail') return Left(unreachable)
     for (const { table, key, value } of writes) this.fleet.table.put(table, key, value)
     return Right({ version: this.fleet.table.version, now: 0 })
   }
 
   private follow (table: string, handler: FeedHandler<unknown>): () => void {
     const state = { stopped: false }
-    this.loop(table, handler, state).catch((err: unknown) => { throw err })
+    this.followLoop(table, handler, state).catch((err: unknown) => { throw err })
     return () => { state.stopped = true }
   }
 
-  private async loop (table: string, handler: FeedHandler<unknown>, state: { readonly stopped: boolean }): Promise<void> {
+  private async followLoop (table: string, handler: FeedHandler<unknown>, state: { readonly stopped: boolean }): Promise<void> {
     const { time, table: rows } = this.fleet
     let since: number | undefined
-    while (!state.stopped && !this.hasEnded) {
-      await time.sleep(CALL_MS + this.lagMs)
-      if (this.trouble === 'frozen') continue
+    while (!state.stopped && !this.isTerminated) {
+      await time.sleep(CALL_LATENCY_MS + this.lagMs)
+      if (this.fault === 'frozen') continue
       this.calls += 1
-      if (this.trouble === 'cut' || this.trouble === 'readsFail') {
+      if (this.fault === 'cut' || this.fault === 'readsFail') {
         handler.failed(unreachable)
-        await time.sleep(RETRY_MS)
+        await time.sleep(FEED_RETRY_MS)
         continue
       }
-      const known: number = since ?? 0
-      if (since !== undefined && rows.of(table).since(known).length === 0) await rows.of(table).change(time, WAIT_MS)
-      const told = since === undefined ? rows.all(table) : rows.of(table).since(known)
+      const lastVersion: number = since ?? 0
+      if (since !== undefined && rows.of(table).since(lastVersion).length === 0) await rows.of(table).nextWrite(time, FEED_WAIT_MS)
+      const newRows = since === undefined ? rows.all(table) : rows.of(table).since(lastVersion)
       const version = rows.version
       if (this.lagMs > 0) await time.sleep(this.lagMs)
       if (state.stopped) return
-      this.rows += told.length
-      if (since === undefined) handler.replaced(told)
-      else if (told.length > 0) handler.changed(told)
+      this.rows += newRows.length
+      if (since === undefined) handler.replaced(newRows)
+      else if (newRows.length > 0) handler.changed(newRows)
       since = version
       handler.answered?.()
-      await time.sleep(GATHER_MS)
+      await time.sleep(FEED_BATCH_MS)
     }
   }
 }
@@ -185,10 +185,10 @@
   readonly time = new VirtualTime()
   readonly table = new VirtualTable()
   readonly vms: DigestVm[] = []
-  private readonly beating = new Set<string>()
+  private readonly heartbeating = new Set<string>()
 
   constructor (vms: number, targets: number) {
-    for (let index = 0; index < targets; index += 1) this.beatTarget(`t${index}`, index * TARGET_BEAT_MS / targets)
+    for (let index = 0; index < targets; index += 1) this.scheduleHeartbeat(`t${index}`, index * TARGET_HEARTBEAT_MS / targets)
     this.add(vms)
   }
 
@@ -201,15 +201,15 @@
   }
 
   /** VMs that publish the digest, by rank. */
-  get passing (): readonly DigestVm[] {
-    const names = this.vms.filter(({ trouble }) => trouble !== 'ended').map(({ name }) => name)
+  get publishers (): readonly DigestVm[] {
+    const names = this.vms.filter(({ fault: trouble }) => trouble !== 'ended').map(({ name }) => name)
     return this.vms.filter(({ name }) => publisherRank(name, names) !== undefined).sort((a, b) => (publisherRank(a.name, names) ?? 0) - (publisherRank(b.name, names) ?? 0))
   }
 
   /** VMs without a fault that read the digest. */
   get readers (): readonly DigestVm[] {
-    const passing = new Set(this.passing)
-    return this.vms.filter(vm => vm.trouble === undefined && !passing.has(vm))
+    const passing = new Set(this.publishers)
+    return this.vms.filter(vm => vm.fault === undefined && !passing.has(vm))
   }
 
   /** Marks a target as leaving. */
@@ -217,12 +217,12 @@
     this.table.put(TARGETS_TABLE, target, { state: 'leaving', beat: this.table.version })
   }
 
-  private beatTarget (target: string, afterMs: number): void {
-    this.beating.add(target)
+  private scheduleHeartbeat (target: string, afterMs: number): void {
+    this.heartbeating.add(target)
     this.time.after(afterMs, () => {
       const state = (this.table.of(TARGETS_TABLE).get(target)?.value as { readonly state: string } | undefined)?.state ?? 'ready'
       this.table.put(TARGETS_TABLE, target, { state, beat: this.table.version })
-      this.beatTarget(target, TARGET_BEAT_MS)
+      this.scheduleHeartbeat(target, TARGET_HEARTBEAT_MS)
     })
   }
 }
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -9,7 +9,7 @@
 /** Share by which a step of a full batch is slower than a step of a single run. */
 const FULL_BATCH_SLOWDOWN = 0.5
 /** Lower bound of a step, so that simulated time always advances. */
-const SHORTEST_STEP_MS = 0.1
+const MIN_STEP_MS = 0.1
 
 /** Capacity and speed of the batch. */
 export interface BatchOptions {
@@ -22,7 +22,7 @@
 
 /** Receives the starts and ends of runs. */
 export interface BatchObserver {
-  began (run: EngineRun, at: number): void
+  started (run: EngineRun, at: number): void
   finished (run: EngineRun, at: number): void
 }
 
@@ -44,8 +44,8 @@
 
   /** Queues a new run by priority. */
   add (run: EngineRun, now: number): void {
-    const later = this.waiting.findIndex(other => other.req.priority < run.req.priority)
-    this.waiting.splice(later === -1 ? this.waiting.length : later, 0, run)
+    const insertAt = this.waiting.findIndex(other => other.req.priority < run.req.priority)
+    this.waiting.splice(insertAt === -1 ? this.waiting.length : insertAt, 0, run)
     this.nextStepAt ??= now
   }
 
@@ -71,7 +71,7 @@
   private stepMs (): number {
     const { msPerToken, slots } = this.options
     const slowdown = 1 + FULL_BATCH_SLOWDOWN * Math.max(0, this.running.size - 1) / slots
-    return Math.max(SHORTEST_STEP_MS, msPerToken * slowdown)
+    return Math.max(MIN_STEP_MS, msPerToken * slowdown)
   }
 
   private fillSlots (at: number): void {
@@ -83,12 +83,12 @@
   }
 
   private start (run: EngineRun, at: number): void {
-    const missing = Math.max(0, run.promptLength - this.cache.cachedTokens(run.prefixes))
-    this.promptFreeAt = Math.max(at, this.promptFreeAt) + missing * this.options.promptMsPerToken
+    const uncachedTokens = Math.max(0, run.promptLength - this.cache.cachedTokens(run.prefixes))
+    this.promptFreeAt = Math.max(at, this.promptFreeAt) + uncachedTokens * this.options.promptMsPerToken
     run.readyAt = this.promptFreeAt + this.options.msPerToken
     run.started = true
     this.running.add(run)
-    this.observer.began(run, at)
+    this.observer.started(run, at)
   }
 
   private generate (run: EngineRun, at: number): void {
--- a/packages/stand-ins/src/engine/engineFaults.ts
+++ b/packages/stand-ins/src/engine/engineFaults.ts
@@ -4,30 +4,30 @@
 
 /** Armed faults; each applies once. */
 export class StreamFaults {
-  private mix = false
-  private double = false
+  private isMixArmed = false
+  private isDoubleEndArmed = false
 
   /** The next stream that sends its second piece also sends a piece of another run. */
   mixNext (): void {
-    this.mix = true
+    this.isMixArmed = true
   }
 
   /** The next stream that ends sends its end twice. */
   doubleEnd (): void {
-    this.double = true
+    this.isDoubleEndArmed = true
   }
 
   /** Whether to send a piece of another run now; disarms the fault. */
-  takeMix (): boolean {
-    const due = this.mix
-    this.mix = false
+  consumeMix (): boolean {
+    const due = this.isMixArmed
+    this.isMixArmed = false
     return due
   }
 
   /** Whether to send the end twice now; disarms the fault. */
-  takeDoubleEnd (): boolean {
-    const due = this.double
-    this.double = false
+  consumeDoubleEnd (): boolean {
+    const due = this.isDoubleEndArmed
+    this.isDoubleEndArmed = false
     return due
   }
 }
--- a/packages/stand-ins/src/engine/engineModels.ts
+++ b/packages/stand-ins/src/engine/engineModels.ts
@@ -45,15 +45,15 @@
 
   /** Whether an order has to fetch weights first. */
   needsWeights (order: EngineOrder): boolean {
-    if (this.done.has(order.orderId) || this.isOld(order)) return false
+    if (this.done.has(order.orderId) || this.isStale(order)) return false
     if (order.kind === 'load') return this.loaded.get(order.model)?.version !== order.version
     return order.kind === 'loadAdapter' && this.serves(order.model) && !this.serves(order.model, order.adapter)
   }
 
   /** Carries out an order whose weights have been fetched. Idempotent by order id. */
-  obey (order: EngineOrder): OrderOutcome {
+  execute (order: EngineOrder): OrderOutcome {
     if (this.done.has(order.orderId)) return 'done'
-    const outcome = this.isOld(order) ? 'oldFencing' : this.change(order)
+    const outcome = this.isStale(order) ? 'oldFencing' : this.change(order)
     this.orders.push({ order, outcome })
     if (outcome === 'done') this.done.add(order.orderId)
     if (outcome !== 'oldFencing') this.fencing = order.fencing
@@ -70,7 +70,7 @@
     return { models: this.report, role: this.role, fencing: this.fencing, orders: this.orders }
   }
 
-  private isOld (order: EngineOrder): boolean {
+  private isStale (order: EngineOrder): boolean {
     return this.checksFencing && order.fencing < this.fencing
   }
 
--- a/packages/stand-ins/src/engine/engineParts.spec.ts
+++ b/packages/stand-ins/src/engine/engineParts.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { answerText } from './engineText.js'
-import { languageOf } from './engineWords.js'
+import { detectLanguage } from './engineWords.js'
 import { EngineModels } from './engineModels.js'
 import { PrefixCache, promptPrefixes } from './prefixCache.js'
 
@@ -21,7 +21,7 @@
   for (const { name, checks, orders, outcomes, models } of cases) {
     it(name, () => {
       const engine = new EngineModels(['old'], checks)
-      expect(orders.map(item => engine.obey(item))).to.deep.equal(outcomes)
+      expect(orders.map(item => engine.execute(item))).to.deep.equal(outcomes)
       expect(engine.report.map(({ model, version }) => `${model}@${version}`)).to.deep.equal(models)
     })
   }
@@ -67,7 +67,7 @@
     { model: 'vi-llm', text: 'quote', language: 'vietnamese' }
   ]
   for (const { model, text, language } of cases) {
-    it(`"${text}" to ${model} gets an answer in ${language}`, () => expect(languageOf(model, text)).to.equal(language))
+    it(`"${text}" to ${model} gets an answer in ${language}`, () => expect(detectLanguage(model, text)).to.equal(language))
   }
 
   it('an answer cut by the token limit is a prefix of the full answer', () => {
--- a/packages/stand-ins/src/engine/engineRoutes.ts
+++ b/packages/stand-ins/src/engine/engineRoutes.ts
@@ -3,7 +3,7 @@
  */
 import * as z from 'zod'
 import { chatMessageSchema, engineOrderSchema, type EngineRequest } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { HttpFault, type HttpAnswer, type HttpRequest, type HttpRoute } from '../control/httpTypes.js'
+import { HttpError, type HttpAnswer, type HttpRequest, type HttpRoute } from '../control/httpTypes.js'
 import type { StreamFaults } from './engineFaults.js'
 import type { EngineRun } from './engineRun.js'
 import type { EngineState, SubmitOutcome } from './engineState.js'
@@ -24,16 +24,16 @@
   notLoaded: { status: 404, detail: 'the model or adapter is not loaded' },
   leaving: { status: 503, detail: 'the engine is leaving' }
 }
-const unknownRun: HttpAnswer = { status: 404, body: { error: 'no such run' } }
+const runNotFound: HttpAnswer = { status: 404, body: { error: 'no such run' } }
 
 /** Handlers of the HTTP API. */
 export class EngineService {
-  /** @param touched - called after each request, which may have made a step due */
+  /** @param onRequest - called after each request, which may have made a step due */
   constructor (
     private readonly state: EngineState,
     private readonly faults: StreamFaults,
     private readonly weights: WeightSource,
-    private readonly touched: () => void
+    private readonly onRequest: () => void
   ) {}
 
   routes (): readonly HttpRoute[] {
@@ -53,12 +53,12 @@
 
   private async serve (route: HttpRoute, req: HttpRequest): Promise<HttpAnswer> {
     const answer = await route.serve(req)
-    this.touched()
+    this.onRequest()
     return answer
   }
 
   private submit (req: HttpRequest): HttpAnswer {
-    const outcome = this.state.submit(requestOf(req), Date.now())
+    const outcome = this.state.submit(parseRequest(req), Date.now())
     if (outcome.kind !== 'started' && outcome.kind !== 'joined') {
       const { status, detail } = refusals[outcome.kind]
       return { status, body: { error: detail, reason: outcome.kind } }
@@ -69,7 +69,7 @@
   private resume (req: HttpRequest): HttpAnswer {
     this.state.advance(Date.now())
     const run = this.state.run(req.params[0] ?? '')
-    return run === undefined ? unknownRun : this.follow(run, req.count('from', 0), false)
+    return run === undefined ? runNotFound : this.follow(run, req.count('from', 0), false)
   }
 
   private follow (run: EngineRun, from: number, effect: boolean): HttpAnswer {
@@ -79,19 +79,19 @@
   private find (req: HttpRequest): HttpAnswer {
     this.state.advance(Date.now())
     const record = this.state.find(req.params[0] ?? '')
-    return record === undefined ? unknownRun : { status: 200, body: record }
+    return record === undefined ? runNotFound : { status: 200, body: record }
   }
 
   private list (req: HttpRequest): HttpAnswer {
     const holder = req.url.searchParams.get('holder')
-    if (holder === null) throw new HttpFault(400, 'holder is missing')
+    if (holder === null) throw new HttpError(400, 'holder is missing')
     this.state.advance(Date.now())
     return { status: 200, body: { runs: this.state.list(holder) } }
   }
 
   private cancel (req: HttpRequest): HttpAnswer {
     const record = this.state.cancel(req.params[0] ?? '', Date.now())
-    return record === undefined ? unknownRun : { status: 200, body: record, effect: true }
+    return record === undefined ? runNotFound : { status: 200, body: record, effect: true }
   }
 
   private seal (req: HttpRequest): HttpAnswer {
@@ -102,20 +102,20 @@
   private async order (req: HttpRequest): Promise<HttpAnswer> {
     const order = req.json(engineOrderSchema)
     if (this.state.models.needsWeights(order)) {
-      const { status, retryAfterSeconds } = await this.weights.take(order.model, order.version)
+      const { status, retryAfterSeconds } = await this.weights.fetchWeights(order.model, order.version)
       if (status !== 200) return { status, headers: { 'retry-after': String(retryAfterSeconds) }, body: { error: 'no weights', reason: 'weights' } }
     }
-    const outcome = this.state.obey(order, Date.now(), req.header('x-vm'))
+    const outcome = this.state.execute(order, Date.now(), req.header('x-vm'))
     if (outcome === 'oldFencing') return { status: 412, body: { error: 'the fencing number is old' } }
     if (outcome === 'notLoaded') return { status: 404, body: { error: 'the model is not loaded' } }
     return { status: 200, body: { done: true }, effect: true }
   }
 }
 
-function requestOf (req: HttpRequest): EngineRequest {
+function parseRequest (req: HttpRequest): EngineRequest {
   const body = req.json(submitSchema)
   const requestId = req.header('x-request-id')
-  if (requestId === '') throw new HttpFault(400, 'x-request-id is missing')
+  if (requestId === '') throw new HttpError(400, 'x-request-id is missing')
   return {
     requestId,
     digest: req.header('x-run-digest'),
--- a/packages/stand-ins/src/engine/engineRun.ts
+++ b/packages/stand-ins/src/engine/engineRun.ts
@@ -2,7 +2,7 @@
  * One run of the engine and the streams that follow it.
  */
 import type { EngineRequest, RunRecord, Usage } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { planAnswer, promptTokensOf, type PlannedAnswer } from './engineText.js'
+import { planAnswer, countPromptTokens, type PlannedAnswer } from './engineText.js'
 import { promptPrefixes, type PromptPrefix } from './prefixCache.js'
 
 /** Follows a run; pieces arrive in order. */
@@ -33,7 +33,7 @@
   constructor (readonly req: EngineRequest) {
     this.answer = planAnswer(req, req.maxTokens)
     this.prefixes = promptPrefixes(req.model, req.messages)
-    this.promptTokens = promptTokensOf(req.messages)
+    this.promptTokens = countPromptTokens(req.messages)
   }
 
   get promptLength (): number {
@@ -75,7 +75,7 @@
   }
 
   /** Cancels the run and cuts all its streams. */
-  lose (): void {
+  abort (): void {
     this.state = 'cancelled'
     for (const listener of this.listeners) listener.lost()
     this.listeners.clear()
--- a/packages/stand-ins/src/engine/engineState.spec.ts
+++ b/packages/stand-ins/src/engine/engineState.spec.ts
@@ -4,7 +4,7 @@
 import type { HistoryRecord } from '../history/historyTypes.js'
 import { EngineState, type EngineOptions } from './engineState.js'
 import { answerText } from './engineText.js'
-import { RECORD_KEPT_MS } from './runRegistry.js'
+import { RECORD_RETENTION_MS } from './runRegistry.js'
 
 const OPTIONS: EngineOptions = {
   name: 'engine-1',
@@ -35,7 +35,7 @@
   return { state: new EngineState({ ...OPTIONS, ...changes }, () => 0.5, history, 0), history }
 }
 
-const of = (history: HistoryLog, kind: HistoryRecord['kind']): unknown[] =>
+const recordIds = (history: HistoryLog, kind: HistoryRecord['kind']): unknown[] =>
   history.records.filter(record => record.kind === kind).map(record => 'requestId' in record ? record.requestId : record.kind)
 
 describe('EngineState', () => {
@@ -48,8 +48,8 @@
     { name: 'a new id while leaving', before: state => state.setLeaving(true, 0), req: request('r'), kind: 'leaving' },
     { name: 'a model that is not loaded', before: () => {}, req: request('r', { model: 'none' }), kind: 'notLoaded' },
     { name: 'an adapter that is not loaded', before: () => {}, req: request('r', { adapter: 'none' }), kind: 'notLoaded' },
-    { name: 'an id whose record has expired', before: state => { state.seal('r', 0); state.advance(RECORD_KEPT_MS) }, req: request('r'), at: RECORD_KEPT_MS, kind: 'started' },
-    { name: 'an id whose seal expires in 1 ms', before: state => state.seal('r', 0), req: request('r'), at: RECORD_KEPT_MS - 1, kind: 'sealed' }
+    { name: 'an id whose record has expired', before: state => { state.seal('r', 0); state.advance(RECORD_RETENTION_MS) }, req: request('r'), at: RECORD_RETENTION_MS, kind: 'started' },
+    { name: 'an id whose seal expires in 1 ms', before: state => state.seal('r', 0), req: request('r'), at: RECORD_RETENTION_MS - 1, kind: 'sealed' }
   ]
   for (const { name, before, req, at = 0, kind } of submissions) {
     it(`submit of ${name}: ${kind}`, () => {
@@ -78,7 +78,7 @@
     const generated = ['a', 'b', 'c'].map(id => state.run(id)!.generated)
     expect(generated).to.deep.equal([1, 1, 0])
     state.advance(1000)
-    expect(of(history, 'ran')).to.deep.equal(['a', 'b', 'd', 'c', 'e'])
+    expect(recordIds(history, 'ran')).to.deep.equal(['a', 'b', 'd', 'c', 'e'])
   })
 
   const cancels: readonly { name: string, at: number, tokens: number, state: string, ran: boolean }[] = [
@@ -92,7 +92,7 @@
       expect(state.cancel('r', at)).to.include({ state: expected, completionTokens: tokens })
       state.advance(2000)
       expect(state.find('r')).to.include({ completionTokens: tokens })
-      expect(of(history, 'ended')).to.deep.equal(ran ? ['r'] : [])
+      expect(recordIds(history, 'ended')).to.deep.equal(ran ? ['r'] : [])
     })
   }
 
@@ -102,7 +102,7 @@
     state.submit(request('b'), 0)
     expect(state.cancel('b', 5)).to.include({ state: 'cancelled', promptTokens: 0, completionTokens: 0 })
     state.advance(1000)
-    expect(of(history, 'ran')).to.deep.equal(['a'])
+    expect(recordIds(history, 'ran')).to.deep.equal(['a'])
   })
 
   it('seal of an existing run returns its record and does not affect it', () => {
@@ -126,7 +126,7 @@
     let lost = 0
     if (outcome.kind === 'started') outcome.run.listeners.add({ piece: () => {}, ended: () => {}, lost: () => { lost++ } })
     state.advance(25)
-    state.loseRuns(25)
+    state.abortRuns(25)
     expect(lost).to.equal(1)
     expect(state.find('r')).to.equal(undefined)
     expect(history.records.at(-1)).to.include({ kind: 'ended', state: 'cancelled', tokens: 2 })
--- a/packages/stand-ins/src/engine/engineState.ts
+++ b/packages/stand-ins/src/engine/engineState.ts
@@ -37,31 +37,31 @@
   private leaving = false
   private submitted = 0
   /** Summary of the newest load sample, so that only changes are sampled. */
-  private noted = ''
+  private lastLoadSummary = ''
 
   /** @param random - numbers in [0, 1) */
   constructor (private readonly options: EngineOptions, random: () => number, private readonly history: HistoryLog, now: number) {
     this.models = new EngineModels(options.models, options.checksFencing)
     this.cache = new PrefixCache(options.cache, random)
     this.batch = new Batch(options, this.cache, {
-      began: (run, at) => this.noteBegan(run, at),
+      started: (run, at) => this.recordStart(run, at),
       finished: (run, at) => this.finish(run, at)
     })
-    this.load = new LaggingValue(this.loadNow(), now, options.loadLagMs)
+    this.load = new LaggingValue(this.currentLoad(), now, options.loadLagMs)
   }
 
   /** Simulates everything due by `now`; callers do this before they read the state. */
   advance (now: number): void {
     this.batch.advance(now)
-    this.runs.forget(now)
-    this.noteLoad(now)
+    this.runs.expireRecords(now)
+    this.sampleLoad(now)
   }
 
   /** Starts a run, or joins the run with this id. */
   submit (req: EngineRequest, now: number): SubmitOutcome {
     this.advance(now)
-    const known = this.runs.find(req.requestId)
-    if (known !== undefined) return known.req.digest === req.digest ? { kind: 'joined', run: known } : { kind: 'otherDigest' }
+    const existing = this.runs.find(req.requestId)
+    if (existing !== undefined) return existing.req.digest === req.digest ? { kind: 'joined', run: existing } : { kind: 'otherDigest' }
     if (this.runs.isSealed(req.requestId)) return { kind: 'sealed' }
     if (this.leaving) return { kind: 'leaving' }
     if (!this.models.serves(req.model, req.adapter)) return { kind: 'notLoaded' }
@@ -69,7 +69,7 @@
     this.submitted++
     this.runs.add(run)
     this.batch.add(run, now)
-    this.noteLoad(now)
+    this.sampleLoad(now)
     return { kind: 'started', run }
   }
 
@@ -94,8 +94,8 @@
     if (run?.state === 'running') {
       this.batch.remove(run)
       run.end('cancelled')
-      this.noteEnded(run, now)
-      this.noteLoad(now)
+      this.recordEnd(run, now)
+      this.sampleLoad(now)
     }
     return this.find(requestId)
   }
@@ -114,7 +114,7 @@
   /** The load report, delayed by `loadLagMs`. */
   report (now: number): LoadReport {
     this.advance(now)
-    const { asOf, value } = this.load.seen(now)
+    const { asOf, value } = this.load.valueAt(now)
     return { asOf, ...value }
   }
 
@@ -131,13 +131,13 @@
    * Carries out an order whose weights have been fetched.
    * @param vm - the VM that sent it
    */
-  obey (order: EngineOrder, now: number, vm = ''): OrderOutcome {
+  execute (order: EngineOrder, now: number, vm = ''): OrderOutcome {
     this.advance(now)
-    const known = this.models.orders.length
-    const outcome = this.models.obey(order)
-    const isNew = this.models.orders.length > known
-    if (isNew && outcome === 'done') this.noteOrder(order, now, vm)
-    this.noteLoad(now)
+    const previousCount = this.models.orders.length
+    const outcome = this.models.execute(order)
+    const isNew = this.models.orders.length > previousCount
+    if (isNew && outcome === 'done') this.recordOrder(order, now, vm)
+    this.sampleLoad(now)
     return outcome
   }
 
@@ -145,27 +145,27 @@
   setLeaving (leaving: boolean, now: number): void {
     if (leaving && !this.leaving) this.history.add({ kind: 'runnerLeaving', at: now, runner: this.options.name })
     this.leaving = leaving
-    this.noteLoad(now)
+    this.sampleLoad(now)
   }
 
   /** Aborts all unfinished runs, as a restart of the engine process does. */
-  loseRuns (now: number): void {
+  abortRuns (now: number): void {
     for (const run of [...this.batch.running, ...this.batch.waiting]) {
       this.batch.remove(run)
       this.runs.drop(run)
-      run.lose()
-      this.record(run, now)
+      run.abort()
+      this.addEndRecord(run, now)
     }
-    this.noteLoad(now)
+    this.sampleLoad(now)
   }
 
   /** State dump for tests. */
   get state (): unknown {
-    const { running, waiting } = this.loadNow()
+    const { running, waiting } = this.currentLoad()
     return { name: this.options.name, running, waiting, leaving: this.leaving, submitted: this.submitted, cache: this.cache.size, ...this.models.state as object, runs: this.list() }
   }
 
-  private noteOrder ({ fencing }: EngineOrder, at: number, holder: string): void {
+  private recordOrder ({ fencing }: EngineOrder, at: number, holder: string): void {
     this.history.add({ kind: 'leaseWrite', at, role: `orders at ${this.options.name}`, holder, fencing })
   }
 
@@ -173,20 +173,20 @@
     run.overreport = this.overreportNext
     this.overreportNext = 0
     run.end('finished')
-    this.noteEnded(run, at)
+    this.recordEnd(run, at)
   }
 
-  private noteBegan (run: EngineRun, at: number): void {
+  private recordStart (run: EngineRun, at: number): void {
     const { requestId, team, budget, digest, holder } = run.req
     this.history.add({ kind: 'ran', at: Math.floor(at), requestId, runner: this.options.name, team, budget, digest, holder })
   }
 
-  private noteEnded (run: EngineRun, at: number): void {
-    this.runs.noteEnd(run.req.requestId, at)
-    this.record(run, at)
+  private recordEnd (run: EngineRun, at: number): void {
+    this.runs.startExpiry(run.req.requestId, at)
+    this.addEndRecord(run, at)
   }
 
-  private record (run: EngineRun, at: number): void {
+  private addEndRecord (run: EngineRun, at: number): void {
     if (!run.started) return
     const state = run.state === 'finished' ? 'finished' : 'cancelled'
     const reported = run.overreport > 0 ? { reportedTokens: run.usage.promptTokens + run.usage.completionTokens } : {}
@@ -196,20 +196,20 @@
 
   /** Current load, for the header of a response. */
   loadHeader (): string {
-    const { running, waiting } = this.loadNow()
+    const { running, waiting } = this.currentLoad()
     return `running=${running};waiting=${waiting}`
   }
 
-  private loadNow (): Load {
+  private currentLoad (): Load {
     const { running, waiting } = this.batch
     return { running: running.size, waiting: waiting.length, slots: this.options.slots, models: this.models.report, leaving: this.leaving }
   }
 
-  private noteLoad (now: number): void {
+  private sampleLoad (now: number): void {
     const { running, waiting } = this.batch
     const summary = [running.size, waiting.length, this.leaving, this.models.orders.length].join()
-    if (summary === this.noted) return
-    this.noted = summary
-    this.load.set(this.loadNow(), now)
+    if (summary === this.lastLoadSummary) return
+    this.lastLoadSummary = summary
+    this.load.set(this.currentLoad(), now)
   }
 }
--- a/packages/stand-ins/src/engine/engineStream.ts
+++ b/packages/stand-ins/src/engine/engineStream.ts
@@ -6,15 +6,15 @@
 import type { StreamFaults } from './engineFaults.js'
 import type { EngineRun, RunListener } from './engineRun.js'
 
-const MIXED_PIECE = 1
+const MIXED_PIECE_INDEX = 1
 const DONE = 'data: [DONE]\n\n'
 
 export class EngineStream implements RunListener {
-  private readonly head: string
+  private readonly eventPrefix: string
 
   /** @param load - value of the `x-engine-load` header */
   constructor (private readonly run: EngineRun, private readonly res: ServerResponse, private readonly faults: StreamFaults, private readonly load: string) {
-    this.head = headOf(run.req.requestId, run.req.model)
+    this.eventPrefix = formatEventPrefix(run.req.requestId, run.req.model)
   }
 
   /**
@@ -35,8 +35,8 @@
   }
 
   piece (index: number): void {
-    if (index === MIXED_PIECE && this.faults.takeMix()) this.res.write(this.foreignPiece(index))
-    this.res.write(`id: ${index}\n${this.head}${JSON.stringify(this.run.answer.pieces[index])}},"finish_reason":null}]}\n\n`)
+    if (index === MIXED_PIECE_INDEX && this.faults.consumeMix()) this.res.write(this.pieceOfOtherRun(index))
+    this.res.write(`id: ${index}\n${this.eventPrefix}${JSON.stringify(this.run.answer.pieces[index])}},"finish_reason":null}]}\n\n`)
   }
 
   ended (): void {
@@ -51,19 +51,19 @@
   private writeEnd (): void {
     const { answer: { pieces, finishReason }, usage } = this.run
     const reported = JSON.stringify({ prompt_tokens: usage.promptTokens, completion_tokens: usage.completionTokens })
-    const end = `id: ${pieces.length}\n${this.head}""},"finish_reason":"${finishReason}"}],"usage":${reported}}\n\n`
-    if (this.faults.takeDoubleEnd()) this.res.write(`${end}${DONE}`)
+    const end = `id: ${pieces.length}\n${this.eventPrefix}""},"finish_reason":"${finishReason}"}],"usage":${reported}}\n\n`
+    if (this.faults.consumeDoubleEnd()) this.res.write(`${end}${DONE}`)
     this.res.write(`${end}${DONE}`)
   }
 
   /** A piece with the id of another run. */
-  private foreignPiece (index: number): string {
-    const head = headOf(`foreign-${this.run.req.requestId}`, this.run.req.model)
-    return `id: ${index}\n${head}"ajeno "},"finish_reason":null}]}\n\n`
+  private pieceOfOtherRun (index: number): string {
+    const otherPrefix = formatEventPrefix(`foreign-${this.run.req.requestId}`, this.run.req.model)
+    return `id: ${index}\n${otherPrefix}"ajeno "},"finish_reason":null}]}\n\n`
   }
 }
 
 /** The data of an event, up to the content. */
-function headOf (requestId: string, model: string): string {
+function formatEventPrefix (requestId: string, model: string): string {
   return `data: {"id":${JSON.stringify(requestId)},"model":${JSON.stringify(model)},"choices":[{"index":0,"delta":{"content":`
 }
--- a/packages/stand-ins/src/engine/engineText.ts
+++ b/packages/stand-ins/src/engine/engineText.ts
@@ -4,11 +4,11 @@
  */
 import seedrandom from 'seedrandom'
 import type { ChatMessage } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { answerWords, languageOf } from './engineWords.js'
+import { answerWords, detectLanguage } from './engineWords.js'
 
 /** Bounds of the length of an answer that its token limit does not cut, in tokens. */
-export const SHORTEST_ANSWER = 16
-export const LONGEST_ANSWER = 240
+export const MIN_ANSWER_TOKENS = 16
+export const MAX_ANSWER_TOKENS = 240
 const CHARACTERS_PER_TOKEN = 4
 
 /** What determines an answer. */
@@ -25,10 +25,10 @@
 }
 
 export function planAnswer (subject: AnswerSubject, maxTokens: number): PlannedAnswer {
-  const said = subject.messages.map(({ content }) => content).join('\n')
-  const random = seedrandom(JSON.stringify([subject.requestId, subject.model, said]))
-  const words = answerWords[languageOf(subject.model, said)]
-  const length = SHORTEST_ANSWER + Math.floor(random() * (LONGEST_ANSWER - SHORTEST_ANSWER + 1))
+  const conversation = subject.messages.map(({ content }) => content).join('\n')
+  const random = seedrandom(JSON.stringify([subject.requestId, subject.model, conversation]))
+  const words = answerWords[detectLanguage(subject.model, conversation)]
+  const length = MIN_ANSWER_TOKENS + Math.floor(random() * (MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS + 1))
   const pieces = Array.from({ length: Math.min(length, maxTokens) }, () => `${words[Math.floor(random() * words.length)]} `)
   return { pieces, finishReason: length > maxTokens ? 'length' : 'stop' }
 }
@@ -39,14 +39,14 @@
 }
 
 /** Tokens of a prompt: one per four characters of all contents together, rounded up. */
-export function promptTokensOf (messages: readonly ChatMessage[]): number {
-  return tokensFor(messages.reduce((sum, { content }) => sum + content.length, 0))
+export function countPromptTokens (messages: readonly ChatMessage[]): number {
+  return estimateTokens(messages.reduce((sum, { content }) => sum + content.length, 0))
 }
 
 /**
  * Tokens of a prompt of this length.
  * @param characters - UTF-16 code units
  */
-export function tokensFor (characters: number): number {
+export function estimateTokens (characters: number): number {
   return Math.ceil(characters / CHARACTERS_PER_TOKEN)
 }
--- a/packages/stand-ins/src/engine/engineWords.ts
+++ b/packages/stand-ins/src/engine/engineWords.ts
@@ -36,7 +36,7 @@
  * @param model - the prefix `vi-` selects Vietnamese
  * @param text - all messages so far
  */
-export function languageOf (model: string, text: string): AnswerLanguage {
+export function detectLanguage (model: string, text: string): AnswerLanguage {
   if (model.startsWith('vi-') || VIETNAMESE_LETTERS.test(text)) return 'vietnamese'
   return KICHWA_WORDS.test(text) ? 'kichwa' : 'spanish'
 }
--- a/packages/stand-ins/src/engine/prefixCache.ts
+++ b/packages/stand-ins/src/engine/prefixCache.ts
@@ -4,9 +4,9 @@
  */
 import { createHash } from 'node:crypto'
 import type { CacheEvents, ChatMessage } from '@rosemaryspread/runners/engine/engineTypes.js'
-import { tokensFor } from './engineText.js'
+import { estimateTokens } from './engineText.js'
 
-const KEPT_EVENTS = 10_000
+const MAX_EVENTS = 10_000
 const HASH_LENGTH = 16
 
 /** A prefix of a conversation. */
@@ -36,7 +36,7 @@
   return messages.map(({ role, content }) => {
     hash.update(`\n${role}:${content}`)
     characters += content.length
-    return { hash: hash.copy().digest('hex').slice(0, HASH_LENGTH), tokens: tokensFor(characters) }
+    return { hash: hash.copy().digest('hex').slice(0, HASH_LENGTH), tokens: estimateTokens(characters) }
   })
 }
 
@@ -46,7 +46,7 @@
   dropEvents = false
   /** Tokens that each prefix adds to the next shorter one, least recently used first. */
   private readonly stored = new Map<string, number>()
-  private used = 0
+  private usedTokens = 0
   private lastSequence = 0
   private readonly events: CacheEvent[] = []
 
@@ -71,12 +71,12 @@
    * @param prefixes - shortest first
    */
   store (prefixes: readonly PromptPrefix[], now: number): void {
-    let before = 0
+    let previousTokens = 0
     for (const { hash, tokens } of prefixes) {
-      if (!this.touch(hash)) this.add(hash, tokens - before, now)
-      before = tokens
+      if (!this.touch(hash)) this.add(hash, tokens - previousTokens, now)
+      previousTokens = tokens
     }
-    while (this.used > this.options.capacity) this.evictOldest(now)
+    while (this.usedTokens > this.options.capacity) this.evictOldest(now)
   }
 
   /**
@@ -93,7 +93,7 @@
 
   /** Number of prefixes and tokens stored. */
   get size (): { readonly prefixes: number, readonly tokens: number } {
-    return { prefixes: this.stored.size, tokens: this.used }
+    return { prefixes: this.stored.size, tokens: this.usedTokens }
   }
 
   private touch (hash: string): boolean {
@@ -106,7 +106,7 @@
 
   private add (hash: string, tokens: number, now: number): void {
     this.stored.set(hash, tokens)
-    this.used += tokens
+    this.usedTokens += tokens
     this.publish('stored', hash, now)
   }
 
@@ -114,7 +114,7 @@
     const [oldest] = this.stored
     if (oldest === undefined) return
     this.stored.delete(oldest[0])
-    this.used -= oldest[1]
+    this.usedTokens -= oldest[1]
     this.publish('evicted', oldest[0], now)
   }
 
@@ -123,6 +123,6 @@
     const lost = this.random() < this.options.eventLoss || this.dropEvents
     if (lost) return
     this.events.push({ sequence, kind, prefixHash, at })
-    if (this.events.length > KEPT_EVENTS) this.events.shift()
+    if (this.events.length > MAX_EVENTS) this.events.shift()
   }
 }
--- a/packages/stand-ins/src/engine/runRegistry.ts
+++ b/packages/stand-ins/src/engine/runRegistry.ts
@@ -4,10 +4,10 @@
 import type { RunRecord } from '@rosemaryspread/runners/engine/engineTypes.js'
 import type { EngineRun } from './engineRun.js'
 
-export const RECORD_KEPT_MS = 7_200_000
+export const RECORD_RETENTION_MS = 7_200_000
 
 /** A record that expires; `at` is the end of the run or the time of the seal. */
-interface Ended {
+interface ExpiringRecord {
   readonly requestId: string
   readonly at: number
 }
@@ -16,7 +16,7 @@
   private readonly runs = new Map<string, EngineRun>()
   private readonly seals = new Set<string>()
   /** Oldest first. */
-  private ended: Ended[] = []
+  private ended: ExpiringRecord[] = []
 
   find (requestId: string): EngineRun | undefined {
     return this.runs.get(requestId)
@@ -39,18 +39,18 @@
   seal (requestId: string, now: number): void {
     if (this.seals.has(requestId)) return
     this.seals.add(requestId)
-    this.noteEnd(requestId, now)
+    this.startExpiry(requestId, now)
   }
 
   /** Starts the retention time of a record. */
-  noteEnd (requestId: string, now: number): void {
+  startExpiry (requestId: string, now: number): void {
     this.ended.push({ requestId, at: now })
   }
 
   /** Removes records whose retention time has passed. */
-  forget (now: number): void {
-    const old = this.ended.findIndex(({ at }) => at > now - RECORD_KEPT_MS)
-    const count = old === -1 ? this.ended.length : old
+  expireRecords (now: number): void {
+    const firstCurrent = this.ended.findIndex(({ at }) => at > now - RECORD_RETENTION_MS)
+    const count = firstCurrent === -1 ? this.ended.length : firstCurrent
     for (const { requestId } of this.ended.slice(0, count)) {
       this.runs.delete(requestId)
       this.seals.delete(requestId)
--- a/packages/stand-ins/src/engine/weightSource.ts
+++ b/packages/stand-ins/src/engine/weightSource.ts
@@ -13,7 +13,7 @@
 }
 
 export interface WeightSource {
-  take (model: string, version: string): Promise<WeightAnswer>
+  fetchWeights (model: string, version: string): Promise<WeightAnswer>
 }
 
 /** A rate limit inside the engine, without a weight store. */
@@ -28,8 +28,8 @@
     this.bucket = new TokenBucket(perMinute, burst)
   }
 
-  async take (): Promise<WeightAnswer> {
-    const waitMs = this.bucket.take(performance.now())
+  async fetchWeights (): Promise<WeightAnswer> {
+    const waitMs = this.bucket.tryAcquire(performance.now())
     return { status: waitMs > 0 ? 429 : 200, retryAfterSeconds: Math.ceil(waitMs / 1000) }
   }
 }
@@ -38,7 +38,7 @@
   /** @param name - engine name, sent as `x-vm` so that a test can cut its connections */
   constructor (private readonly baseUrl: string, private readonly name: string) {}
 
-  async take (model: string, version: string): Promise<WeightAnswer> {
+  async fetchWeights (model: string, version: string): Promise<WeightAnswer> {
     const url = `${this.baseUrl}/weights/${encodeURIComponent(model)}/${encodeURIComponent(version)}`
     try {
       const res = await got(url, { throwHttpErrors: false, retry: { limit: 0 }, timeout: { request: TIMEOUT_MS }, headers: { 'x-vm': this.name } })
--- a/packages/stand-ins/src/measure/config/spreadTimes.ts
+++ b/packages/stand-ins/src/measure/config/spreadTimes.ts
@@ -5,7 +5,7 @@
 import { VERSION_TABLE } from '@rosemaryspread/decisions/config/configRows.js'
 import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { ConfigFleet, modelPatch, type FleetVm } from '../../config/configFleet.js'
-import { judgeFleet } from '../../config/configJudge.js'
+import { verifyFleet } from '../../config/configJudge.js'
 import type { MeasureRow } from '../measureTypes.js'
 
 const VMS = 6
@@ -127,7 +127,7 @@
       p99Ms: Math.round(quantile(times, 0.99)),
       maxMs: Math.round(quantile(times, 1)),
       answerP50Ms: answers.length === 0 ? '-' : Math.round(quantile(answers, 0.5)),
-      promisesBroken: judgeFleet(this.#fleet).length
+      promisesBroken: verifyFleet(this.#fleet).length
     }
   }
 
--- a/packages/stand-ins/src/measure/config/wireCost.ts
+++ b/packages/stand-ins/src/measure/config/wireCost.ts
@@ -10,7 +10,7 @@
 import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { ConfigReader, currentKey } from 'rosemaryspread/config/configReader.js'
 import { StandIn } from '../../control/standIn.js'
-import { tableParts } from '../../table/tableRoutes.js'
+import { tableDefinition } from '../../table/tableRoutes.js'
 import type { MeasureRow } from '../measureTypes.js'
 
 const LOOPBACK = '127.0.0.1'
@@ -54,7 +54,7 @@
 
 async function measurePoll (): Promise<MeasureRow> {
   const address = { host: LOOPBACK, port: 0 }
-  const standIn = new StandIn({ listen: address, control: address }, tableParts())
+  const standIn = new StandIn({ listen: address, control: address }, tableDefinition())
   const { listen } = await standIn.start()
   const counter = { bytes: 0 }
   const counted = await relay(listen.port, counter)
--- a/packages/stand-ins/src/measure/placement/placementMeasure.ts
+++ b/packages/stand-ins/src/measure/placement/placementMeasure.ts
@@ -6,7 +6,7 @@
 import seedrandom from 'seedrandom'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import { PlacementWorld } from '../../placement/placementWorld.js'
+import { PlacementHarness } from '../../placement/placementWorld.js'
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 import { NaivePlanner } from './naivePlanner.js'
 
@@ -37,7 +37,7 @@
   ['all at once', () => new NaivePlanner()]
 ]
 
-type Fault = (world: PlacementWorld, random: () => number, shape: Shape) => void
+type Fault = (world: PlacementHarness, random: () => number, shape: Shape) => void
 
 const faults: ReadonlyArray<readonly [string, Fault]> = [
   ['new version of every model', world => world.patch(config => { for (const model of Object.values(config.models)) model.version = '2' })],
@@ -46,7 +46,7 @@
     config.models[names[0]!]!.copies! += 1
     if (names.length > 1) config.models[names.at(-1)!]!.copies! -= 1
   })],
-  ['a runner dies', (world, random) => { holderOf(world, random).die(world.now) }],
+  ['a runner dies', (world, random) => { holderOf(world, random).crash(world.now) }],
   ['a domain is cut off for 10 min', (world, _, shape) => {
     const cut = [...world.engines.values()].filter(({ options }) => options.domain === shape.domains[0])
     for (const engine of cut) Object.assign(engine, { isCut: true, goneAt: world.now })
@@ -74,22 +74,22 @@
 }
 
 /** A runner that has something loaded. */
-function holderOf (world: PlacementWorld, random: () => number): ReturnType<PlacementWorld['engine']> {
+function holderOf (world: PlacementHarness, random: () => number): ReturnType<PlacementHarness['engine']> {
   const holding = [...world.engines.values()].filter(engine => engine.models.report.length > 0)
   return holding[Math.floor(random() * holding.length)]!
 }
 
-function worldOf (shape: Shape, planner: () => PlacementDecider): PlacementWorld {
+function worldOf (shape: Shape, planner: () => PlacementDecider): PlacementHarness {
   const names = shape.domains.flatMap(domain => Array.from({ length: shape.runnersPerDomain }, (_, index) => ({ domain, name: `${domain}-${index}` })))
   const models = Object.entries(shape.models).map(([model, copies]) =>
     [model, { copies: Math.min(copies, names.length) }] as const)
   const runners = names.map(({ domain, name }, index) =>
     [name, { address: `127.0.0.1:${7000 + index}`, domain, models: Object.keys(shape.models), checksFencing: index % 3 !== 0 }] as const)
   const config = { models: Object.fromEntries(models), runners: Object.fromEntries(runners) }
-  return new PlacementWorld({ config, planners: [planner(), planner()] })
+  return new PlacementHarness({ config, planners: [planner(), planner()] })
 }
 
-function decisions (world: PlacementWorld): number {
+function decisions (world: PlacementHarness): number {
   return new Set(world.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size
 }
 
@@ -115,7 +115,7 @@
 }
 
 /** Seconds until the declared state held for good, or `never`. */
-function settle (world: PlacementWorld): number | string {
+function settle (world: PlacementHarness): number | string {
   const start = world.now
   let lastUnplaced = start
   while (world.now - start < LIMIT_MS) {
--- a/packages/stand-ins/src/objects/objectRoutes.ts
+++ b/packages/stand-ins/src/objects/objectRoutes.ts
@@ -2,12 +2,12 @@
  * HTTP API of the object store stand-in; objects are in memory.
  */
 import { HistoryLog } from '../control/historyLog.js'
-import type { StandInParts } from '../control/standIn.js'
+import type { StandInDefinition } from '../control/standIn.js'
 
 const OBJECT_PATH = /^\/objects\/(.+)$/
 
 /** Creates an empty object store. */
-export function objectParts (): StandInParts {
+export function objectStoreDefinition (): StandInDefinition {
   const objects = new Map<string, Buffer>()
   return {
     routes: [
--- a/packages/stand-ins/src/placement/placementChaos.spec.ts
+++ b/packages/stand-ins/src/placement/placementChaos.spec.ts
@@ -7,14 +7,14 @@
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import { NaivePlanner } from '../measure/placement/naivePlanner.js'
-import { PlacementWorld } from './placementWorld.js'
+import { PlacementHarness } from './placementWorld.js'
 
 const MINUTE = 60_000
 const HEAL_MS = 20 * MINUTE
 const RUNNERS = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2']
 const MODELS = ['m', 'n']
 /** Bound of the orders that one fault may cause; the start and the end count as one fault each. */
-const ORDERS_EACH = 12
+const MAX_ORDERS_PER_FAULT = 12
 
 const runner = fc.constantFrom(...RUNNERS)
 const model = fc.constantFrom(...MODELS)
@@ -28,55 +28,55 @@
 )
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never
 
-function worldOf (planner: () => PlacementDecider, ignoring: readonly string[]): PlacementWorld {
+function createHarness (planner: () => PlacementDecider, ignoringFencing: readonly string[]): PlacementHarness {
   const runners = RUNNERS.map((name, index) =>
-    [name, { address: `127.0.0.1:${7000 + index}`, domain: name.slice(0, 1), models: MODELS, checksFencing: !ignoring.includes(name) }])
+    [name, { address: `127.0.0.1:${7000 + index}`, domain: name.slice(0, 1), models: MODELS, checksFencing: !ignoringFencing.includes(name) }])
   const config = { models: { m: { copies: 3 }, n: { copies: 2 } }, runners: Object.fromEntries(runners) }
   const engines = { a1: { models: ['m', 'n'] }, b1: { models: ['m'] }, c2: { models: ['n'] } }
-  return new PlacementWorld({ config, engines, planners: [planner(), planner()] })
+  return new PlacementHarness({ config, engines, planners: [planner(), planner()] })
 }
 
-function apply (world: PlacementWorld, item: Step): void {
+function applyStep (harness: PlacementHarness, item: Step): void {
   switch (item.kind) {
-    case 'version': return world.patch(config => { config.models[item.model]!.version = String(item.value) })
-    case 'copies': return world.patch(config => { config.models[item.model]!.copies = item.value })
-    case 'adapters': return world.patch(config => { config.models[item.model]!.adapters = ['x', 'y'].slice(0, item.value) })
-    case 'forbid': return world.patch(config => { config.runners[item.runner]!.models = ['n'] })
-    case 'allow': return world.patch(config => { config.runners[item.runner]!.models = MODELS })
-    case 'die': return world.engine(item.runner).die(world.now)
-    case 'freeze': case 'thaw': return setFrozen(world, item.holder, item.kind === 'freeze')
-    default: return disturb(world, item)
+    case 'version': return harness.patch(config => { config.models[item.model]!.version = String(item.value) })
+    case 'copies': return harness.patch(config => { config.models[item.model]!.copies = item.value })
+    case 'adapters': return harness.patch(config => { config.models[item.model]!.adapters = ['x', 'y'].slice(0, item.value) })
+    case 'forbid': return harness.patch(config => { config.runners[item.runner]!.models = ['n'] })
+    case 'allow': return harness.patch(config => { config.runners[item.runner]!.models = MODELS })
+    case 'die': return harness.engine(item.runner).crash(harness.now)
+    case 'freeze': case 'thaw': return setFrozen(harness, item.holder, item.kind === 'freeze')
+    default: return applyEngineFault(harness, item)
   }
 }
 
-function setFrozen (world: PlacementWorld, holder: number, isFrozen: boolean): void {
-  world.holders[holder]!.isFrozen = isFrozen
+function setFrozen (harness: PlacementHarness, holder: number, isFrozen: boolean): void {
+  harness.holders[holder]!.isFrozen = isFrozen
 }
 
-function disturb (world: PlacementWorld, item: Extract<Step, { runner: string }>): void {
-  const engine = world.engine(item.runner)
+function applyEngineFault (harness: PlacementHarness, item: Extract<Step, { runner: string }>): void {
+  const engine = harness.engine(item.runner)
   if (item.kind === 'lose') engine.loseAnswers += item.value
   if (item.kind === 'revive') engine.isDown = false
-  if (item.kind === 'cut') Object.assign(engine, { isCut: true, goneAt: world.now })
+  if (item.kind === 'cut') Object.assign(engine, { isCut: true, goneAt: harness.now })
   if (item.kind === 'heal') engine.isCut = false
   if (item.kind === 'leave' || item.kind === 'stay') engine.isLeaving = item.kind === 'leave'
 }
 
 /** Violations of one run. */
-function play (planner: () => PlacementDecider, ignoring: readonly string[], steps: ReadonlyArray<readonly [Step, number]>): readonly string[] {
-  const world = worldOf(planner, ignoring)
+function findViolations (planner: () => PlacementDecider, ignoringFencing: readonly string[], steps: ReadonlyArray<readonly [Step, number]>): readonly string[] {
+  const harness = createHarness(planner, ignoringFencing)
   for (const [item, pauseMs] of steps) {
-    apply(world, item)
-    world.run(pauseMs)
+    applyStep(harness, item)
+    harness.run(pauseMs)
   }
-  for (const holder of world.holders) holder.isFrozen = false
-  for (const engine of world.engines.values()) Object.assign(engine, { isDown: false, isCut: false, isLeaving: false, loseAnswers: 0 })
-  const isHealed = world.runUntilPlaced(HEAL_MS) < HEAL_MS
-  const decided = new Set(world.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size
+  for (const holder of harness.holders) holder.isFrozen = false
+  for (const engine of harness.engines.values()) Object.assign(engine, { isDown: false, isCut: false, isLeaving: false, loseAnswers: 0 })
+  const isHealed = harness.runUntilPlaced(HEAL_MS) < HEAL_MS
+  const decided = new Set(harness.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size
   return [
-    ...world.harmful,
+    ...harness.harmful,
     ...isHealed ? [] : ['the declared state was not reached'],
-    ...decided > (steps.length + 2) * ORDERS_EACH ? [`${decided} orders`] : []
+    ...decided > (steps.length + 2) * MAX_ORDERS_PER_FAULT ? [`${decided} orders`] : []
   ]
 }
 
@@ -89,13 +89,13 @@
 
   it('unloads nothing harmfully, reaches the declared state, and issues a bounded number of orders', () => {
     fc.assert(fc.property(ignoring, script, (names, steps) => {
-      expect(play(() => new PlacementPlanner(), names, steps)).to.deep.equal([])
+      expect(findViolations(() => new PlacementPlanner(), names, steps)).to.deep.equal([])
     }), settings)
   })
 
   it('detects a planner that orders everything at once (counter-example)', () => {
     expect(() => fc.assert(fc.property(ignoring, script, (names, steps) => {
-      expect(play(() => new NaivePlanner(), names, steps)).to.deep.equal([])
+      expect(findViolations(() => new NaivePlanner(), names, steps)).to.deep.equal([])
     }), { ...settings, endOnFailure: true })).to.throw()
   })
 })
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -5,12 +5,12 @@
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import { NaivePlanner } from '../measure/placement/naivePlanner.js'
-import { PlacementWorld, type PlacementWorldOptions } from './placementWorld.js'
-import { ContentIds, DeafPlanner, ForgetfulPlanner, HastyPlanner, ImpatientPlanner, NoFencePass, NoReadBack } from './weakPlanners.spec.js'
+import { PlacementHarness, type PlacementHarnessOptions } from './placementWorld.js'
+import { ContentIdPlanner, IgnoresLeavingPlanner, ForgetfulPlanner, NoHysteresisPlanner, ImpatientPlanner, NoFencingAnnouncementPlanner, NoReadBackPlanner } from './weakPlanners.spec.js'
 
 const MINUTE = 60_000
 
-type Part = Partial<PlacementWorldOptions>
+type HarnessOptions = Partial<PlacementHarnessOptions>
 
 /** Three domains with two runners each; all may serve the model. */
 function fleet (copies: number, more: object = {}): object {
@@ -19,235 +19,235 @@
   return { models: { m: { version: '1', copies } }, runners: Object.fromEntries(runners), limits: { placement: true } }
 }
 
-function loaded (...names: readonly string[]): PlacementWorldOptions['engines'] {
+function loaded (...names: readonly string[]): PlacementHarnessOptions['engines'] {
   return Object.fromEntries(names.map(name => [name, { models: ['m@1'] }]))
 }
 
-function setVersion (world: PlacementWorld, version: string): void {
-  world.patch(config => { config.models['m']!.version = version })
+function setVersion (harness: PlacementHarness, version: string): void {
+  harness.patch(config => { config.models['m']!.version = version })
 }
 
-function loads (world: PlacementWorld): number {
-  return new Set(world.sent.filter(({ kind }) => kind === 'load').map(({ orderId }) => orderId)).size
+function countLoads (harness: PlacementHarness): number {
+  return new Set(harness.sent.filter(({ kind }) => kind === 'load').map(({ orderId }) => orderId)).size
 }
 
 interface FaultCase {
   readonly fault: string
-  readonly promise: string
-  readonly weaker: string
+  readonly guarantee: string
+  readonly counterExample: string
   readonly weak: () => PlacementDecider
-  readonly weakPart?: Part
-  readonly part: Part
+  readonly faultyOptions?: HarnessOptions
+  readonly part: HarnessOptions
   /** Returns whether the guarantee held. */
-  readonly run: (world: PlacementWorld) => boolean
+  readonly run: (harness: PlacementHarness) => boolean
 }
 
 const cases: readonly FaultCase[] = [
   {
     fault: 'a new version',
-    promise: 'never fewer copies serve than declared, and no copy is loaded needlessly',
-    weaker: 'a planner that orders everything at once',
+    guarantee: 'never fewer copies serve than declared, and no copy is loaded needlessly',
+    counterExample: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      world.run(MINUTE)
-      const before = world.shortMs
-      setVersion(world, '2')
-      const ms = world.runUntilPlaced(10 * MINUTE)
-      return ms < 10 * MINUTE && world.shortMs === before && loads(world) === 3
+    run: harness => {
+      harness.run(MINUTE)
+      const before = harness.shortMs
+      setVersion(harness, '2')
+      const ms = harness.runUntilPlaced(10 * MINUTE)
+      return ms < 10 * MINUTE && harness.shortMs === before && countLoads(harness) === 3
     }
   },
   {
     fault: 'a new version of a single copy whose spare runner is in another domain',
-    promise: 'the last copy is not unloaded before its replacement serves',
-    weaker: 'a planner that orders everything at once',
+    guarantee: 'the last copy is not unloaded before its replacement serves',
+    counterExample: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(1), engines: loaded('b1') },
-    run: world => {
-      world.run(MINUTE)
-      setVersion(world, '2')
-      return world.runUntilPlaced(5 * MINUTE) < 5 * MINUTE && world.absentMs === 0
+    run: harness => {
+      harness.run(MINUTE)
+      setVersion(harness, '2')
+      return harness.runUntilPlaced(5 * MINUTE) < 5 * MINUTE && harness.absentMs === 0
     }
   },
   {
     fault: 'an order of a former holder that is delivered after it resumes',
-    promise: 'engines that check fencing refuse it, though the new holder had no order for them',
-    weaker: 'a planner that does not announce its fencing number',
-    weak: () => new NoFencePass(),
+    guarantee: 'engines that check fencing refuse it, though the new holder had no order for them',
+    counterExample: 'a planner that does not announce its fencing number',
+    weak: () => new NoFencingAnnouncementPlanner(),
     part: { config: fleet(2), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      const [first] = world.holders
+    run: harness => {
+      const [first] = harness.holders
       // The order to unload the surplus copy is in transit when the holder is paused.
-      while (!world.sent.some(({ kind }) => kind === 'unload')) world.run(100)
+      while (!harness.sent.some(({ kind }) => kind === 'unload')) harness.run(100)
       first!.isFrozen = true
-      const victim = world.sent.at(-1)!.orderId.split('/')[2]!
+      const victim = harness.sent.at(-1)!.orderId.split('/')[2]!
       const others = ['a1', 'b1', 'c1'].filter(name => name !== victim)
-      others.forEach(name => { world.engine(name).die(world.now) })
+      others.forEach(name => { harness.engine(name).crash(harness.now) })
       // The new holder relies on the copy that the late order unloads.
-      world.run(12_000)
+      harness.run(12_000)
       first!.isFrozen = false
-      world.run(2_000)
-      return world.engine(victim).holds('m')
+      harness.run(2_000)
+      return harness.engine(victim).hasModel('m')
     }
   },
   {
     fault: 'engines that ignore fencing numbers, and a late order of a former holder',
-    promise: 'its effect is detected in the reports and corrected',
-    weaker: 'a planner that ignores later reports',
-    weak: () => new NoReadBack(),
+    guarantee: 'its effect is detected in the reports and corrected',
+    counterExample: 'a planner that ignores later reports',
+    weak: () => new NoReadBackPlanner(),
     part: { config: fleet(6, { checksFencing: false }), engines: loaded('a1', 'a2', 'b1', 'b2', 'c1', 'c2') },
-    run: world => {
-      world.run(MINUTE)
-      setVersion(world, '2')
-      while (loads(world) === 0) world.run(100)
-      world.holders[0]!.isFrozen = true
-      world.run(MINUTE)
-      setVersion(world, '3')
-      world.runUntilPlaced(5 * MINUTE)
-      world.holders[0]!.isFrozen = false
-      world.run(1_000)
-      return !world.isPlaced() && world.runUntilPlaced(5 * MINUTE) < 5 * MINUTE
+    run: harness => {
+      harness.run(MINUTE)
+      setVersion(harness, '2')
+      while (countLoads(harness) === 0) harness.run(100)
+      harness.holders[0]!.isFrozen = true
+      harness.run(MINUTE)
+      setVersion(harness, '3')
+      harness.runUntilPlaced(5 * MINUTE)
+      harness.holders[0]!.isFrozen = false
+      harness.run(1_000)
+      return !harness.isPlaced() && harness.runUntilPlaced(5 * MINUTE) < 5 * MINUTE
     }
   },
   {
     fault: 'engines that ignore fencing numbers, and a frozen holder that resumes',
-    promise: 'it sends no order after its lease has expired',
-    weaker: 'a holder that does not check its lease',
+    guarantee: 'it sends no order after its lease has expired',
+    counterExample: 'a holder that does not check its lease',
     weak: () => new PlacementPlanner(),
-    weakPart: { holder: { checksLease: false } },
+    faultyOptions: { holder: { checksLease: false } },
     part: { config: fleet(3, { checksFencing: false }), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      world.run(MINUTE)
-      world.holders[0]!.isFrozen = true
-      world.run(MINUTE)
-      setVersion(world, '2')
-      world.runUntilPlaced(5 * MINUTE)
-      const before = world.sent.length
-      world.holders[0]!.isFrozen = false
-      world.run(2 * MINUTE)
-      return world.sent.slice(before).every(({ fencing }) => fencing === 2)
+    run: harness => {
+      harness.run(MINUTE)
+      harness.holders[0]!.isFrozen = true
+      harness.run(MINUTE)
+      setVersion(harness, '2')
+      harness.runUntilPlaced(5 * MINUTE)
+      const before = harness.sent.length
+      harness.holders[0]!.isFrozen = false
+      harness.run(2 * MINUTE)
+      return harness.sent.slice(before).every(({ fencing }) => fencing === 2)
     }
   },
   {
     fault: 'a copy that is unloaded by someone else',
-    promise: 'it is ordered again, under a new order id',
-    weaker: 'a planner whose order ids depend on the content alone',
-    weak: () => new ContentIds(),
+    guarantee: 'it is ordered again, under a new order id',
+    counterExample: 'a planner whose order ids depend on the content alone',
+    weak: () => new ContentIdPlanner(),
     part: { config: fleet(1), engines: loaded('b1') },
-    run: world => {
-      world.run(MINUTE)
-      setVersion(world, '2')
-      world.runUntilPlaced(5 * MINUTE)
-      const holder = world.sent.find(({ kind }) => kind === 'load')!.orderId.split('/')[2]!
-      for (const name of world.engines.keys()) if (name !== holder) world.engine(name).isLeaving = true
-      world.engine(holder).take({ orderId: 'by-hand', fencing: 1, kind: 'unload', model: 'm', version: '2' }, world.now)
-      world.run(3 * MINUTE)
-      return world.serving('m', true) === 1
+    run: harness => {
+      harness.run(MINUTE)
+      setVersion(harness, '2')
+      harness.runUntilPlaced(5 * MINUTE)
+      const holder = harness.sent.find(({ kind }) => kind === 'load')!.orderId.split('/')[2]!
+      for (const name of harness.engines.keys()) if (name !== holder) harness.engine(name).isLeaving = true
+      harness.engine(holder).receive({ orderId: 'by-hand', fencing: 1, kind: 'unload', model: 'm', version: '2' }, harness.now)
+      harness.run(3 * MINUTE)
+      return harness.serving('m', true) === 1
     }
   },
   {
     fault: 'lost answers of orders',
-    promise: 'the order is repeated under its id, and nothing is loaded twice',
-    weaker: 'a planner that drops the order',
+    guarantee: 'the order is repeated under its id, and nothing is loaded twice',
+    counterExample: 'a planner that drops the order',
     weak: () => new ForgetfulPlanner(),
     part: { config: fleet(3), engines: {} },
-    run: world => {
-      for (const engine of world.engines.values()) engine.loseAnswers = 2
-      const ms = world.runUntilPlaced(5 * MINUTE)
-      const ids = new Set(world.sent.filter(({ kind }) => kind === 'load').map(({ orderId }) => orderId))
+    run: harness => {
+      for (const engine of harness.engines.values()) engine.loseAnswers = 2
+      const ms = harness.runUntilPlaced(5 * MINUTE)
+      const ids = new Set(harness.sent.filter(({ kind }) => kind === 'load').map(({ orderId }) => orderId))
       return ms < 5 * MINUTE && ids.size === 3
     }
   },
   {
     fault: 'a weight store at its rate limit',
-    promise: 'requests are repeated only after its `retry-after`',
-    weaker: 'a planner that retries at once',
+    guarantee: 'requests are repeated only after its `retry-after`',
+    counterExample: 'a planner that retries at once',
     weak: () => new ImpatientPlanner(),
     part: { config: fleet(6), engines: {}, weightsPerMinute: 2, weightsBurst: 1 },
-    run: world => world.runUntilPlaced(10 * MINUTE) < 10 * MINUTE && world.weightRefusals <= 12
+    run: harness => harness.runUntilPlaced(10 * MINUTE) < 10 * MINUTE && harness.weightRefusals <= 12
   },
   {
     fault: 'a runner that crashes',
-    promise: 'its copy is replaced once, in its domain, and no other copy moves',
-    weaker: 'a planner that orders everything at once',
+    guarantee: 'its copy is replaced once, in its domain, and no other copy moves',
+    counterExample: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a2', 'b2', 'c2') },
-    run: world => {
-      world.run(2 * MINUTE)
-      world.engine('b2').die(world.now)
-      world.run(2 * MINUTE)
-      const { orders } = world
-      return world.engine('b1').serves('m') && new Set(world.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size === 1 && orders > 0
+    run: harness => {
+      harness.run(2 * MINUTE)
+      harness.engine('b2').crash(harness.now)
+      harness.run(2 * MINUTE)
+      const { orders } = harness
+      return harness.engine('b1').serves('m') && new Set(harness.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size === 1 && orders > 0
     }
   },
   {
     fault: 'a domain that fails and recovers',
-    promise: 'copies move to the other domains, are then distributed over all domains again, and no copy is unloaded too early',
-    weaker: 'a planner that orders everything at once',
+    guarantee: 'copies move to the other domains, are then distributed over all domains again, and no copy is unloaded too early',
+    counterExample: 'a planner that orders everything at once',
     weak: () => new NaivePlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      world.run(MINUTE)
-      for (const name of ['a1', 'a2']) Object.assign(world.engine(name), { isCut: true, goneAt: world.now })
-      world.run(3 * MINUTE)
-      const during = world.domainsOf('m').join('')
-      for (const name of ['a1', 'a2']) world.engine(name).isCut = false
-      world.run(5 * MINUTE)
-      return during === 'bbc' && world.domainsOf('m').join('') === 'abc' && world.harmful.length === 0 && loads(world) <= 6
+    run: harness => {
+      harness.run(MINUTE)
+      for (const name of ['a1', 'a2']) Object.assign(harness.engine(name), { isCut: true, goneAt: harness.now })
+      harness.run(3 * MINUTE)
+      const during = harness.servingDomains('m').join('')
+      for (const name of ['a1', 'a2']) harness.engine(name).isCut = false
+      harness.run(5 * MINUTE)
+      return during === 'bbc' && harness.servingDomains('m').join('') === 'abc' && harness.harmful.length === 0 && countLoads(harness) <= 6
     }
   },
   {
     fault: 'runners that are repeatedly unreachable',
-    promise: 'copies move only the first time',
-    weaker: 'a planner without hysteresis',
-    weak: () => new HastyPlanner(),
+    guarantee: 'copies move only the first time',
+    counterExample: 'a planner without hysteresis',
+    weak: () => new NoHysteresisPlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      world.run(MINUTE)
+    run: harness => {
+      harness.run(MINUTE)
       for (let round = 0; round < 12; round += 1) {
-        Object.assign(world.engine('a1'), { isCut: true, goneAt: world.now })
-        Object.assign(world.engine('a2'), { isCut: true, goneAt: world.now })
-        world.run(20_000)
-        Object.assign(world.engine('a1'), { isCut: false })
-        Object.assign(world.engine('a2'), { isCut: false })
-        world.run(40_000)
+        Object.assign(harness.engine('a1'), { isCut: true, goneAt: harness.now })
+        Object.assign(harness.engine('a2'), { isCut: true, goneAt: harness.now })
+        harness.run(20_000)
+        Object.assign(harness.engine('a1'), { isCut: false })
+        Object.assign(harness.engine('a2'), { isCut: false })
+        harness.run(40_000)
       }
-      return new Set(world.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size <= 6
+      return new Set(harness.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size <= 6
     }
   },
   {
     fault: 'a runner that reports that it is leaving, and one that the configuration marks as leaving',
-    promise: 'they get no new copies, and theirs are replaced elsewhere',
-    weaker: 'a planner that is not informed of it',
-    weak: () => new DeafPlanner(),
+    guarantee: 'they get no new copies, and theirs are replaced elsewhere',
+    counterExample: 'a planner that is not informed of it',
+    weak: () => new IgnoresLeavingPlanner(),
     part: { config: fleet(3), engines: loaded('a1', 'b1', 'c1') },
-    run: world => {
-      world.run(MINUTE)
-      world.engine('a1').isLeaving = true
-      world.patch(config => { config.runners['b1']!.state = 'leaving' })
-      world.run(5_000)
-      const before = world.sent.length
-      world.runUntilPlaced(5 * MINUTE)
-      setVersion(world, '2')
-      world.run(5 * MINUTE)
-      const after = world.sent.slice(before).map(({ orderId }) => orderId.split('/')[2])
-      return world.serving('m', true) === 3 && !after.includes('a1') && !after.includes('b1')
+    run: harness => {
+      harness.run(MINUTE)
+      harness.engine('a1').isLeaving = true
+      harness.patch(config => { config.runners['b1']!.state = 'leaving' })
+      harness.run(5_000)
+      const before = harness.sent.length
+      harness.runUntilPlaced(5 * MINUTE)
+      setVersion(harness, '2')
+      harness.run(5 * MINUTE)
+      const after = harness.sent.slice(before).map(({ orderId }) => orderId.split('/')[2])
+      return harness.serving('m', true) === 3 && !after.includes('a1') && !after.includes('b1')
     }
   }
 ]
 
-function worldOf (planner: () => PlacementDecider, part: Part): PlacementWorld {
-  return new PlacementWorld({ config: fleet(3), planners: [planner(), planner()], ...part })
+function createHarness (planner: () => PlacementDecider, options: HarnessOptions): PlacementHarness {
+  return new PlacementHarness({ config: fleet(3), planners: [planner(), planner()], ...options })
 }
 
 describe('placement under faults', () => {
-  for (const { fault, promise, weaker, weak, weakPart, part, run } of cases) {
+  for (const { fault, guarantee: promise, counterExample: weaker, weak: createFaulty, faultyOptions: weakPart, part: options, run } of cases) {
     it(`${fault}: ${promise}`, () => {
-      expect(run(worldOf(() => new PlacementPlanner(), part))).to.equal(true)
+      expect(run(createHarness(() => new PlacementPlanner(), options))).to.equal(true)
     })
 
     it(`${fault}: ${weaker} violates it (counter-example)`, () => {
-      expect(run(worldOf(weak, { ...part, ...weakPart }))).to.equal(false)
+      expect(run(createHarness(createFaulty, { ...options, ...weakPart }))).to.equal(false)
     })
   }
 })
--- a/packages/stand-ins/src/placement/placementWorld.ts
+++ b/packages/stand-ins/src/placement/placementWorld.ts
@@ -12,9 +12,9 @@
 /** When the lease expires: for its holder, and later for the other VMs. */
 const LEASE_MS = { holder: 5_000, others: 7_000 }
 /** How long a replaced configuration or an unreachable engine still counts when an unload is checked. */
-const JUDGE_MS = 40_000
+const RECENT_MS = 40_000
 
-export interface PlacementWorldOptions {
+export interface PlacementHarnessOptions {
   readonly config: unknown
   /** Settings by runner; defaults come from the configuration. */
   readonly engines?: Readonly<Record<string, Partial<SimulatedEngineOptions>>>
@@ -24,7 +24,7 @@
   readonly weightsBurst?: number
 }
 
-export class PlacementWorld {
+export class PlacementHarness {
   now = 0
   readonly engines = new Map<string, SimulatedEngine>()
   readonly holders: readonly SimulatedHolder[]
@@ -46,12 +46,12 @@
   private pending: { readonly at: number, readonly run: () => void }[] = []
   private configs: { readonly until: number, readonly config: FleetConfig }[] = []
 
-  constructor (options: PlacementWorldOptions) {
+  constructor (options: PlacementHarnessOptions) {
     this.config = fleetConfigSchema.parse(options.config)
     const weights = new TokenBucket(options.weightsPerMinute ?? 30, options.weightsBurst ?? 4)
     for (const [runner, cfg] of Object.entries(this.config.runners)) {
       const settings = { domain: cfg.domain, models: [], checksFencing: cfg.checksFencing, loadMs: 20_000, lagMs: 2_000, ...options.engines?.[runner] }
-      this.engines.set(runner, new SimulatedEngine(settings, weights, order => { this.judgeUnload(runner, order) }))
+      this.engines.set(runner, new SimulatedEngine(settings, weights, order => { this.checkUnload(runner, order) }))
     }
     this.holders = options.planners.map(planner => new SimulatedHolder(this, planner, options.holder ?? { checksLease: true }))
   }
@@ -89,41 +89,41 @@
     return engine
   }
 
-  noteOrder (order: PlacementOrder): void {
+  recordOrder (order: PlacementOrder): void {
     if (order.kind === 'role') this.fenceOrders += 1
     else this.orders += 1
     this.sent.push(order)
   }
 
   /** Number of serving copies, optionally only of the declared version. */
-  serving (model: string, isDeclared = false): number {
-    const version = isDeclared ? this.config.models[model]?.version : undefined
-    return this.placesOf(model).filter(([, engine]) => !engine.isCut && engine.serves(model, version)).length
+  serving (model: string, onlyDeclaredVersion = false): number {
+    const version = onlyDeclaredVersion ? this.config.models[model]?.version : undefined
+    return this.eligibleEngines(model).filter(([, engine]) => !engine.isCut && engine.serves(model, version)).length
   }
 
   /** Number of declared copies, limited by the reachable runners that may hold them. */
   declared (model: string, config = this.config): number {
     const found = config.models[model]
-    return found === undefined ? 0 : Math.min(found.copies ?? Infinity, this.placesOf(model, config).filter(([, engine]) => engine.isReachable).length)
+    return found === undefined ? 0 : Math.min(found.copies ?? Infinity, this.eligibleEngines(model, config).filter(([, engine]) => engine.isReachable).length)
   }
 
   /** Whether each model has exactly the declared copies, in the declared version. */
   isPlaced (): boolean {
     return Object.keys(this.config.models).every(model => {
       const { version = '', adapters = [] } = this.config.models[model] ?? {}
-      const places = this.placesOf(model).filter(([, engine]) => engine.isReachable)
-      const good = places.filter(([, engine]) => engine.serves(model, version) && adapters.every(adapter => engine.models.serves(model, adapter)))
-      const holding = [...this.engines].filter(([, engine]) => engine.isReachable && !engine.isLeaving && engine.holds(model))
-      return good.length === this.declared(model) && holding.length === good.length
+      const eligible = this.eligibleEngines(model).filter(([, engine]) => engine.isReachable)
+      const upToDate = eligible.filter(([, engine]) => engine.serves(model, version) && adapters.every(adapter => engine.models.serves(model, adapter)))
+      const holding = [...this.engines].filter(([, engine]) => engine.isReachable && !engine.isLeaving && engine.hasModel(model))
+      return upToDate.length === this.declared(model) && holding.length === upToDate.length
     })
   }
 
   /** Failure domain of each serving copy of a model, sorted. */
-  domainsOf (model: string): readonly string[] {
-    return this.placesOf(model).filter(([, engine]) => engine.isReachable && engine.serves(model)).map(([, engine]) => engine.options.domain).sort()
+  servingDomains (model: string): readonly string[] {
+    return this.eligibleEngines(model).filter(([, engine]) => engine.isReachable && engine.serves(model)).map(([, engine]) => engine.options.domain).sort()
   }
 
-  private placesOf (model: string, config = this.config): ReadonlyArray<readonly [string, SimulatedEngine]> {
+  private eligibleEngines (model: string, config = this.config): ReadonlyArray<readonly [string, SimulatedEngine]> {
     return [...this.engines].filter(([runner, engine]) => {
       const cfg = config.runners[runner]
       return cfg?.state === 'active' && cfg.models.includes(model) && !engine.isLeaving
@@ -136,12 +136,12 @@
     this.pending = this.pending.filter(({ at }) => at > this.now)
     for (const { run } of due) run()
     for (const engine of this.engines.values()) engine.advance(this.now)
-    this.keepLease()
+    this.updateLease()
     for (const holder of this.holders) holder.step()
     this.count()
   }
 
-  private keepLease (): void {
+  private updateLease (): void {
     const { lease } = this
     if (lease !== undefined && !lease.holder.isFrozen && lease.holder.fencing === this.fencing && this.now < lease.holder.validUntil) {
       lease.renewedAt = this.now
@@ -149,10 +149,10 @@
     }
     if (lease !== undefined && this.now - lease.renewedAt < LEASE_MS.others) return
     const next = this.holders.find(holder => !holder.isFrozen && holder !== lease?.holder) ?? this.holders.find(holder => !holder.isFrozen)
-    if (next !== undefined) this.give(next)
+    if (next !== undefined) this.grantLease(next)
   }
 
-  private give (holder: SimulatedHolder): void {
+  private grantLease (holder: SimulatedHolder): void {
     this.fencing += 1
     this.lease = { holder, renewedAt: this.now }
     holder.fencing = this.fencing
@@ -169,15 +169,15 @@
   }
 
   /** Records an unload that leaves fewer copies than declared, by the recent configuration that declares the fewest. */
-  private judgeUnload (runner: string, { model, fencing, orderId }: PlacementOrder): void {
+  private checkUnload (runner: string, { model, fencing, orderId }: PlacementOrder): void {
     if (fencing < this.fencing && !this.engine(runner).options.checksFencing) return
-    const known = [this.config, ...this.configs.filter(({ until }) => until > this.now - JUDGE_MS).map(({ config }) => config)]
-    const least = Math.min(...known.map(config => this.declared(model, config)))
-    const left = [...this.engines].filter(([name, engine]) => {
-      const isGoneLong = !engine.isReachable && engine.goneAt < this.now - JUDGE_MS
-      return name !== runner && !isGoneLong && (engine.holds(model) || !engine.isReachable)
+    const recentConfigs = [this.config, ...this.configs.filter(({ until }) => until > this.now - RECENT_MS).map(({ config }) => config)]
+    const minDeclared = Math.min(...recentConfigs.map(config => this.declared(model, config)))
+    const remaining = [...this.engines].filter(([name, engine]) => {
+      const isLongUnreachable = !engine.isReachable && engine.goneAt < this.now - RECENT_MS
+      return name !== runner && !isLongUnreachable && (engine.hasModel(model) || !engine.isReachable)
     })
-    const isPlace = known.some(config => config.runners[runner]?.models.includes(model))
-    if (isPlace && left.length < least) this.harmful.push(`${this.now}: ${orderId} left ${left.length} of ${least}`)
+    const wasEligible = recentConfigs.some(config => config.runners[runner]?.models.includes(model))
+    if (wasEligible && remaining.length < minDeclared) this.harmful.push(`${this.now}: ${orderId} left ${remaining.length} of ${minDeclared}`)
   }
 }
--- a/packages/stand-ins/src/placement/simulatedEngine.ts
+++ b/packages/stand-ins/src/placement/simulatedEngine.ts
@@ -28,7 +28,7 @@
   goneAt = 0
   models: EngineModels
   private readonly loading = new Map<string, { readonly order: PlacementOrder, readonly endsAt: number }>()
-  private seen: LaggingValue<LoadReport['models']>
+  private laggingReport: LaggingValue<LoadReport['models']>
 
   /**
    * @param weights - rate limit of the weight store
@@ -36,7 +36,7 @@
    */
   constructor (readonly options: SimulatedEngineOptions, private readonly weights: TokenBucket, private readonly onUnload: (order: PlacementOrder) => void) {
     this.models = new EngineModels(options.models, options.checksFencing)
-    this.seen = new LaggingValue(this.models.report, 0, options.lagMs)
+    this.laggingReport = new LaggingValue(this.models.report, 0, options.lagMs)
   }
 
   get isReachable (): boolean {
@@ -44,24 +44,24 @@
   }
 
   /** Whether any version of the model is loaded. */
-  holds (model: string): boolean {
+  hasModel (model: string): boolean {
     return this.models.serves(model)
   }
 
   /** Whether the model serves in this version, or in any; a model that is being loaded does not. */
   serves (model: string, version?: string): boolean {
     const isLoading = [...this.loading.values()].some(({ order }) => order.kind === 'load' && order.model === model)
-    const isThere = this.models.report.some(item => item.model === model && (version === undefined || item.version === version))
-    return !this.isDown && isThere && !isLoading
+    const isLoaded = this.models.report.some(item => item.model === model && (version === undefined || item.version === version))
+    return !this.isDown && isLoaded && !isLoading
   }
 
   /** Crashes the process; it restarts with nothing loaded. */
-  die (now: number): void {
+  crash (now: number): void {
     this.isDown = true
     this.goneAt = now
     this.loading.clear()
     this.models = new EngineModels([], this.options.checksFencing)
-    this.seen = new LaggingValue(this.models.report, now, this.options.lagMs)
+    this.laggingReport = new LaggingValue(this.models.report, now, this.options.lagMs)
   }
 
   /** Completes the loads that end by `now`. */
@@ -69,36 +69,36 @@
     for (const [id, { order, endsAt }] of this.loading) {
       if (endsAt > now) continue
       this.loading.delete(id)
-      this.models.obey(order)
-      this.seen.set(this.models.report, now)
+      this.models.execute(order)
+      this.laggingReport.set(this.models.report, now)
     }
   }
 
   /** The models as reported, delayed by `lagMs`. */
   report (now: number): LoadReport['models'] {
-    return this.seen.seen(now).value
+    return this.laggingReport.valueAt(now).value
   }
 
   /** Receives an order. A load is answered only after it ends, so its outcome here is `unknown`. */
-  take (order: PlacementOrder, now: number): PlacementOutcome {
-    const outcome = this.obey(order, now)
+  receive (order: PlacementOrder, now: number): PlacementOutcome {
+    const outcome = this.execute(order, now)
     if (outcome.kind !== 'done' || this.loseAnswers === 0) return outcome
     this.loseAnswers -= 1
     return { kind: 'unknown' }
   }
 
-  private obey (order: PlacementOrder, now: number): PlacementOutcome {
+  private execute (order: PlacementOrder, now: number): PlacementOutcome {
     if (this.loading.has(order.orderId)) return { kind: 'unknown' }
     if (this.models.needsWeights(order)) return this.load(order, now)
     if (order.kind === 'unload' && this.models.report.some(({ model, version }) => model === order.model && version === order.version)) this.onUnload(order)
-    const outcome = this.models.obey(order)
-    this.seen.set(this.models.report, now)
+    const outcome = this.models.execute(order)
+    this.laggingReport.set(this.models.report, now)
     if (outcome === 'oldFencing') return { kind: 'oldFencing' }
     return { kind: outcome === 'done' ? 'done' : 'refused' }
   }
 
   private load (order: PlacementOrder, now: number): PlacementOutcome {
-    const waitMs = this.weights.take(now)
+    const waitMs = this.weights.tryAcquire(now)
     if (waitMs > 0) return { kind: 'refused', retryAfterMs: Math.ceil(waitMs / MS_PER_SECOND) * MS_PER_SECOND }
     this.loading.set(order.orderId, { order, endsAt: now + this.options.loadMs })
     return { kind: 'unknown' }
--- a/packages/stand-ins/src/placement/simulatedHolder.ts
+++ b/packages/stand-ins/src/placement/simulatedHolder.ts
@@ -5,13 +5,13 @@
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { PlacementAction, PlacementDecider, PlacementEvent } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import type { PlacementWorld } from './placementWorld.js'
+import type { PlacementHarness } from './placementWorld.js'
 
-const TICK_MS = 1_000
+const TICK_INTERVAL_MS = 1_000
 /** One-way latency of a call. */
-const WIRE_MS = 5
+const LATENCY_MS = 5
 /** Timeout of a call without an answer. */
-const CALL_MS = 2_000
+const CALL_TIMEOUT_MS = 2_000
 
 export interface SimulatedHolderOptions {
   /** Whether it checks before each order that its lease is still valid; a faulty holder checks only on acquisition. */
@@ -24,71 +24,71 @@
   fencing: number | undefined
   validUntil = 0
   private nextTickAt = 0
-  private known: FleetConfig | undefined
+  private currentConfig: FleetConfig | undefined
 
-  constructor (private readonly world: PlacementWorld, readonly planner: PlacementDecider, private readonly options: SimulatedHolderOptions) {}
+  constructor (private readonly harness: PlacementHarness, readonly planner: PlacementDecider, private readonly options: SimulatedHolderOptions) {}
 
   mayAct (): boolean {
     if (this.isFrozen || this.fencing === undefined) return false
-    return !this.options.checksLease || this.world.now < this.validUntil
+    return !this.options.checksLease || this.harness.now < this.validUntil
   }
 
   feed (event: PlacementEvent): void {
-    const { now } = this.world
+    const { now } = this.harness
     const at: Instant = { mono: now, wall: now }
     for (const action of this.planner.handle(event, at)) this.send(action)
   }
 
   step (): void {
-    if (this.isFrozen || this.world.now < this.nextTickAt) return
-    this.nextTickAt = this.world.now + TICK_MS
+    if (this.isFrozen || this.harness.now < this.nextTickAt) return
+    this.nextTickAt = this.harness.now + TICK_INTERVAL_MS
     this.followConfig()
     if (this.fencing !== undefined && !this.mayAct()) {
       this.fencing = undefined
       this.feed({ kind: 'lost' })
     }
     if (!this.mayAct()) return
-    for (const runner of this.world.engines.keys()) this.poll(runner)
+    for (const runner of this.harness.engines.keys()) this.poll(runner)
     this.feed({ kind: 'tick' })
   }
 
   private followConfig (): void {
-    const { config } = this.world
-    if (config === this.known) return
-    this.known = config
+    const { config } = this.harness
+    if (config === this.currentConfig) return
+    this.currentConfig = config
     this.feed({ kind: 'configured', config })
   }
 
   private poll (runner: string): void {
-    const { world } = this
+    const { harness: world } = this
     const engine = world.engines.get(runner)
     if (engine === undefined || !engine.isReachable) return
     const models = engine.report(world.now)
     const leaving = engine.isLeaving
-    world.after(WIRE_MS * 2, () => { this.whenAwake(() => { this.feed({ kind: 'reported', runner, models, leaving }) }) })
+    world.after(LATENCY_MS * 2, () => { this.whenAwake(() => { this.feed({ kind: 'reported', runner, models, leaving }) }) })
   }
 
   private send ({ runner, order }: PlacementAction): void {
-    const { world } = this
+    const { harness: world } = this
     if (!this.mayAct()) return
-    world.noteOrder(order)
+    world.recordOrder(order)
     const engine = world.engines.get(runner)
     const answer = (outcome: Extract<PlacementEvent, { kind: 'answered' }>['outcome'], ms: number): void =>
       world.after(ms, () => { this.whenAwake(() => { this.feed({ kind: 'answered', orderId: order.orderId, outcome }) }) })
-    if (engine === undefined || !engine.isReachable) return answer({ kind: 'notSent' }, WIRE_MS)
-    world.after(WIRE_MS, () => {
+    if (engine === undefined || !engine.isReachable) return answer({ kind: 'notSent' }, LATENCY_MS)
+    world.after(LATENCY_MS, () => {
       // Orders in transit from a paused VM are delivered when it resumes.
       this.whenAwake(() => {
-        if (engine.isDown) return answer({ kind: 'unknown' }, CALL_MS)
-        const outcome = engine.take(order, world.now)
+        if (engine.isDown) return answer({ kind: 'unknown' }, CALL_TIMEOUT_MS)
+        const outcome = engine.receive(order, world.now)
         if (outcome.kind === 'refused' && outcome.retryAfterMs !== undefined) world.weightRefusals += 1
-        answer(outcome, outcome.kind === 'unknown' ? CALL_MS : WIRE_MS)
+        answer(outcome, outcome.kind === 'unknown' ? CALL_TIMEOUT_MS : LATENCY_MS)
       })
     })
   }
 
   private whenAwake (run: () => void): void {
     if (!this.isFrozen) return run()
-    this.world.after(TICK_MS / 10, () => { this.whenAwake(run) })
+    this.harness.after(TICK_INTERVAL_MS / 10, () => { this.whenAwake(run) })
   }
 }
--- a/packages/stand-ins/src/placement/weakPlanners.spec.ts
+++ b/packages/stand-ins/src/placement/weakPlanners.spec.ts
@@ -7,7 +7,7 @@
 import { defaultPlacementLimits } from '@rosemaryspread/decisions/placement/placementTypes.js'
 
 /** Modifies the events and actions of the product's planner. */
-abstract class WeakPlanner implements PlacementDecider {
+abstract class FaultyPlanner implements PlacementDecider {
   protected readonly inner: PlacementDecider
 
   constructor (limits: Partial<PlacementLimits> = {}) {
@@ -18,52 +18,52 @@
 }
 
 /** Reuses the id of an earlier order with the same content. */
-export class ContentIds extends WeakPlanner {
-  private readonly own = new Map<string, string>()
+export class ContentIdPlanner extends FaultyPlanner {
+  private readonly actualIds = new Map<string, string>()
 
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
-    const told = event.kind === 'answered' ? { ...event, orderId: this.own.get(event.orderId) ?? event.orderId } : event
-    return this.inner.handle(told, now).map(action => {
+    const translated = event.kind === 'answered' ? { ...event, orderId: this.actualIds.get(event.orderId) ?? event.orderId } : event
+    return this.inner.handle(translated, now).map(action => {
       const orderId = action.order.orderId.replace(/^(placement\/\d+\/[^/]+)\/\d+/, '$1')
-      this.own.set(orderId, action.order.orderId)
+      this.actualIds.set(orderId, action.order.orderId)
       return { ...action, order: { ...action.order, orderId } }
     })
   }
 }
 
 /** Assumes that an order, once reported as carried out, stays in effect, and ignores later reports. */
-export class NoReadBack extends WeakPlanner {
-  private readonly believed = new Map<string, readonly LoadedModel[]>()
+export class NoReadBackPlanner extends FaultyPlanner {
+  private readonly assumedModels = new Map<string, readonly LoadedModel[]>()
   private readonly ordered = new Map<string, string>()
 
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
-    const actions = this.inner.handle(event.kind === 'reported' ? this.believe(event) : event, now)
+    const actions = this.inner.handle(event.kind === 'reported' ? this.replaceReport(event) : event, now)
     for (const { runner, order } of actions) if (order.kind === 'load') this.ordered.set(runner, order.version)
     return actions
   }
 
-  private believe (event: Extract<PlacementEvent, { kind: 'reported' }>): PlacementEvent {
+  private replaceReport (event: Extract<PlacementEvent, { kind: 'reported' }>): PlacementEvent {
     const { runner, models } = event
     if (models.some(({ version }) => version === this.ordered.get(runner))) {
       this.ordered.delete(runner)
-      this.believed.set(runner, models)
+      this.assumedModels.set(runner, models)
     }
-    return { ...event, models: this.believed.get(runner) ?? models }
+    return { ...event, models: this.assumedModels.get(runner) ?? models }
   }
 }
 
 /** Does not announce its fencing number to engines before it sends orders. */
-export class NoFencePass extends WeakPlanner {
+export class NoFencingAnnouncementPlanner extends FaultyPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     const actions = this.inner.handle(event, now)
-    const fences = actions.filter(({ order }) => order.kind === 'role')
-    const more = fences.flatMap(({ order }) => this.inner.handle({ kind: 'answered', orderId: order.orderId, outcome: { kind: 'done' } }, now))
-    return [...actions, ...more].filter(({ order }) => order.kind !== 'role')
+    const announcements = actions.filter(({ order }) => order.kind === 'role')
+    const followUps = announcements.flatMap(({ order }) => this.inner.handle({ kind: 'answered', orderId: order.orderId, outcome: { kind: 'done' } }, now))
+    return [...actions, ...followUps].filter(({ order }) => order.kind !== 'role')
   }
 }
 
 /** Drops an order whose answer was lost, and plans again. */
-export class ForgetfulPlanner extends WeakPlanner {
+export class ForgetfulPlanner extends FaultyPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     const isLost = event.kind === 'answered' && event.outcome.kind === 'unknown'
     return this.inner.handle(isLost ? { ...event, outcome: { kind: 'refused', retryAfterMs: 0 } } : event, now)
@@ -71,7 +71,7 @@
 }
 
 /** Retries at once when the weight store is at its rate limit. */
-export class ImpatientPlanner extends WeakPlanner {
+export class ImpatientPlanner extends FaultyPlanner {
   constructor () {
     super({ weightsPerMinute: 6_000, weightsBurst: 100, refusalBackoffMs: 0 })
   }
@@ -83,7 +83,7 @@
 }
 
 /** Acts on the latest report without hysteresis. */
-export class HastyPlanner extends WeakPlanner {
+export class NoHysteresisPlanner extends FaultyPlanner {
   constructor () {
     super({ downAfterMs: 2_500, stabilizationMs: 0, surplusMs: 0 })
   }
@@ -94,7 +94,7 @@
 }
 
 /** Ignores that a runner is leaving. */
-export class DeafPlanner extends WeakPlanner {
+export class IgnoresLeavingPlanner extends FaultyPlanner {
   handle (event: PlacementEvent, now: Instant): readonly PlacementAction[] {
     if (event.kind !== 'configured') return this.inner.handle(event.kind === 'reported' ? { ...event, leaving: false } : event, now)
     const runners = Object.fromEntries(Object.entries(event.config.runners).map(([runner, cfg]) => [runner, { ...cfg, state: 'active' as const }]))
--- a/packages/stand-ins/src/request/serviceFakes.spec.ts
+++ b/packages/stand-ins/src/request/serviceFakes.spec.ts
@@ -20,7 +20,7 @@
 import { TableState } from '../table/tableState.js'
 
 /** Fault of the next calls to a runner. */
-export type RunnerFault = 'none' | 'unreachable' | 'diesDuring'
+export type RunnerFault = 'none' | 'unreachable' | 'crashesDuringCall'
 
 /** Application runners that record the request id of each execution. */
 export class FakeApplications implements ApplicationClient {
@@ -31,7 +31,7 @@
     const fault = this.faults.get(address) ?? 'none'
     if (fault === 'unreachable') return Left(new Failure('runnerUnreachable', 'no connection'))
     this.executions.push(call.requestId)
-    if (fault === 'diesDuring') return Left(new Failure('runnerUnreachable', 'the answer was lost', { ran: 'unknown' }))
+    if (fault === 'crashesDuringCall') return Left(new Failure('runnerUnreachable', 'the answer was lost', { ran: 'unknown' }))
     return Right({ status: 200, contentType: 'application/json', body: Buffer.from(`done ${this.executions.length}`) })
   }
 }
@@ -65,9 +65,9 @@
   readonly lines: Array<Readonly<Record<string, unknown>>> = []
   private readonly service: ClaimedServiceCalls
 
-  constructor (vm: string, state: TableState, applications: ApplicationClient, claimsOver: (table: TableStore) => ClaimStore = table => new ClaimStore(table)) {
+  constructor (vm: string, state: TableState, applications: ApplicationClient, createClaims: (table: TableStore) => ClaimStore = table => new ClaimStore(table)) {
     this.table = new MemoryTableStore(state)
-    const claims = claimsOver(this.table)
+    const claims = createClaims(this.table)
     const log: EventLog = { write: (event, fields) => { this.lines.push({ event, ...fields }) } }
     this.service = new ClaimedServiceCalls({
       holder: `${vm}~1`,
@@ -110,12 +110,12 @@
  * Creates a fleet of two VMs.
  * @param createClaims - claims of each VM; faulty ones for counter-examples
  */
-export function serviceFleet (claimsOver?: (table: TableStore) => ClaimStore): ServiceFleet {
+export function createServiceFleet (createClaims?: (table: TableStore) => ClaimStore): ServiceFleet {
   const state = new TableState()
   const applications = new FakeApplications()
   return {
-    a: new ServiceVm('a', state, applications, claimsOver),
-    b: new ServiceVm('b', state, applications, claimsOver),
+    a: new ServiceVm('a', state, applications, createClaims),
+    b: new ServiceVm('b', state, applications, createClaims),
     applications
   }
 }
--- a/packages/stand-ins/src/table/memoryTableStore.ts
+++ b/packages/stand-ins/src/table/memoryTableStore.ts
@@ -17,7 +17,7 @@
   /** Number of next transactions that are lost without effect; the outcome is unknown to the caller. */
   loseRequests = 0
   /** Awaited before each call takes effect; lets a test delay or order calls. */
-  before: (operation: TableOperation) => Promise<void> = async () => {}
+  beforeCall: (operation: TableOperation) => Promise<void> = async () => {}
   /** Number of calls, including failed ones. */
   readonly calls: Record<TableOperation, number> = { read: 0, scan: 0, transact: 0 }
 
@@ -39,23 +39,23 @@
 
   private async call<T> (operation: TableOperation, effect: () => Either<Failure, T>): Promise<Either<Failure, T>> {
     this.calls[operation]++
-    await this.before(operation)
+    await this.beforeCall(operation)
     if (this.outage) return Left(new Failure('platformUnavailable', 'simulated outage of the table'))
-    return copyOf(effect())
+    return cloneOutcome(effect())
   }
 
   private commit (tx: Transaction): Either<Failure, TransactAnswer> {
     const checked = transactionSchema.safeParse(tx)
     if (!checked.success) return Left(new Failure('badRequest', checked.error.message))
-    if (take(this, 'loseRequests')) return Left(outcomeUnknown())
+    if (consumeFault(this, 'loseRequests')) return Left(outcomeUnknown())
     const outcome = this.state.transact(tx)
-    if (outcome.isRight() && take(this, 'loseAnswers')) return Left(outcomeUnknown())
+    if (outcome.isRight() && consumeFault(this, 'loseAnswers')) return Left(outcomeUnknown())
     return outcome.mapLeft(conflicts => new Failure('platformConflict', conflicts.map(({ table, key }) => `${table}/${key}`).join(', ')))
   }
 }
 
 /** Decrements the counter of a fault; returns whether the fault applies now. */
-function take (store: MemoryTableStore, name: 'loseAnswers' | 'loseRequests'): boolean {
+function consumeFault (store: MemoryTableStore, name: 'loseAnswers' | 'loseRequests'): boolean {
   if (store[name] <= 0) return false
   store[name]--
   return true
@@ -65,6 +65,6 @@
   return new Failure('platformOutcomeUnknown', 'the answer of the transaction was lost', { ran: 'unknown' })
 }
 
-function copyOf<T> (outcome: Either<Failure, T>): Either<Failure, T> {
+function cloneOutcome<T> (outcome: Either<Failure, T>): Either<Failure, T> {
   return outcome.map(answer => structuredClone(answer))
 }
--- a/packages/stand-ins/src/table/tableHistory.spec.ts
+++ b/packages/stand-ins/src/table/tableHistory.spec.ts
@@ -30,7 +30,7 @@
       const log = new HistoryLog()
       const history = new TableHistory(log)
       const state = new TableState(() => 7)
-      state.onCommit(rows => history.note(rows))
+      state.onCommit(rows => history.recordRows(rows))
       for (const [table, key, value] of writes) state.transact({ checks: [], writes: [{ table, key, value }] })
       expect(log.records.map(({ kind }) => kind)).to.deep.equal(kinds)
     })
--- a/packages/stand-ins/src/table/tableHistory.ts
+++ b/packages/stand-ins/src/table/tableHistory.ts
@@ -16,16 +16,16 @@
 type Reader = (row: Row) => HistoryRecord[]
 
 const readers: Readonly<Record<string, Reader>> = {
-  topups: reader(topUpRowSchema, ({ budget, operationId, tokens }, at) => [{ kind: 'paid', at, budget, operationId, tokens }]),
-  segments: reader(segmentRowSchema, ({ holder, bills }, at) =>
+  topups: createReader(topUpRowSchema, ({ budget, operationId, tokens }, at) => [{ kind: 'paid', at, budget, operationId, tokens }]),
+  segments: createReader(segmentRowSchema, ({ holder, bills }, at) =>
     bills.map(({ requestId, budget, tokens }) => ({ kind: 'billed', at, requestId, budget, tokens, holder }))),
-  claims: reader(claimSchema, ({ requestId, holder }, at, key) => [{ kind: 'claimed', at, requestId: requestId ?? key, holder }]),
-  configs: reader(configSchema, ({ version, patchId }, at) => [{ kind: 'configAccepted', at, version, patchId }]),
-  leases: reader(leaseSchema, ({ holder, fencing, role }, at, key) => [{ kind: 'leaseTaken', at, role: role ?? key, holder, fencing }])
+  claims: createReader(claimSchema, ({ requestId, holder }, at, key) => [{ kind: 'claimed', at, requestId: requestId ?? key, holder }]),
+  configs: createReader(configSchema, ({ version, patchId }, at) => [{ kind: 'configAccepted', at, version, patchId }]),
+  leases: createReader(leaseSchema, ({ holder, fencing, role }, at, key) => [{ kind: 'leaseTaken', at, role: role ?? key, holder, fencing }])
 }
-const readFenced = reader(fencedSchema, ({ holder, fencing, role }, at) => [{ kind: 'leaseWrite', at, role, holder, fencing }])
+const readFencedWrite = createReader(fencedSchema, ({ holder, fencing, role }, at) => [{ kind: 'leaseWrite', at, role, holder, fencing }])
 
-function reader<T> (schema: z.ZodType<T>, records: (value: T, at: number, key: string) => HistoryRecord[]): Reader {
+function createReader<T> (schema: z.ZodType<T>, records: (value: T, at: number, key: string) => HistoryRecord[]): Reader {
   return row => {
     const checked = schema.safeParse(row.value)
     return checked.success ? records(checked.data, row.updatedAt, row.key) : []
@@ -35,7 +35,7 @@
 /** Turns commits into history records. */
 export class TableHistory {
   /** Records derived from the last write of each row, by `<table>/<key>`. */
-  private readonly said = new Map<string, ReadonlySet<string>>()
+  private readonly lastRecords = new Map<string, ReadonlySet<string>>()
 
   constructor (private readonly log: HistoryLog) {}
 
@@ -43,24 +43,24 @@
    * Records the rows of one committed transaction.
    * @param rows - rows as written; the value `null` deletes the row
    */
-  note (rows: readonly Row[]): void {
+  recordRows (rows: readonly Row[]): void {
     for (const row of rows) {
-      const read = readers[row.table]
-      if (read === undefined) for (const record of readFenced(row)) this.log.add(record)
-      else this.noteNew(row, read(row))
+      const readRow = readers[row.table]
+      if (readRow === undefined) for (const record of readFencedWrite(row)) this.log.add(record)
+      else this.addNewRecords(row, readRow(row))
     }
   }
 
-  private noteNew (row: Row, records: readonly HistoryRecord[]): void {
+  private addNewRecords (row: Row, records: readonly HistoryRecord[]): void {
     const name = `${row.table}/${row.key}`
-    const before = this.said.get(name)
-    for (const record of records) if (before?.has(contentOf(record)) !== true) this.log.add(record)
-    if (row.value === null) this.said.delete(name)
-    else this.said.set(name, new Set(records.map(contentOf)))
+    const previous = this.lastRecords.get(name)
+    for (const record of records) if (previous?.has(contentKey(record)) !== true) this.log.add(record)
+    if (row.value === null) this.lastRecords.delete(name)
+    else this.lastRecords.set(name, new Set(records.map(contentKey)))
   }
 }
 
 /** Identifies a record, regardless of its time. */
-function contentOf (record: HistoryRecord): string {
+function contentKey (record: HistoryRecord): string {
   return JSON.stringify({ ...record, at: 0 })
 }
--- a/packages/stand-ins/src/table/tableRoutes.ts
+++ b/packages/stand-ins/src/table/tableRoutes.ts
@@ -5,7 +5,7 @@
 import { rowKeySchema, transactionSchema } from '@rosemaryspread/infra/table/tableTypes.js'
 import { HistoryLog } from '../control/historyLog.js'
 import type { HttpAnswer, HttpRequest, HttpRoute } from '../control/httpTypes.js'
-import type { StandInParts } from '../control/standIn.js'
+import type { StandInDefinition } from '../control/standIn.js'
 import { TableHistory } from './tableHistory.js'
 import { TableState } from './tableState.js'
 
@@ -70,16 +70,16 @@
 }
 
 /** Creates a table service without rows. */
-export function tableParts (): StandInParts {
+export function tableDefinition (): StandInDefinition {
   const state = new TableState()
   const history = new HistoryLog()
-  const derived = new TableHistory(history)
-  state.onCommit(rows => derived.note(rows))
+  const tableHistory = new TableHistory(history)
+  state.onCommit(rows => tableHistory.recordRows(rows))
   const service = new TableService(state)
   return {
     routes: service.routes(),
     history,
-    state: () => ({ counts: service.counts, rows: state.sizes() }),
+    state: () => ({ counts: service.counts, rows: state.rowCounts() }),
     controlRoutes: [{
       method: 'GET',
       pattern: /^\/control\/rows$/,
--- a/packages/stand-ins/src/table/tableState.ts
+++ b/packages/stand-ins/src/table/tableState.ts
@@ -5,7 +5,7 @@
 import { Left, Right, type Either } from 'purify-ts'
 import type { ReadAnswer, Row, RowCheck, RowKey, ScanAnswer, ScanRequest, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 
-export const SCAN_LIMIT = 1000
+export const MAX_SCAN_ROWS = 1000
 
 /** Receives the rows of a committed transaction; deleted rows have the value `null`. */
 export type CommitListener = (rows: readonly Row[]) => void
@@ -16,19 +16,19 @@
   private readonly keys: string[] = []
 
   put (row: Row): void {
-    if (!this.byKey.has(row.key)) this.keys.splice(this.firstFrom(row.key), 0, row.key)
+    if (!this.byKey.has(row.key)) this.keys.splice(this.lowerBound(row.key), 0, row.key)
     this.byKey.set(row.key, row)
   }
 
   delete (key: string): void {
-    if (this.byKey.delete(key)) this.keys.splice(this.firstFrom(key), 1)
+    if (this.byKey.delete(key)) this.keys.splice(this.lowerBound(key), 1)
   }
 
   /** At most `limit` rows whose key starts with `prefix` and is greater than `after`. */
   range (prefix: string, after: string | undefined, limit: number): Row[] {
     const rows: Row[] = []
     const from = after !== undefined && after > prefix ? after : prefix
-    for (let index = this.firstFrom(from); index < this.keys.length && rows.length < limit; index++) {
+    for (let index = this.lowerBound(from); index < this.keys.length && rows.length < limit; index++) {
       const key = this.keys[index]!
       if (!key.startsWith(prefix)) break
       if (key !== after) rows.push(this.byKey.get(key)!)
@@ -37,7 +37,7 @@
   }
 
   /** Index of the first key that is not less than `key`. */
-  private firstFrom (key: string): number {
+  private lowerBound (key: string): number {
     let low = 0
     let high = this.keys.length
     while (low < high) {
@@ -65,7 +65,7 @@
 
   /** One page of rows in key order. */
   scan (req: ScanRequest): ScanAnswer {
-    const limit = Math.min(Math.max(req.limit, 1), SCAN_LIMIT)
+    const limit = Math.min(Math.max(req.limit, 1), MAX_SCAN_ROWS)
     const found = this.tables.get(req.table)?.range(req.prefix, req.after, limit + 1) ?? []
     const rows = found.slice(0, limit)
     const next = found.length > limit ? { next: rows[limit - 1]!.key } : {}
@@ -74,7 +74,7 @@
 
   /** Commits a transaction, or returns the keys whose checks failed and writes nothing. */
   transact (tx: Transaction): Either<readonly RowKey[], TransactAnswer> {
-    const conflicts = tx.checks.filter(check => !this.holds(check))
+    const conflicts = tx.checks.filter(check => !this.isSatisfied(check))
     if (conflicts.length > 0) return Left(conflicts.map(({ table, key }) => ({ table, key })))
     const now = this.now()
     const version = ++this.lastVersion
@@ -98,7 +98,7 @@
   }
 
   /** Number of rows of each table. */
-  sizes (): Readonly<Record<string, number>> {
+  rowCounts (): Readonly<Record<string, number>> {
     return Object.fromEntries([...this.tables].map(([table, rows]) => [table, rows.byKey.size]))
   }
 
@@ -106,7 +106,7 @@
     return this.tables.get(key.table)?.byKey.get(key.key)
   }
 
-  private holds (check: RowCheck): boolean {
+  private isSatisfied (check: RowCheck): boolean {
     return (this.find(check)?.version ?? null) === check.version
   }
 
