--- a/packages/stand-ins/src/weights/tokenBucket.ts
+++ b/packages/stand-ins/src/weights/tokenBucket.ts
@@ -19,7 +19,7 @@
    * Acquires one token. Returns 0, or the milliseconds until one is available.
    * @param now - milliseconds of a monotonic clock
    */
-  take (now: number): number {
+  tryAcquire (now: number): number {
     const perMs = this.perMinute / 60_000
     this.left = Math.min(this.burst, this.left + Math.max(0, now - (this.at ?? now)) * perMs)
     this.at = now
