--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -6,7 +6,7 @@
 import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { ConfigFleet, modelPatch, type FleetVm } from './configFleet.js'
-import { verifyFleet, versionRows, type ReportedOutcome } from './configJudge.js'
+import { verifyFleet, versionRows, type ReportedOutcome } from './configVerifier.js'
 
 const PROPAGATION_MS = 2_000
 
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -10,7 +10,7 @@
 import { ConfigReader } from 'rosemaryspread/config/configReader.js'
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { ConfigFleet, modelPatch, type FleetOptions } from './configFleet.js'
-import { verifyFleet, versionRows } from './configJudge.js'
+import { verifyFleet, versionRows } from './configVerifier.js'
 
 const codeOf = (outcome: Either<Failure, unknown>): string => outcome.swap().map(failure => failure.code as string).orDefault('accepted')
 
--- a/packages/stand-ins/src/control/clients.spec.ts
+++ b/packages/stand-ins/src/control/clients.spec.ts
@@ -12,7 +12,7 @@
 import { HttpEngineClient } from '@rosemaryspread/runners/engine/httpEngineClient.js'
 import { HttpApplicationClient } from '@rosemaryspread/runners/application/httpApplicationClient.js'
 import { applicationDefinition } from '../application/applicationRoutes.js'
-import { engineDefinition } from '../engine/engineParts.js'
+import { engineDefinition } from '../engine/engineDefinition.js'
 import { answerText } from '../engine/engineText.js'
 import { LocalWeightSource } from '../engine/weightSource.js'
 import { objectStoreDefinition } from '../objects/objectRoutes.js'
--- a/packages/stand-ins/src/control/standIn.spec.ts
+++ b/packages/stand-ins/src/control/standIn.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { got, type Method, type Response } from 'got'
 import { applicationDefinition } from '../application/applicationRoutes.js'
-import { engineDefinition } from '../engine/engineParts.js'
+import { engineDefinition } from '../engine/engineDefinition.js'
 import type { EngineOptions } from '../engine/engineState.js'
 import { answerText } from '../engine/engineText.js'
 import { LocalWeightSource } from '../engine/weightSource.js'
--- a/packages/stand-ins/src/measure/config/spreadTimes.ts
+++ b/packages/stand-ins/src/measure/config/spreadTimes.ts
@@ -5,7 +5,7 @@
 import { VERSION_TABLE } from '@rosemaryspread/decisions/config/configRows.js'
 import { PUSH_METHOD } from 'rosemaryspread/config/configPropagation.js'
 import { ConfigFleet, modelPatch, type FleetVm } from '../../config/configFleet.js'
-import { verifyFleet } from '../../config/configJudge.js'
+import { verifyFleet } from '../../config/configVerifier.js'
 import type { MeasureRow } from '../measureTypes.js'
 
 const VMS = 6
--- a/packages/stand-ins/src/measure/placement/placementMeasure.ts
+++ b/packages/stand-ins/src/measure/placement/placementMeasure.ts
@@ -6,7 +6,7 @@
 import seedrandom from 'seedrandom'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import { PlacementHarness } from '../../placement/placementWorld.js'
+import { PlacementHarness } from '../../placement/placementHarness.js'
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 import { NaivePlanner } from './naivePlanner.js'
 
--- a/packages/stand-ins/src/placement/placementChaos.spec.ts
+++ b/packages/stand-ins/src/placement/placementChaos.spec.ts
@@ -7,7 +7,7 @@
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import { NaivePlanner } from '../measure/placement/naivePlanner.js'
-import { PlacementHarness } from './placementWorld.js'
+import { PlacementHarness } from './placementHarness.js'
 
 const MINUTE = 60_000
 const HEAL_MS = 20 * MINUTE
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -5,8 +5,8 @@
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import type { PlacementDecider } from '@rosemaryspread/decisions/placement/placementTypes.js'
 import { NaivePlanner } from '../measure/placement/naivePlanner.js'
-import { PlacementHarness, type PlacementHarnessOptions } from './placementWorld.js'
-import { ContentIdPlanner, IgnoresLeavingPlanner, ForgetfulPlanner, NoHysteresisPlanner, ImpatientPlanner, NoFencingAnnouncementPlanner, NoReadBackPlanner } from './weakPlanners.spec.js'
+import { PlacementHarness, type PlacementHarnessOptions } from './placementHarness.js'
+import { ContentIdPlanner, IgnoresLeavingPlanner, ForgetfulPlanner, NoHysteresisPlanner, ImpatientPlanner, NoFencingAnnouncementPlanner, NoReadBackPlanner } from './faultyPlanners.spec.js'
 
 const MINUTE = 60_000
 
--- a/packages/stand-ins/src/placement/simulatedHolder.ts
+++ b/packages/stand-ins/src/placement/simulatedHolder.ts
@@ -5,7 +5,7 @@
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { PlacementAction, PlacementDecider, PlacementEvent } from '@rosemaryspread/decisions/placement/placementTypes.js'
-import type { PlacementHarness } from './placementWorld.js'
+import type { PlacementHarness } from './placementHarness.js'
 
 const TICK_INTERVAL_MS = 1_000
 /** One-way latency of a call. */
