--- a/packages/stand-ins/src/measure/budget/budgetAudit.ts
+++ b/packages/stand-ins/src/measure/budget/budgetAudit.ts
@@ -1,5 +1,5 @@
 /**
- * Judges a budget run by what the engines ran and what the table holds in the end.
+ * Verifies a budget run: compares the run records of the engines with the final rows of the table.
  */
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { allotmentRowSchema, budgetRowSchema, segmentRowSchema, type Bill } from '@rosemaryspread/decisions/budget/budgetTypes.js'
@@ -26,10 +26,7 @@
   return mistakes
 }
 
-/**
- * Tokens used beyond what was paid, over all budgets.
- * @param world - the run
- */
+/** Tokens used beyond what was paid, summed over all budgets. */
 export function overspend (world: BudgetWorld): number {
   const used = new Map<string, number>()
   for (const record of world.engines.all()) used.set(record.budget, (used.get(record.budget) ?? 0) + record.promptTokens)
@@ -42,10 +39,7 @@
   return over
 }
 
-/**
- * Everything wrong in the end of a run in which all healed and all VMs drained or were recovered.
- * @param world - the run
- */
+/** Lists all violations at the end of a run in which all faults healed and all VMs drained or were recovered. */
 export function auditBudgets (world: BudgetWorld): readonly string[] {
   const mistakes = [...auditBills(world)]
   const over = overspend(world)
--- a/packages/stand-ins/src/measure/budget/budgetBaselines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBaselines.ts
@@ -1,5 +1,5 @@
 /**
- * Simpler ways to keep budgets, for comparison.
+ * Simpler budget strategies that serve as baselines for the product.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -9,14 +9,14 @@
 import { BudgetTable } from 'rosemaryspread/budget/budgetTable.js'
 import type { Spender, SpenderParts } from './budgetVm.js'
 
-/** Milliseconds between two reads or writes of totals. */
+/** Interval at which totals are read and written. */
 const SYNC_MS = 5_000
 
 function keyOf (budget: string): { readonly table: string, readonly key: string } {
   return { table: budgetTables.budgets, key: budget }
 }
 
-/** Common parts: ids, and no lease to lose. */
+/** Base of the baselines: issues reservation ids; without a lease, each confirmation succeeds. */
 abstract class BaselineSpender implements Spender {
   protected readonly table: BudgetTable
   private reservations = 0
@@ -39,7 +39,7 @@
   }
 }
 
-/** Every reservation and every settlement is a transaction on the budget row. */
+/** Runs a transaction on the budget row for every reservation and every settlement. */
 export class WritePerRequest extends BaselineSpender {
   private unsettled: Array<{ readonly reservation: Reservation, readonly tokens: number }> = []
 
@@ -77,7 +77,7 @@
   }
 }
 
-/** What a VM spent of one budget by its own count. */
+/** Tokens of one budget as one VM counts them. */
 interface LocalCount {
   paid: number
   spentByAll: number
@@ -86,7 +86,7 @@
   unreported: number
 }
 
-/** Counts on its own and exchanges totals with the table once a second. */
+/** Counts locally and exchanges totals with the table every `SYNC_MS`. */
 abstract class LocalSpender extends BaselineSpender {
   private readonly counts = new Map<string, LocalCount>()
   private syncedAt = -SYNC_MS
@@ -144,11 +144,10 @@
   }
 }
 
-/** Each VM of the first ones may spend an equal part of what is paid. */
+/** Gives each of the initial VMs an equal share of the paid tokens. */
 export class EvenSplit extends LocalSpender {
   /**
-   * @param parts - parts of the VM
-   * @param vms - number of parts; a VM started later has none
+   * @param vms - number of shares; a VM started later has none
    */
   constructor (parts: SpenderParts, private readonly vms: number) {
     super(parts)
@@ -161,7 +160,7 @@
   }
 }
 
-/** Each VM admits by the last total it read: common in gateways, and it overspends. */
+/** Admits by the last total read from the table, as many gateways do; concurrent VMs can overspend. */
 export class SharedTotal extends LocalSpender {
   protected spendable (count: LocalCount): number {
     return count.paid - count.spentByAll - count.unreported - count.reserved
--- a/packages/stand-ins/src/measure/budget/budgetBench.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- budgets`: processor time of a reservation with its settlement, and memory of a
- * budget drawn on, by the number of budgets that one holder draws on.
+ * `npm run bench -- budgets`: processor time of a reservation with its settlement, and heap per
+ * budget, by the number of budgets that one holder draws on.
  */
 import seedrandom from 'seedrandom'
 import { setFlagsFromString } from 'node:v8'
@@ -15,17 +15,17 @@
 const sizes = [1_000, 10_000, 100_000]
 const REQUESTS = 50_000
 const TICKS = 2_000
-/** Requests a second of one VM at the target's size. */
+/** Request rate of one VM at the planned scale. */
 const REQUESTS_PER_SECOND = 10.3
 const TICK_MS = 100
 const TOKENS = 1_500
 const USED = 700
 const MICROS_PER_MS = 1_000
 
-/** A ledger whose draws and flushes succeed at once. */
+/** A ledger whose draws and flushes succeed immediately. */
 class LedgerBench {
   readonly ledger = new BudgetLedger('vm1~1', defaultBudgetPolicy)
-  /** Transactions of draws and flushes. */
+  /** Table transactions of draws and flushes. */
   writes = 0
   mono = 0
   private readonly draws = new DrawQueue(defaultBudgetPolicy)
@@ -54,7 +54,7 @@
     }
   }
 
-  /** One transaction. */
+  /** Grants a batch of draws in one transaction. */
   private grant (draws: readonly DrawAction[]): void {
     if (draws.length === 0) return
     this.writes += 1
@@ -95,7 +95,7 @@
   }
 }
 
-/** Requests arrive at the target's rate in virtual time; ticks between them are part of the cost. */
+/** Milliseconds for all requests; they arrive at `REQUESTS_PER_SECOND` in virtual time, with the ticks between them included. */
 function timeRequests (bench: LedgerBench, size: number, random: () => number): number {
   const started = performance.now()
   let due = 0
@@ -115,7 +115,7 @@
   return performance.now() - started
 }
 
-/** The bench. */
+/** Ledger cost by number of budgets. */
 export const budgetBench: Measurement = {
   group: 'bench',
   name: 'budgets',
--- a/packages/stand-ins/src/measure/budget/budgetChaos.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.spec.ts
@@ -1,5 +1,6 @@
 /**
- * No budget is overspent, each run is billed once and nothing is stranded, whatever happens.
+ * Property test under random faults: no budget is overspent, each run is billed once, and no
+ * tokens stay allotted to a terminated holder.
  */
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -8,7 +9,7 @@
 const seed = Number(process.env.CHAOS_SEED ?? 20_261)
 const runs = Number(process.env.CHAOS_RUNS ?? 2000)
 
-/** What the cases have to reach. */
+/** Outcomes and events that the cases together must reach, so that the test covers them. */
 const reached = [
   'admitted', 'budgetSpent', 'budgetElsewhere', 'budgetPending', 'budgetDrawn', 'budgetFlushed', 'budgetTransferred',
   'budgetRecalled', 'budgetReturned', 'budgetRecovered', 'allotmentClosed', 'budgetFault'
@@ -17,7 +18,7 @@
 describe('budgets under random faults', function () {
   this.timeout(300_000)
 
-  it('are never overspent, bill each run once and strand nothing', async () => {
+  it('are never overspent, bill each run once and leave no tokens stranded', async () => {
     const tally: Tally = new Map()
     await fc.assert(fc.asyncProperty(fc.integer({ min: 0, max: 1e9 }), fc.array(chaosStep, { minLength: 3, maxLength: 14 }), async (caseSeed, steps) => {
       expect(await new ChaosRun(caseSeed, tally).run(steps)).to.deep.equal([])
--- a/packages/stand-ins/src/measure/budget/budgetChaos.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.ts
@@ -1,6 +1,6 @@
 /**
- * Random faults against budget drivers in virtual time: cuts, outages, lost and slow answers,
- * deaths, freezes past the lapse, clock steps, top-ups and drains; then all heals and all drain.
+ * Random faults against budget drivers in virtual time: partitions, outages, lost and slow answers,
+ * killed VMs, freezes past expiry, clock steps, top-ups and drains; then all faults heal and all VMs drain.
  */
 import fc from 'fast-check'
 import { defaultBudgetPolicy, type BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
@@ -16,7 +16,7 @@
 const PAID = 8_000
 const budgets = ['b0', 'b1']
 
-/** Times short enough that holders lapse within one case. */
+/** Intervals short enough that holders expire within one case. */
 const policy: BudgetPolicy = {
   ...defaultBudgetPolicy,
   horizonMs: 120 * SECOND,
@@ -28,19 +28,19 @@
   requestTimeoutMs: 10 * SECOND
 }
 
-/** What happened over many cases, to show that they reach what they are meant to test. */
+/** Counts of outcomes and events over many cases, to check their coverage. */
 export type Tally = Map<string, number>
 
-/** Builds the driver of one VM; a weaker one shows that the audit can fail. */
+/** Creates the driver of one VM; a faulty driver shows that the audit can fail. */
 export type DriverFactory = (parts: SpenderParts, policy: BudgetPolicy, log: BudgetLog) => BudgetDriver
 
-/** Log of a driver. */
+/** Log that a driver writes to. */
 export type BudgetLog = ConstructorParameters<typeof BudgetDriver>[0]['log']
 
-/** The product. */
+/** Creates the unmodified driver. */
 export const productDriver: DriverFactory = (parts, policy, log) => new BudgetDriver({ ...parts, policy, log })
 
-/** One step of a case; `at` in seconds. */
+/** One step of a case; `at` and `lasts` in seconds. `which` selects a VM, domain or budget, modulo their number. */
 export type ChaosStep =
   | { readonly kind: 'cut' | 'outage' | 'lose' | 'slow', readonly at: number, readonly lasts: number, readonly which: number }
   | { readonly kind: 'kill' | 'drain' | 'step', readonly at: number, readonly which: number }
@@ -51,7 +51,7 @@
 const at = fc.integer({ min: 0, max: 150 })
 const lasts = fc.integer({ min: 1, max: 110 })
 const which = fc.integer({ min: 0, max: 7 })
-/** Any step. */
+/** Generates any step; bursts of requests are the most frequent. */
 export const chaosStep: fc.Arbitrary<ChaosStep> = fc.oneof(
   { weight: 4, arbitrary: fc.record({ kind: fc.constantFrom('cut' as const, 'outage' as const, 'lose' as const, 'slow' as const), at, lasts, which }) },
   { weight: 3, arbitrary: fc.record({ kind: fc.constantFrom('kill' as const, 'drain' as const, 'step' as const), at, which }) },
@@ -60,7 +60,7 @@
   { weight: 6, arbitrary: fc.record({ kind: fc.constant('burst' as const), at, which, count: fc.integer({ min: 1, max: 12 }), tokens: fc.integer({ min: 50, max: 3000 }) }) }
 )
 
-/** One case. */
+/** Runs one case. */
 export class ChaosRun {
   readonly world: BudgetWorld
   private requests = 0
--- a/packages/stand-ins/src/measure/budget/budgetEngines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetEngines.ts
@@ -1,5 +1,5 @@
 /**
- * Engines of a budget run: they keep a record of each run, and end it even if its VM died.
+ * Simulated engines of a budget run: they record each run and finish it even if its VM was killed.
  */
 import { Left, Maybe, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -7,7 +7,7 @@
 import type { RecoveryRunners } from 'rosemaryspread/budget/budgetRecoveryRuns.js'
 import type { PeerNetwork } from './budgetNetwork.js'
 
-/** A run to be started. */
+/** Request of a run. */
 export interface EngineRun {
   readonly requestId: string
   readonly holder: string
@@ -15,7 +15,7 @@
   readonly tokens: number
 }
 
-/** Records of all engines, one engine for each failure domain. */
+/** Run records of all engines; each failure domain has one engine. */
 export class BudgetEngines {
   private readonly byDomain = new Map<string, Map<string, RunRecord>>()
 
@@ -23,15 +23,14 @@
     for (const domain of domains) this.byDomain.set(domain, new Map())
   }
 
-  /** All records. */
+  /** Run records of all engines. */
   all (): readonly RunRecord[] {
     return [...this.byDomain.values()].flatMap(records => [...records.values()])
   }
 
   /**
    * Starts a run.
-   * @param domain - failure domain of the engine
-   * @param run - the run; its tokens are known from the start in virtual time
+   * @param run - its token count is fixed at the start, as nothing is generated
    */
   start (domain: string, run: EngineRun): void {
     const { requestId, holder, budget, tokens } = run
@@ -41,11 +40,7 @@
     this.recordsOf(domain).set(requestId, record)
   }
 
-  /**
-   * Ends a run unless it was cancelled; answers its record.
-   * @param domain - failure domain of the engine
-   * @param requestId - id of the run
-   */
+  /** Finishes a run unless it was cancelled, and returns its record. */
   end (domain: string, requestId: string): RunRecord | undefined {
     const record = this.recordsOf(domain).get(requestId)
     if (record?.state === 'running') this.recordsOf(domain).set(requestId, { ...record, state: 'finished' })
@@ -53,7 +48,7 @@
   }
 
   /**
-   * The engines as a VM reaches them.
+   * Client of the engines for VMs of one failure domain.
    * @param from - failure domain of the VM
    */
   reachedFrom (from: string): RecoveryRunners {
--- a/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Each fault with a weaker way to keep budgets that breaks a promise under it, to show that the
- * test can fail; the product keeps all promises under the same steps.
+ * Pairs each fault with a faulty driver that violates an invariant under it, which shows that the
+ * test can fail. The product holds all invariants under the same steps.
  */
 import { expect } from 'chai'
 import { Left, Right } from 'purify-ts'
@@ -12,12 +12,12 @@
 import { ChaosRun, productDriver, type ChaosStep, type DriverFactory, type Tally } from './budgetChaos.js'
 import type { SpenderParts } from './budgetVm.js'
 
-/** Changes the parts from which the product is built. */
+/** The product with some of its dependencies replaced. */
 function weaker (change: (parts: SpenderParts) => Partial<SpenderParts>): DriverFactory {
   return (parts, policy, log) => productDriver({ ...parts, ...change(parts) }, policy, log)
 }
 
-/** A table seen without something that the product relies on. */
+/** A store that filters the rows read and drops the checks on segments. */
 function seen (store: TableStore, see: (row: Row) => Row | null): TableStore {
   return {
     scan: async req => await store.scan(req),
@@ -26,21 +26,21 @@
   }
 }
 
-/** Forgets the draw that took effect. */
+/** Doesn't see that a draw was already applied, so it draws again after a lost answer. */
 const drawsAnew = weaker(parts => ({
   store: seen(parts.store, row => row.table === budgetTables.allotments ? { ...row, value: { ...row.value as object, lastDraw: undefined } } : row)
 }))
 
-/** Forgets the flush that took effect. */
+/** Doesn't see that a flush was already applied, so it settles again after a lost answer. */
 const settlesAnew = weaker(parts => ({ store: seen(parts.store, row => row.table === budgetTables.segments ? null : row) }))
 
-/** Counts its lease on the monotonic clock alone, which some hypervisors stop. */
+/** Measures its lease on the monotonic clock alone, which some hypervisors stop during a pause. */
 const oneClock = weaker(parts => ({ clock: { now: () => ({ mono: parts.clock.now().mono, wall: 0 }) } }))
 
-/** Takes back all that a dead holder held without asking the runners. */
+/** Recovers the full allotment of a terminated holder without querying the runners. */
 const asksNoRunner = weaker(parts => ({ runners: { ...parts.runners, declared: () => [] } }))
 
-/** The product while no runner can be asked for two minutes. */
+/** The product while all runners are unreachable for two minutes. */
 const runnersSilent = weaker(({ runners, clock }) => ({
   runners: {
     ...runners,
@@ -53,17 +53,17 @@
   }
 }))
 
-/** The same, but it takes a runner that cannot be asked for one without runs. */
+/** Treats an unreachable runner as one without runs. */
 const trustsSilence = weaker(parts => ({
   runners: { ...parts.runners, engines: { ...parts.runners.engines, listByHolder: async () => Right([]) } }
 }))
 
-/** Closes a dead holder without asking for transfers that are not recorded. */
+/** Closes the allotment of a terminated holder without querying peers for unrecorded transfers. */
 const asksNoPeer = weaker(({ peers }) => ({
   peers: { members: () => peers.members(), give: async (holder, ask) => await peers.give(holder, ask), recall: async (holder, ask) => await peers.recall(holder, ask), confirmNoTransfers: async () => Right({ none: true }) }
 }))
 
-/** Answers an ask before it subtracts. */
+/** Answers a transfer request without subtracting the tokens first. */
 class GivesFirst extends BudgetDriver {
   override onGive (ask: GiveAsk): GiveAnswer {
     const { transferId, budget, to, atLeast: tokens } = ask
@@ -88,26 +88,26 @@
     breaks: /billed|stranded/
   },
   {
-    title: 'a holder wakes past its lapse on a machine that stops the monotonic clock',
+    title: 'a holder resumes after its expiry on a VM that stops the monotonic clock',
     steps: [burst(2, 2, 4, 900), { kind: 'replace', at: 16, lasts: 90, which: 2, stopsMono: true }, burst(107, 2, 4, 100), burst(107, 3, 4, 100), burst(107, 4, 4, 100)],
     weak: oneClock,
     breaks: /not billed/
   },
   {
-    title: 'a holder dies with unbilled runs',
+    title: 'a holder is killed with unbilled runs',
     steps: [burst(2, 0, 8, 900), { kind: 'kill', at: 5, which: 0 }],
     weak: asksNoRunner,
     breaks: /not billed/
   },
   {
-    title: 'a holder dies and no runner answers for two minutes',
+    title: 'a holder is killed and no runner answers for two minutes',
     steps: [burst(2, 0, 8, 900), { kind: 'kill', at: 5, which: 0 }],
     strong: runnersSilent,
     weak: trustsSilence,
     breaks: /not billed/
   },
   {
-    title: 'a giver dies while the receiver sleeps with the transfer unrecorded',
+    title: 'a granter is killed while the recipient is frozen with the transfer unrecorded',
     steps: [
       burst(2, 0, 1, 2000), { kind: 'outage', at: 20, lasts: 12, which: 0 }, burst(21, 4, 1, 3), burst(22, 1, 4, 200), burst(21, 6, 8, 150),
       burst(21, 2, 4, 150), burst(21, 0, 8, 150), { kind: 'kill', at: 30, which: 0 }, { kind: 'freeze', at: 31, lasts: 40, which: 1, stopsMono: false }
@@ -116,7 +116,7 @@
     breaks: /not billed/
   },
   {
-    title: 'transfers while the table is down',
+    title: 'tokens are transferred while the table is down',
     steps: [burst(2, 0, 4, 900), { kind: 'outage', at: 20, lasts: 30, which: 0 }, burst(21, 0, 12, 300), burst(23, 4, 12, 300), burst(25, 0, 12, 300)],
     weak: givesFirst,
     breaks: /not billed/
@@ -125,14 +125,14 @@
 
 describe('budget faults', () => {
   for (const { title, steps, strong, weak, breaks } of cases) {
-    it(`${title}: the product keeps its promises, the weaker way does not`, async () => {
+    it(`${title}: the product holds its invariants, the faulty driver does not`, async () => {
       expect(await new ChaosRun(1, new Map(), strong).run(steps)).to.deep.equal([])
       const mistakes = await new ChaosRun(1, new Map(), weak).run(steps)
       expect(mistakes.join('; ')).to.match(breaks)
     })
   }
 
-  it('serves from tokens recalled from another domain, where a holder that asks nobody refuses', async () => {
+  it('serves from tokens recalled from another domain, where a holder without peers refuses', async () => {
     const steps = [burst(2, 2, 4, 1900), burst(20, 0, 1, 3000)]
     const alone = weaker(({ peers }) => ({ peers: { ...peers, members: () => [] } }))
     const [withPeers, withoutPeers]: readonly Tally[] = [new Map(), new Map()]
--- a/packages/stand-ins/src/measure/budget/budgetMeasure.ts
+++ b/packages/stand-ins/src/measure/budget/budgetMeasure.ts
@@ -1,24 +1,23 @@
 /**
- * `npm run measure -- budgets`: overspend and false refusals of the product and of simpler ways
- * under each fault. Trials are independent, so a few threads share them.
+ * `npm run measure -- budgets`: overspend and false refusals of the product and of the baselines
+ * under each fault. Trials are independent and run on a few threads.
  */
 import { once } from 'node:events'
 import { availableParallelism } from 'node:os'
 import { Worker } from 'node:worker_threads'
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 
-/** Most threads used. */
 const MAX_THREADS = 4
 
-/** What a thread is told. */
+/** Trials that one thread runs. */
 export interface TrialOrder {
   readonly seed: string
-  /** This thread runs every `step`th trial from `first` on. */
+  /** The thread runs every `step`th trial, starting at index `first`. */
   readonly first: number
   readonly step: number
 }
 
-/** What a thread answers. */
+/** Result of one trial, as a thread sends it. */
 export interface TrialResult {
   readonly index: number
   readonly row: MeasureRow
@@ -30,7 +29,7 @@
   return results
 }
 
-/** The measurement. */
+/** Budget strategies under faults. */
 export const budgetMeasure: Measurement = {
   group: 'measure',
   name: 'budgets',
--- a/packages/stand-ins/src/measure/budget/budgetNetwork.ts
+++ b/packages/stand-ins/src/measure/budget/budgetNetwork.ts
@@ -1,6 +1,6 @@
 /**
- * What connects the VMs of a budget run with the table, with each other and with the engines:
- * latencies, cuts of failure domains, outages and lost answers, all in virtual time.
+ * Simulated network between VMs, table and engines in virtual time, with latencies, partitions of
+ * failure domains, table outages and lost messages.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -8,47 +8,39 @@
 import type { TableState } from '../../table/tableState.js'
 import type { VirtualTime } from '../../time/virtualTime.js'
 
-/** Milliseconds, one way. */
+/** One-way latencies in milliseconds. */
 export interface Latencies {
   readonly betweenDomains: number
   readonly table: number
 }
 
-/** Milliseconds until a call without an answer is given up. */
+/** Timeout of a call without an answer. */
 const TIMEOUT_MS = 1_000
 
-/** Faults of the run as they are now. */
+/** Faults in force. */
 export class NetworkFaults {
-  /** Failure domains cut from the table and from all other domains. */
+  /** Failure domains partitioned from the table and from all other domains. */
   readonly cut = new Set<string>()
   outage = false
-  /** Part of answers lost after the effect, 0 to 1. */
+  /** Share of answers lost after the call took effect, 0 to 1. */
   lostAnswers = 0
-  /** Part of requests lost before the effect, 0 to 1. */
+  /** Share of requests lost before the call took effect, 0 to 1. */
   lostRequests = 0
-  /** Milliseconds added to each table call. */
+  /** Upper bound of the random delay added to each table call. */
   slowMs = 0
 
-  /**
-   * Whether two failure domains reach each other.
-   * @param a - a domain
-   * @param b - another
-   */
+  /** Whether two failure domains reach each other. */
   connects (a: string, b: string): boolean {
     return a === b || !(this.cut.has(a) || this.cut.has(b))
   }
 }
 
-/** The table as one VM reaches it. */
+/** Table client of one VM. */
 export class RemoteTable implements TableStore {
   writes = 0
 
   /**
-   * @param state - the rows
    * @param domain - failure domain of the VM
-   * @param time - virtual time
-   * @param faults - present faults
-   * @param latencies - one-way times
    * @param random - numbers from 0 to 1
    */
   constructor (
@@ -101,7 +93,7 @@
   }
 }
 
-/** Calls from one VM to another. */
+/** Calls between VMs, and from VMs to engines. */
 export class PeerNetwork {
   constructor (
     private readonly time: VirtualTime,
@@ -111,10 +103,10 @@
   ) {}
 
   /**
-   * Carries a call and its answer.
+   * Delivers a call and returns its answer.
    * @param from - failure domain of the caller
    * @param to - failure domain of the callee
-   * @param serve - carries the call out; `undefined` when the callee is dead
+   * @param handler - executes the call; `undefined` when the callee is down
    */
   async call<T> (from: string, to: string, serve: (() => Promise<T>) | undefined): Promise<Either<Failure, T>> {
     await this.time.sleep(this.latency(from, to))
--- a/packages/stand-ins/src/measure/budget/budgetTrial.ts
+++ b/packages/stand-ins/src/measure/budget/budgetTrial.ts
@@ -1,6 +1,6 @@
 /**
- * Trials of the budget measurement: one way to keep budgets, one fault, one demand, in virtual
- * time; the requests are the same for every way.
+ * Trials of the budget measurement in virtual time: one strategy under one fault and one demand.
+ * All strategies get the same requests.
  */
 import { Right } from 'purify-ts'
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
@@ -20,19 +20,19 @@
 const DEATHS = [50 * MINUTE, 100 * MINUTE]
 const RESTART_MS = 30_000
 const TOP_UP_AT = 80 * MINUTE
-/** Part of the budget that is paid from the start when the rest comes as a top-up. */
+/** Share of the budget paid at the start when a top-up adds the rest. */
 const FIRST_PART = 0.45
 const VMS_PER_DOMAIN = 2
 const TABLE_MS = 4
 
-/** Faults of the measurement. */
+/** Faults, by the names printed in the table. */
 export const faults = ['none', 'partition of a domain 1 h', 'table outage 1 h', 'death of 2 VMs', 'top-up during partition'] as const
 type Fault = typeof faults[number]
 
 const log = { write: () => {} }
 const driver = (parts: SpenderParts): BudgetDriver => new BudgetDriver({ ...parts, log })
 
-/** All ways that are compared. */
+/** Strategies compared. */
 const policies: ReadonlyArray<{ readonly name: string, readonly spender: SpenderFactory }> = [
   { name: 'rosemaryspread', spender: driver },
   { name: 'no recall', spender: parts => driver({ ...parts, peers: { ...parts.peers, recall: async () => Right({ returned: 0 }) } }) },
@@ -41,7 +41,7 @@
   { name: 'shared total, no escrow', spender: parts => new SharedTotal(parts) }
 ]
 
-/** One run. */
+/** One strategy under one fault. */
 export interface Trial {
   readonly deployment: Deployment
   readonly fault: Fault
@@ -51,7 +51,7 @@
   readonly seed: string
 }
 
-/** Counts of one run. */
+/** Outcomes of the requests of one trial. */
 class TrialCounts {
   refusals = 0
   falseRefusals = 0
@@ -66,7 +66,7 @@
     if (paid - (this.used.get(budget) ?? 0) >= tokens) this.falseRefusals += 1
   }
 
-  /** Whether a caller that knows every cost beforehand would admit. */
+  /** Whether an admission with full knowledge of all costs would admit the request. */
   couldServe (budget: string, tokens: number, paid: number): boolean {
     return paid - (this.used.get(budget) ?? 0) >= tokens
   }
@@ -106,10 +106,7 @@
   }))
 }
 
-/**
- * Runs one way to keep budgets through one fault.
- * @param trial - what to run
- */
+/** Runs one trial. */
 export async function runTrial (trial: Trial): Promise<MeasureRow> {
   const { deployment, fault, isSkewed, policy } = trial
   const workload = drawWorkload(deployment, isSkewed, END_MS, trial.seed)
@@ -156,10 +153,7 @@
   }
 }
 
-/**
- * All trials of a measurement in the order of its rows.
- * @param seed - seed of all draws
- */
+/** All trials in the order of the printed rows. */
 export function trialsOf (seed: string): readonly Trial[] {
   return deployments.flatMap(deployment => faults.flatMap(fault => [false, true].flatMap(isSkewed =>
     policies.map(({ name, spender }) => ({ deployment, fault, isSkewed, policy: name, spender, seed })))))
--- a/packages/stand-ins/src/measure/budget/budgetTrialThread.ts
+++ b/packages/stand-ins/src/measure/budget/budgetTrialThread.ts
@@ -1,5 +1,5 @@
 /**
- * Thread that runs its part of the trials of a budget measurement.
+ * Worker thread of the budget measurement: runs its share of the trials.
  */
 import { parentPort, workerData } from 'node:worker_threads'
 import type { TrialOrder, TrialResult } from './budgetMeasure.js'
--- a/packages/stand-ins/src/measure/budget/budgetVm.ts
+++ b/packages/stand-ins/src/measure/budget/budgetVm.ts
@@ -1,6 +1,6 @@
 /**
- * One VM of a budget run. It can die, and it can be frozen: then nothing that arrives is taken in
- * until it wakes, while the clocks of the world go on.
+ * One VM of a budget run. It can be killed or frozen; a frozen VM handles what arrives only after
+ * it wakes, while virtual time goes on.
  */
 import type { Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -11,12 +11,12 @@
 import type { RecoveryRunners } from 'rosemaryspread/budget/budgetRecoveryRuns.js'
 import type { VirtualTime } from '../../time/virtualTime.js'
 
-/** Budgets of a VM, by the product or by a baseline. */
+/** Budget accounting of a VM, by the product or by a baseline. */
 export interface Spender extends BudgetPort {
   tick (): void
 }
 
-/** What a spender is built from. */
+/** Dependencies of a spender. */
 export interface SpenderParts {
   readonly holder: string
   readonly domain: string
@@ -26,10 +26,10 @@
   readonly clock: Clock
 }
 
-/** One VM. */
+/** A VM that can be killed or frozen. */
 export class BudgetVm {
   isDead = false
-  /** Milliseconds that the wall clock is off. */
+  /** Error of the wall clock. */
   wallOffset = 0
   private monoOffset = 0
   private frozen: { readonly at: number, readonly stopsMono: boolean } | undefined
@@ -45,8 +45,7 @@
   }
 
   /**
-   * Stops the VM for a while.
-   * @param ms - how long
+   * Freezes the VM for some time.
    * @param stopsMono - whether its monotonic clock misses the pause
    */
   freeze (ms: number, stopsMono: boolean): void {
@@ -55,7 +54,7 @@
     this.time.after(ms, () => this.wake())
   }
 
-  /** Lets a frozen VM go on. */
+  /** Resumes a frozen VM. */
   wake (): void {
     if (this.frozen === undefined) return
     if (this.frozen.stopsMono) this.monoOffset -= this.time.mono - this.frozen.at
@@ -65,10 +64,7 @@
     for (const run of queue) run()
   }
 
-  /**
-   * Resolves when the VM can take something in; never once it is dead.
-   * @param value - passed on
-   */
+  /** Resolves with the value as soon as the VM runs; never after it was killed. */
   async take<T> (value: T): Promise<T> {
     if (this.isDead) return await new Promise<T>(() => {})
     if (this.frozen === undefined) return value
@@ -76,10 +72,7 @@
     return await this.take(value)
   }
 
-  /**
-   * A table whose answers this VM takes in only while it runs.
-   * @param store - the table as reached over the network
-   */
+  /** Wraps a table client so that answers arrive only while the VM runs. */
   guardStore (store: TableStore): TableStore {
     return {
       read: async keys => await this.take(await store.read(keys)),
@@ -88,10 +81,7 @@
     }
   }
 
-  /**
-   * Peers whose answers this VM takes in only while it runs.
-   * @param peers - the peers as reached over the network
-   */
+  /** Wraps a peer client so that answers arrive only while the VM runs. */
   guardPeers (peers: BudgetPeers): BudgetPeers {
     const take = async <T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> => await this.take(await answer)
     return {
--- a/packages/stand-ins/src/measure/budget/budgetWorkload.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorkload.ts
@@ -1,10 +1,10 @@
 /**
- * Demand of one deployment for the budget measurement: the same requests for every policy.
+ * Generates the requests and budgets of one deployment for the budget measurement.
  */
 import seedrandom from 'seedrandom'
 import type { WorldRequest } from './budgetWorld.js'
 
-/** A deployment as the brief describes it. */
+/** Size, latency and load of a deployment. */
 export interface Deployment {
   readonly name: string
   readonly domains: readonly string[]
@@ -13,21 +13,21 @@
   readonly requestsPerSecond: number
 }
 
-/** Both deployments; latencies are our reading of "very short" and "about half of ours". */
+/** Deployments measured; their latencies are assumed, the second about half of the first. */
 export const deployments: readonly Deployment[] = [
   { name: 'Manos al Andén', domains: ['quito-centro', 'cumbaya', 'tababela'], latencyMs: 2, requestsPerSecond: 0.6 },
   { name: 'Tường Sạch', domains: ['thu-duc', 'tan-binh', 'binh-thanh'], latencyMs: 1, requestsPerSecond: 0.4 }
 ]
 
-/** A request with its time and place. */
+/** A request with its arrival time and failure domain. */
 export interface ArrivingRequest extends WorldRequest {
   readonly at: number
   readonly domain: string
 }
 
-/** Share of each of ten teams, a few of them large. */
+/** Shares of ten teams in the requests; a few are large. */
 const teamShares = [30, 20, 15, 10, 8, 6, 4, 3, 2, 2]
-/** Part of the demand that a budget covers; half of the budgets run out shortly before the end. */
+/** Share of its demand that a budget covers, by turns; half of the budgets run out shortly before the end. */
 const coverage = [0.95, 1.5]
 
 const LEAST_TOKENS = 300
@@ -46,11 +46,9 @@
 }
 
 /**
- * Draws the requests of a run.
- * @param deployment - the deployment
+ * Generates the requests of a run.
  * @param isSkewed - whether the first failure domain gets three of five requests
  * @param endMs - length of the run
- * @param seed - seed of all draws
  */
 export function drawWorkload (deployment: Deployment, isSkewed: boolean, endMs: number, seed: string): Workload {
   const random = seedrandom(`${seed}/${deployment.name}/${String(isSkewed)}`)
--- a/packages/stand-ins/src/measure/budget/budgetWorld.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in virtual time around real budget drivers: table, peers, engines and requests. The
- * measurement and the property test of budgets both run in it.
+ * Test harness that simulates a fleet around real budget drivers in virtual time: table, peers,
+ * engines and requests. The budget measurements and the property test use it.
  */
 import seedrandom from 'seedrandom'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
@@ -12,49 +12,49 @@
 import { BudgetVm, type Spender, type SpenderParts } from './budgetVm.js'
 import { VirtualTime } from '../../time/virtualTime.js'
 
-/** Builds the budgets of one VM. */
+/** Creates the budget accounting of one VM. */
 export type SpenderFactory = (parts: SpenderParts) => Spender
 
-/** Shape of a run. */
+/** Size and timing of the simulated fleet. */
 export interface WorldShape {
   readonly seed: string
   readonly domains: readonly string[]
   readonly vmsPerDomain: number
   readonly latencies: Latencies
   readonly tickMs: number
-  /** Milliseconds that the list of VMs lags. */
+  /** Lag of the platform's VM list. */
   readonly listLagMs: number
-  /** Milliseconds between two recovery passes. */
+  /** Interval of recovery passes. */
   readonly recoverEveryMs: number
   readonly spender: SpenderFactory
 }
 
-/** One request. */
+/** A request to serve. */
 export interface WorldRequest {
   readonly requestId: string
   readonly budget: string
-  /** Worst case. */
+  /** Worst-case cost, which is reserved. */
   readonly tokens: number
-  /** What it will cost. */
+  /** Actual cost. */
   readonly used: number
   readonly runMs: number
   readonly giveUpAfterMs: number
 }
 
-/** A VM with its budgets. */
+/** A VM with its budget accounting and its table client. */
 export interface WorldNode {
   readonly vm: BudgetVm
   readonly spender: Spender
   readonly table: RemoteTable
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type RequestEnd = { readonly kind: 'admitted' } | { readonly kind: 'refused', readonly failure: Failure }
 
-/** Milliseconds between a reservation and the dispatch of its run. */
+/** Delay between a reservation and the dispatch of its run. */
 const DISPATCH_MS = 2
 
-/** The fleet. */
+/** Simulated fleet. */
 export class BudgetWorld {
   readonly time = new VirtualTime()
   readonly faults = new NetworkFaults()
@@ -78,15 +78,11 @@
     this.recover()
   }
 
-  /** VMs that take requests in a failure domain. */
+  /** VMs of a failure domain that accept requests. */
   serving (domain: string): readonly WorldNode[] {
     return this.nodes.filter(node => node.vm.domain === domain && node.vm.isServing)
   }
 
-  /**
-   * Starts a fresh VM.
-   * @param domain - its failure domain
-   */
   startVm (domain: string): WorldNode {
     this.started += 1
     const name = `vm${this.started}`
@@ -105,29 +101,19 @@
     return node
   }
 
-  /**
-   * Ends a VM for good; the platform's list says so after its lag.
-   * @param node - the VM
-   */
+  /** Terminates a VM; the platform's list shows it after its lag. */
   kill (node: WorldNode): void {
     node.vm.isDead = true
     this.gone.push({ vm: node.vm.vm, at: this.time.mono })
   }
 
-  /**
-   * Starts another VM in place of one that membership no longer names, though it may wake.
-   * @param node - the VM replaced
-   */
+  /** Starts a replacement for a VM that membership no longer lists, although the VM may still wake. */
   replace (node: WorldNode): void {
     this.replaced.add(node.vm)
     this.startVm(node.vm.domain)
   }
 
-  /**
-   * Serves one request at a VM.
-   * @param node - where the caller connected
-   * @param req - the request
-   */
+  /** Serves one request at the VM that the caller connected to. */
   async request (node: WorldNode, req: WorldRequest): Promise<RequestEnd> {
     const { vm, spender } = node
     const reserved = await spender.reserve(req.budget, req.tokens, req.giveUpAfterMs)
@@ -147,7 +133,7 @@
     return { kind: 'admitted' }
   }
 
-  /** The platform's list as of its lag. */
+  /** The platform's VM list, with its lag. */
   get list (): { readonly asOf: number, readonly vms: ReadonlyArray<{ readonly vm: string, readonly state: string }> } {
     const asOf = this.time.mono - this.shape.listLagMs
     return { asOf, vms: this.gone.filter(item => item.at <= asOf).map(item => ({ vm: item.vm, state: 'gone' })) }
--- a/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
@@ -22,7 +22,7 @@
     })
   }
 
-  it('refuses fewer than three sizes', () => {
+  it('rejects fewer than three distinct sizes', () => {
     expect(() => fitLine(points([1, 1], [2, 2]), 9)).to.throw('3 sizes')
     expect(() => fitLine(points([1, 1], [1, 2], [2, 2]), 9)).to.throw('3 sizes')
   })
@@ -47,7 +47,7 @@
   })
 })
 
-describe('capacity target', () => {
+describe('planned scale', () => {
   const cases = [
     { name: 'requests/s of one VM', value: perVm.requestsPerSecond, want: 10.28 },
     { name: 'tokens/s of one VM', value: perVm.tokensPerSecond, want: 2306 },
@@ -56,6 +56,6 @@
     { name: 'runners for each model', value: target.runners / target.models, want: 22.22 }
   ]
   for (const { name, value, want } of cases) {
-    it(`gives ${name}`, () => { expect(rounded(value)).to.equal(want) })
+    it(`implies the expected ${name}`, () => { expect(rounded(value)).to.equal(want) })
   }
 })
--- a/packages/stand-ins/src/measure/capacity/capacityFit.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.ts
@@ -1,11 +1,11 @@
 /**
- * From measured points to a line and to the value at the target: ordinary least squares.
+ * Fits lines to measured points by ordinary least squares and extrapolates them to the planned scale.
  */
 import { linearRegression } from 'simple-statistics'
 import type { MeasureRow } from '../measureTypes.js'
 import type { ProbePoint } from './probeTypes.js'
 
-/** Fewest sizes from which a slope is told. */
+/** Fewest distinct sizes for a fit. */
 export const LEAST_SIZES = 3
 
 const PERCENT = 100
@@ -17,36 +17,30 @@
   readonly slope: number
   /** Largest deviation of a measured value from the line, in percent of the largest measured value. */
   readonly errorPct: number
-  /** Value of the line at the target's size. */
+  /** Value of the line at the planned size. */
   readonly atTarget: number
 }
 
 /**
  * Fits a line through points of one quantity.
- * @param points - size and value of each; at least three sizes
- * @param at - size at the target
+ * @param points - at least three distinct sizes
+ * @param at - planned size
  */
 export function fitLine (points: ReadonlyArray<{ readonly size: number, readonly value: number }>, at: number): CapacityFit {
   const sizes = new Set(points.map(({ size }) => size))
-  if (sizes.size < LEAST_SIZES) throw new Error(`a slope needs ${LEAST_SIZES} sizes, there are ${sizes.size}`)
+  if (sizes.size < LEAST_SIZES) throw new Error(`a linear fit needs at least ${LEAST_SIZES} sizes, got ${sizes.size}`)
   const { m, b } = linearRegression(points.map(({ size, value }) => [size, value]))
   const largest = Math.max(...points.map(({ value }) => Math.abs(value)))
   const deviation = Math.max(...points.map(({ size, value }) => Math.abs(value - (b + m * size))))
   return { intercept: b, slope: m, errorPct: largest === 0 ? 0 : deviation / largest * PERCENT, atTarget: b + m * at }
 }
 
-/**
- * Rounds to four significant digits.
- * @param value - any number
- */
+/** Rounds to four significant digits. */
 export function rounded (value: number): number {
   return Number(value.toPrecision(DIGITS))
 }
 
-/**
- * One row for each quantity, in the order in which they were measured.
- * @param points - points of any quantities
- */
+/** Fits each quantity into one row, in the order of measurement. */
 export function fitRows (points: readonly ProbePoint[]): readonly MeasureRow[] {
   const series = new Map<string, ProbePoint[]>()
   for (const point of points) {
--- a/packages/stand-ins/src/measure/capacity/capacityTarget.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityTarget.ts
@@ -1,13 +1,13 @@
 /**
- * The users' target and what follows from it for one VM, in one place for all probes.
+ * Scale that the users plan for, and the load of one VM that follows from it.
  */
 
 const SECONDS_PER_DAY = 86_400
-/** Milliseconds between two tokens at the target. */
+/** Interval between two tokens of a stream at the planned scale. */
 const TOKEN_MS = 78
 const MS_PER_SECOND = 1_000
 
-/** Sizes of the target. */
+/** Sizes and rates of the planned fleet. */
 export const target = {
   vms: 360,
   runners: 600,
@@ -20,11 +20,11 @@
   restartsPerDay: 190
 } as const
 
-/** Shares of one VM, and rates. */
+/** Load of one VM at the planned scale. */
 export const perVm = {
   requestsPerSecond: target.requestsPerSecond / target.vms,
   tokensPerSecond: target.tokensPerSecond / target.vms,
-  /** Streams open at once when each gives a token every 78 ms. */
+  /** Streams open at once when each yields a token every `TOKEN_MS` (78 ms). */
   openStreams: target.tokensPerSecond / target.vms * TOKEN_MS / MS_PER_SECOND,
   changesPerSecond: target.changesPerDay / SECONDS_PER_DAY
 } as const
--- a/packages/stand-ins/src/measure/capacity/configProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/configProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration: heap and load time by teams, what a change writes to the object store and what
- * a new VM reads, by teams; traffic by VMs as `measure -- config-traffic` counts it.
+ * Configuration probes: heap, load time and object store traffic by number of teams; polls and
+ * pushes by number of VMs, as `measure -- config-traffic` counts them.
  */
 import type { ConfigDocument, PatchOperation } from '@rosemaryspread/decisions/config/configRows.js'
 import { firstConfig, holdDocument, preparePatch, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
@@ -41,7 +41,7 @@
   return { op: 'add', path, value: value as never }
 }
 
-/** Patches that make a configuration of so many teams with the target's runners and models. */
+/** Patches that build a configuration with this many teams and the planned number of runners and models. */
 function patchesFor (teams: number): readonly (readonly PatchOperation[])[] {
   const models = Array.from({ length: target.models }, (_, index) => add(`/models/model-${index}`, {}))
   const runners = Array.from({ length: RUNNERS }, (_, index) => add(`/runners/runner-${index}`, {
@@ -79,7 +79,7 @@
   ]
 }
 
-/** Objects that count what is read and written. */
+/** Object store that counts reads, writes and bytes. */
 class CountingObjects extends MemoryObjects {
   gets = 0
   puts = 0
@@ -137,12 +137,12 @@
   ]
 }
 
-/** Lets objects be written that nobody waits for. */
+/** Waits for object writes that run in the background. */
 async function settle (): Promise<void> {
   for (let turn = 0; turn < 8; turn++) await new Promise(resolve => setImmediate(resolve))
 }
 
-/** Memory and load time by teams. */
+/** Heap and load time by number of teams. */
 export const teamProbe: CapacityProbe = {
   name: 'teams',
   timed: true,
@@ -154,7 +154,7 @@
   }
 }
 
-/** The object store by teams. */
+/** Object store traffic by number of teams. */
 export const objectProbe: CapacityProbe = {
   name: 'objects',
   timed: false,
@@ -165,7 +165,7 @@
   }
 }
 
-/** Traffic of the configuration by VMs. */
+/** Configuration traffic by number of VMs. */
 export const configTrafficProbe: CapacityProbe = {
   name: 'config-traffic',
   timed: true,
--- a/packages/stand-ins/src/measure/capacity/countingTable.ts
+++ b/packages/stand-ins/src/measure/capacity/countingTable.ts
@@ -1,29 +1,29 @@
 /**
- * A table that counts what goes through it: calls, rows and bytes of the JSON texts.
+ * Table store wrapper that counts calls, rows and bytes of the JSON bodies.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { ReadAnswer, RowKey, ScanAnswer, ScanRequest, TableStore, TransactAnswer, Transaction } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Counts of a table. */
+/** Totals since the last reset. */
 export interface TableCounts {
-  /** Reads and scans. */
+  /** Number of reads and scans. */
   reads: number
   rowsRead: number
-  /** Transactions, also those that conflicted. */
+  /** Number of transactions, including those that conflicted. */
   writes: number
   rowsWritten: number
-  /** Bytes of the JSON texts both ways. */
+  /** Bytes of JSON in both directions. */
   bytes: number
 }
 
-/** Counts calls of a store. */
+/** Counts the calls of the wrapped store. */
 export class CountingTable implements TableStore {
   counts: TableCounts = { reads: 0, rowsRead: 0, writes: 0, rowsWritten: 0, bytes: 0 }
 
   constructor (private readonly inner: TableStore) {}
 
-  /** Starts to count anew. */
+  /** Sets all counts to zero. */
   reset (): void {
     this.counts = { reads: 0, rowsRead: 0, writes: 0, rowsWritten: 0, bytes: 0 }
   }
--- a/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
@@ -1,6 +1,6 @@
 /**
- * One budget on which many holders draw and settle at once, in virtual time: how many of their
- * transactions conflict at the start, with plenty of budget, and near the end of the budget.
+ * Transaction conflicts of many holders that draw on one budget, in virtual time: at the start,
+ * with ample budget, and while the budget runs out.
  */
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
@@ -13,7 +13,7 @@
 const BUDGET = 'busiest'
 const LATENCIES = { betweenDomains: 2, table: 3 }
 const TICK_MS = 200
-/** Milliseconds between two requests of one VM on the budget. */
+/** Interval between two requests of one VM. */
 const EVERY_MS = 1_000
 const WORST_CASE = 1_024
 const USED = 224
@@ -21,7 +21,7 @@
 const PLENTY = 1_000_000_000
 const START_MS = 60_000
 const STEADY_MS = 240_000
-/** Demand that the scarce budget covers. */
+/** Time for which the scarce budget covers the demand. */
 const SCARCE_MS = 120_000
 const SECOND_MS = 1_000
 const PERCENT = 100
@@ -32,7 +32,7 @@
   readonly gaveUp: number
 }
 
-/** The world with counters. */
+/** Simulated fleet on one budget, with counters. */
 class HotBudget {
   readonly world: BudgetWorld
   private readonly drivers: BudgetDriver[] = []
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Counts of a time. */
+  /** Runs for some time and returns the counts of that time. */
   async during (ms: number): Promise<Counts> {
     const before = this.counts
     await this.world.time.runUntil(this.world.time.mono + ms)
@@ -117,7 +117,7 @@
   ]
 }
 
-/** Conflicts on the busiest budget. */
+/** Conflicts on the busiest budget by number of holders. */
 export const hotBudgetProbe: CapacityProbe = {
   name: 'hot-budget',
   timed: false,
--- a/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Budgets of one VM: heap by budgets drawn on, time of a tick, and what they cost the table in a
- * virtual hour, with idle budgets and with requests.
+ * Budget probes of one VM: heap and tick time by number of budgets, and table load of idle budgets
+ * and of requests in virtual time.
  */
 import { setImmediate } from 'node:timers/promises'
 import seedrandom from 'seedrandom'
@@ -18,7 +18,7 @@
 
 const HEAP_SIZES = [2_000, 8_000, 32_000]
 const IDLE_SIZES = [200, 800, 3_200]
-/** Parts of the target's load of one VM, with as many parts of its budgets. */
+/** Shares of the planned load of one VM; the number of budgets scales with them. */
 const REQUEST_PARTS = [1 / 4, 1 / 2, 1]
 const TICKS = 2_000
 const ROUNDS = 3
@@ -30,14 +30,14 @@
 const REQUEST_MS = 4_000_000
 const REQUEST_TICK_MS = 500
 const SECOND_MS = 1_000
-/** 788 budgets for each request a second, as 8,100 teams that call every VM. */
+/** 788 budgets per request/s: 8,100 teams that all call every VM. */
 const REQUEST_DRIVER = 'requests/s, one VM, 788 budgets each'
 const log = { write: () => {} }
 
 const series = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'budgets drawn on', quantity, unit, at: target.teams })
 const tableSeries = (driver: string, quantity: string, at: number): ProbeSeries => ({ role: 'table service', driver, quantity, unit: '1/s', at })
 
-/** A ledger that drew on so many budgets and billed one request of each. */
+/** A ledger that drew on this many budgets and billed one request of each. */
 function ledgerWith (budgets: number): { readonly ledger: BudgetLedger, readonly now: Instant } {
   const ledger = new BudgetLedger('quito-centro-a~0123456789ab')
   let mono = 0
@@ -65,7 +65,7 @@
   if (action.kind === 'flush') feed({ kind: 'flushAnswered', seq: action.seq, outcome: { kind: 'durable', sentAt } })
 }
 
-/** Heap of a ledger and time of its tick. */
+/** Heap and tick time of a ledger by number of budgets. */
 export const ledgerProbe: CapacityProbe = {
   name: 'ledger',
   timed: true,
@@ -81,7 +81,7 @@
   }
 }
 
-/** One VM's budgets over a table, in virtual time. */
+/** Budget driver of one VM over a counting table, in virtual time. */
 class LedgerRun {
   readonly table: CountingTable
   private mono = 0
@@ -105,7 +105,7 @@
     })
   }
 
-  /** Lets time pass. */
+  /** Advances virtual time in ticks and does some work before each. */
   async run (ms: number, tickMs: number, work: () => Promise<void> = async () => {}): Promise<void> {
     for (const end = this.mono + ms; this.mono < end;) {
       this.mono += tickMs
@@ -123,7 +123,7 @@
     this.driver.settle(reserved.unsafeCoerce(), billOf(`req-${this.requests}`, name))
   }
 
-  /** Requests of a rate, each for one of some budgets. */
+  /** Sends requests at a rate, each on a random budget. */
   async load (ratePerS: number, budgets: number, random: () => number): Promise<void> {
     let due = 0
     await this.run(REQUEST_MS, REQUEST_TICK_MS, async () => {
@@ -133,7 +133,7 @@
 }
 
 async function unused (): Promise<never> {
-  throw new Error('there are no other VMs')
+  throw new Error('unexpected peer call: the fleet has one VM')
 }
 
 async function idlePoints (size: number): Promise<readonly ProbePoint[]> {
@@ -171,7 +171,7 @@
   ]
 }
 
-/** What budgets cost the table. */
+/** Table load of budgets. */
 export const budgetTableProbe: CapacityProbe = {
   name: 'budget-table',
   timed: false,
--- a/packages/stand-ins/src/measure/capacity/memberProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/memberProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Membership by the number of VMs: heap of the view of one VM, calls of the whole fleet to the
- * table and to the list, messages and bytes between VMs, and the time of one heartbeat.
+ * Membership probes by number of VMs: heap of one VM's view, table and VM list calls of the fleet,
+ * messages and bytes between VMs, and processor time.
  */
 import { Fleet } from '@rosemaryspread/decisions/membership/memberFleet.fixture.js'
 import { MemberTable } from '@rosemaryspread/decisions/membership/memberTable.js'
@@ -35,7 +35,7 @@
   return table
 }
 
-/** Calls of a whole fleet in a second. */
+/** Calls of the whole fleet per second. */
 function callsOf (vms: number): readonly ProbePoint[] {
   const fleet = new Fleet()
   for (let index = 0; index < vms; index++) fleet.add(DOMAINS[index % DOMAINS.length] ?? '', index, '0123456789ab')
@@ -54,7 +54,7 @@
   ]
 }
 
-/** Membership without sockets. */
+/** Heap and calls of membership, simulated without sockets. */
 export const memberProbe: CapacityProbe = {
   name: 'members',
   timed: false,
@@ -65,7 +65,7 @@
   }
 }
 
-/** Heartbeats and rumors by VMs, as `bench -- membership` counts them. */
+/** Heartbeat and rumor traffic by number of VMs, as `bench -- membership` counts it. */
 export const gossipProbe: CapacityProbe = {
   name: 'gossip',
   timed: true,
--- a/packages/stand-ins/src/measure/capacity/probeRegistry.ts
+++ b/packages/stand-ins/src/measure/capacity/probeRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * All probes, in the order of the printed rows.
+ * Registry of the capacity probes.
  */
 import { configTrafficProbe, objectProbe, teamProbe } from './configProbe.js'
 import { hotBudgetProbe } from './hotBudgetProbe.js'
@@ -11,7 +11,7 @@
 import { idleVmProbe, loadedVmProbe, pollProbe, streamsProbe } from './vmProbe.js'
 import { flushProbe, linkProbe } from './wireProbe.js'
 
-/** All probes. */
+/** All probes in the order of the printed rows. */
 export const capacityProbes: readonly CapacityProbe[] = [
   ledgerProbe,
   teamProbe,
--- a/packages/stand-ins/src/measure/capacity/probeTypes.ts
+++ b/packages/stand-ins/src/measure/capacity/probeTypes.ts
@@ -1,11 +1,11 @@
 /**
- * Probes of the capacity bench. Each runs in a process of its own and answers points: one value
+ * Types of the capacity bench. Each probe runs in a separate process and returns points: one value
  * of one quantity at one size of one driver.
  */
 
 /** One measured value. */
 export interface ProbePoint {
-  /** Who spends it: `entry VM`, `placement`, `table service`, `object store`. */
+  /** Component that bears the cost: `entry VM`, `placement`, `table service`, `object store`. */
   readonly role: string
   /** What the size counts. */
   readonly driver: string
@@ -13,27 +13,22 @@
   readonly unit: string
   readonly size: number
   readonly value: number
-  /** Size of the driver at the target. */
+  /** Size of the driver at the planned scale. */
   readonly at: number
 }
 
-/** What all points of one quantity have in common. */
+/** Fields that all points of one quantity share. */
 export type ProbeSeries = Omit<ProbePoint, 'size' | 'value'>
 
-/** One probe. */
+/** Measures one or more quantities at several sizes. */
 export interface CapacityProbe {
   readonly name: string
-  /** Whether it measures processor time, so that nothing else of the bench may run beside it. */
+  /** Whether it measures processor time, so that no other probe may run at the same time. */
   readonly timed: boolean
   run (seed: string): Promise<readonly ProbePoint[]>
 }
 
-/**
- * Adds size and value to what a series has in common.
- * @param series - the series
- * @param size - size of the driver
- * @param value - what was measured
- */
+/** One measured point of a series. */
 export function pointOf (series: ProbeSeries, size: number, value: number): ProbePoint {
   return { ...series, size, value }
 }
--- a/packages/stand-ins/src/measure/capacity/processMeter.ts
+++ b/packages/stand-ins/src/measure/capacity/processMeter.ts
@@ -1,5 +1,5 @@
 /**
- * Memory and processor time of this process and of others that this one started.
+ * Measures memory and processor time of this process and of its child processes.
  */
 import { readFile } from 'node:fs/promises'
 
@@ -10,16 +10,13 @@
 const BYTES_PER_MB = 1024 * 1024
 const US_PER_MS = 1_000
 
-/** Bytes of the heap after everything unused was freed; needs `--expose-gc`. */
+/** Bytes of heap in use after garbage collection; needs `--expose-gc`. */
 export function settledHeap (): number {
   for (let pass = 0; pass < 4; pass++) globalThis.gc?.()
   return process.memoryUsage().heapUsed
 }
 
-/**
- * Heap bytes that something keeps.
- * @param build - makes it
- */
+/** Builds a value and measures the heap bytes that it retains. */
 export function heapOf<T> (build: () => T): { readonly kept: T, readonly bytes: number } {
   const before = settledHeap()
   const kept = build()
@@ -27,7 +24,7 @@
 }
 
 /**
- * Middle one of several values.
+ * Median, the upper one for an even number of values.
  * @param values - at least one
  */
 export function medianOf (values: readonly number[]): number {
@@ -35,10 +32,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? NaN
 }
 
-/**
- * Processor microseconds that this process spends on some work.
- * @param work - the work
- */
+/** Processor microseconds that this process spends on some work. */
 export async function processorUs (work: () => Promise<void> | void): Promise<number> {
   const before = process.cpuUsage()
   await work()
@@ -46,7 +40,7 @@
   return used.user + used.system
 }
 
-/** Another process, by its id. */
+/** Reads processor time and memory of a process from `/proc`. */
 export class OtherProcess {
   constructor (readonly pid: number) {}
 
@@ -63,24 +57,20 @@
   }
 }
 
-/**
- * The child of this process whose command line has a text.
- * @param text - part of the command line
- */
+/** Finds the child of this process whose command line contains a text. */
 export async function childWith (text: string): Promise<OtherProcess> {
   const children = await readFile(`/proc/${process.pid}/task/${process.pid}/children`, 'utf8')
   for (const pid of children.trim().split(' ')) {
     const command = await readFile(`/proc/${pid}/cmdline`, 'utf8').catch(() => '')
     if (command.includes(text)) return new OtherProcess(Number(pid))
   }
-  throw new Error(`no child process has '${text}' in its command line`)
+  throw new Error(`no child process with '${text}' in its command line`)
 }
 
 /**
- * Microseconds for one of many calls in this process, median of several rounds.
- * @param calls - calls in a round
- * @param rounds - rounds counted, after one that is not
- * @param work - one call
+ * Processor microseconds of one call, as the median of several rounds.
+ * @param calls - calls per round
+ * @param rounds - rounds counted, after one that warms up
  */
 export async function usPerCall (calls: number, rounds: number, work: (index: number) => Promise<unknown> | unknown): Promise<number> {
   const all: number[] = []
@@ -93,10 +83,6 @@
   return medianOf(all)
 }
 
-/**
- * Resolves later.
- * @param ms - milliseconds
- */
 export async function pause (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Recovery of what an ended VM held: calls to runners and to the table, by the budgets that it
- * held and by the runners that are declared. The runners answer that they know of no run.
+ * Cost of recovering the allotments of a terminated VM: calls to runners and to the table, by its
+ * number of budgets and by the number of declared runners. No runner has a run of it.
  */
 import { setImmediate } from 'node:timers/promises'
 import { Left, Nothing, Right, type Either } from 'purify-ts'
@@ -25,7 +25,7 @@
 const TICK_MS = 500
 const log = { write: () => {} }
 
-/** Counts of one recovery. */
+/** Calls of one recovery. */
 interface RecoveryCost {
   readonly runnerCalls: number
   readonly tableCalls: number
@@ -37,7 +37,7 @@
   const state = new TableState(() => mono)
   const names = Array.from({ length: budgets }, (_, index) => `budget-${index}`)
   for (const budget of names) state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: budget, value: { budget, paid: PAID, spent: 0, allotted: 0 } }] })
-  const unreachable = async (): Promise<Either<Failure, never>> => Left(new Failure('peerUnreachable', 'there are no other VMs'))
+  const unreachable = async (): Promise<Either<Failure, never>> => Left(new Failure('peerUnreachable', 'the fleet has no other VMs'))
   const peers = { members: () => [], give: unreachable, recall: unreachable, confirmNoTransfers: unreachable }
   const ended = new BudgetDriver({ holder: `${ENDED}~0123456789ab`, domain: DOMAIN, store: new MemoryTableStore(state), peers, clock, log })
   for (const budget of names) {
@@ -65,11 +65,11 @@
   const other = new BudgetDriver({ holder: 'quito-centro-b~0123456789ab', domain: DOMAIN, store: table, peers, clock, log, runners: known })
   await other.recoverDead({ asOf: mono + TICK_MS, vms: [{ vm: ENDED, state: 'gone' }] })
   const left = state.all(budgetTables.allotments).filter(({ value }) => (value as { state: string }).state === 'open')
-  if (left.length > 0) throw new Error(`${left.length} allotments of the ended VM stayed open`)
+  if (left.length > 0) throw new Error(`${left.length} allotments of the terminated VM are still open after recovery`)
   return { runnerCalls, tableCalls: table.counts.reads + table.counts.writes }
 }
 
-/** Calls of recovery. */
+/** Calls of recovery by budgets and by runners. */
 export const recoveryProbe: CapacityProbe = {
   name: 'recovery',
   timed: false,
--- a/packages/stand-ins/src/measure/capacity/routerProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/routerProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Routing and placement by runners: heap, runners watched, time of a decision, time of a round
- * of placement.
+ * Routing and placement probes by number of runners: heap, runners watched, and processor time of
+ * a routing decision and of a placement round.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { RunnerRouter } from '@rosemaryspread/decisions/routing/runnerRouter.js'
@@ -86,7 +86,7 @@
   ]
 }
 
-/** Routing and placement without sockets. */
+/** Routing and placement decisions, without sockets. */
 export const routerProbe: CapacityProbe = {
   name: 'router',
   timed: true,
@@ -98,7 +98,7 @@
   }
 }
 
-/** Carries out every order at once, and those that follow from the answers. */
+/** Reports every order as done, including those that follow from the reports. */
 function answerAll (planner: PlacementPlanner, at: Instant, actions: ReturnType<PlacementPlanner['handle']>): void {
   for (const { order } of actions) {
     answerAll(planner, at, planner.handle({ kind: 'answered', orderId: order.orderId, outcome: { kind: 'done' } }, at))
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -1,7 +1,7 @@
 /**
- * A real VM process beside stand-ins, all on loopback: what it costs idle, by the number of VMs;
- * by requests and by tokens relayed; by open streams; by runners watched. Processor time and
- * resident memory are those of the VM's own process.
+ * Probes of a real VM process with stand-ins on loopback: cost when idle, by number of VMs; by
+ * requests and tokens relayed; by open streams; by runners watched. Processor time and resident
+ * memory are those of the VM process alone.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
@@ -26,7 +26,7 @@
 const SETTLE_MS = 4_000
 const IDLE_MS = 5_000
 const IDLE_SIZES = [1, 3, 6]
-/** Small fleets send heartbeats to all, so a line through them tells nothing of large ones. */
+/** Reported size: small fleets send heartbeats to all VMs, so a fit doesn't extrapolate to large fleets. */
 const TODAY_VMS = 6
 const LOAD_MS = 4_000
 const REQUESTS = [40, 120, 240]
@@ -56,7 +56,7 @@
   })
 }
 
-/** A running fleet with the meter of its first VM. */
+/** A running fleet whose first VM is metered. */
 class MeasuredFleet {
   private constructor (readonly fleet: Fleet, readonly vm: OtherProcess) {}
 
@@ -74,7 +74,7 @@
     return counts
   }
 
-  /** Processor milliseconds of the VM and seconds of a time. */
+  /** Processor milliseconds of the VM and elapsed seconds during some work. */
   async cost (work: () => Promise<void>): Promise<{ readonly cpuMs: number, readonly seconds: number }> {
     const startedAt = performance.now()
     const before = await this.vm.processorMs()
@@ -82,7 +82,7 @@
     return { cpuMs: await this.vm.processorMs() - before, seconds: (performance.now() - startedAt) / SECOND_MS }
   }
 
-  /** Processor milliseconds a second while nobody calls. */
+  /** Processor milliseconds per second without requests. */
   async idleMsPerS (): Promise<number> {
     const { cpuMs, seconds } = await this.cost(async () => { await pause(IDLE_MS) })
     return cpuMs / seconds
@@ -99,7 +99,7 @@
   return { team, teamKey: teamKey(team), path: '/v1/chat/completions', body, digest: bodyDigest(body), repeatable: true, idempotencyKey: undefined, requestId: undefined, timeoutMs: undefined, streamed: true }
 }
 
-/** Sends requests evenly over a time and waits for their ends; answers the tokens that came. */
+/** Sends requests evenly over `LOAD_MS`, waits until all end and returns the number of tokens received. */
 async function sendEvenly (measured: MeasuredFleet, requests: number, tokens: number): Promise<number> {
   const caller = new TestCaller()
   const url = measured.fleet.vm('vm0').callersUrl
@@ -112,11 +112,11 @@
   await Promise.all(asks)
   await pause(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
   const refused = caller.asks.filter(ask => ask.outcome?.kind !== 'answered').length
-  if (refused > 0) throw new Error(`${refused} of ${requests} requests were not answered`)
+  if (refused > 0) throw new Error(`${refused} of ${requests} requests got no answer`)
   return caller.asks.reduce((sum, ask) => sum + ask.pieces, 0)
 }
 
-/** An idle VM by the size of its fleet. */
+/** Cost of an idle VM by fleet size. */
 export const idleVmProbe: CapacityProbe = {
   name: 'vm-idle',
   timed: true,
@@ -140,7 +140,7 @@
   }
 }
 
-/** The data path of one VM. */
+/** Cost of requests and of relayed tokens. */
 export const loadedVmProbe: CapacityProbe = {
   name: 'vm-load',
   timed: true,
@@ -166,7 +166,7 @@
   return pointOf(of, requests, cpuMs - idle * seconds)
 }
 
-/** Memory by open streams. */
+/** Resident memory by open streams. */
 export const streamsProbe: CapacityProbe = {
   name: 'vm-streams',
   timed: true,
@@ -188,7 +188,7 @@
   }
 }
 
-/** Servers that answer as an idle engine does, and count bytes and calls. */
+/** Servers that answer like idle engines and count calls and bytes. */
 class IdleRunners {
   calls = 0
   private readonly servers: Server[] = []
@@ -227,7 +227,7 @@
   }
 }
 
-/** Load polls by the number of runners watched. */
+/** Cost of load polls by number of runners watched. */
 export const pollProbe: CapacityProbe = {
   name: 'vm-polls',
   timed: true,
@@ -245,7 +245,7 @@
         patch.push({ op: 'add', path: `/runners/idle-${index}`, value: { address: await runners.add(), domain: DOMAINS[index % 3], models: [model] } })
       }
       const outcome = await measured.fleet.operator.patch(vm.operatorsUrl, { base: round + 1, patchId: `runners-${round}`, patch })
-      if (outcome.status !== 200) throw new Error(`the patch ended with ${outcome.status} ${outcome.name ?? ''}`)
+      if (outcome.status !== 200) throw new Error(`the patch that adds runners failed with status ${outcome.status} ${outcome.name ?? ''}`)
       await pause(SETTLE_MS)
       points.push(...await pollPoints(measured, runners, size))
     }
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Processor time on real connections over loopback: notifications between VMs (both ends in this
- * process), and flushes of budgets to a table stand-in in a process of its own.
+ * Processor time of real connections over loopback: notifications between VMs (both ends in this
+ * process), and budget flushes to a table stand-in in a separate process.
  */
 import { JsonRpcPeerClient } from '@rosemaryspread/peers/link/peerClient.js'
 import { JsonRpcPeerServer } from '@rosemaryspread/peers/link/peerServer.js'
@@ -29,19 +29,19 @@
 const TIMEOUT_MS = 10_000
 const FLUSH_SIZES = [1, 20, 100]
 const FLUSHES = 50
-/** Points of the first size, which only warms up. */
+/** The points of the first size are discarded, as it only warms up. */
 const POINTS_OF_SIZE = 2
 const PAID = 1_000_000_000
 const BILLED = 10
 const log = { write: () => {} }
 const clock = { now: () => ({ mono: performance.now(), wall: Date.now() }) }
-/** Messages of membership both ways of the busiest VM; see the gossip probe. */
+/** Membership messages per second of the busiest VM in both directions, from the gossip probe. */
 const MEMBERSHIP_MESSAGES = 17.4
 
 const linkSeries: ProbeSeries = { role: 'entry VM', driver: 'messages between VMs/s', quantity: 'processor time of links, both ends', unit: 'us/s', at: MEMBERSHIP_MESSAGES }
 const flushSeries = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'bills and budgets in a flush', quantity, unit, at: perVm.requestsPerSecond * 2 })
 
-/** Links between VMs. */
+/** Processor time of links between VMs by message rate. */
 export const linkProbe: CapacityProbe = {
   name: 'links',
   timed: true,
@@ -81,7 +81,7 @@
   return { self: { holder: HOLDER, beat, state: 'live', config: 1_234, open: 7, age: 0 }, news: [], ask: false }
 }
 
-/** Flushes over HTTP. */
+/** Processor time and bytes of a flush over HTTP by number of bills. */
 export const flushProbe: CapacityProbe = {
   name: 'flush',
   timed: true,
@@ -103,7 +103,7 @@
           for (let count = 0; count < FLUSHES; count++) {
             seq += 1
             const outcome = await flushing.flush({ kind: 'flush', seq, bills: billsOf(seq, size), returns: [], transfers: [] })
-            if (outcome.kind !== 'durable') throw new Error(`a flush ended as ${outcome.kind}`)
+            if (outcome.kind !== 'durable') throw new Error(`flush ${seq} ended as '${outcome.kind}' instead of 'durable'`)
           }
         })
         if (round > 0) rounds.push(us / FLUSHES)
--- a/packages/stand-ins/src/measure/config/sizeCost.ts
+++ b/packages/stand-ins/src/measure/config/sizeCost.ts
@@ -1,6 +1,6 @@
 /**
- * Size of a configuration and the time it takes to check a patch, to replay it and to load the
- * whole, by the number of teams. In real time on this machine.
+ * Size of a configuration, and real time to prepare a patch, to replay it and to load the whole
+ * configuration, by number of teams.
  */
 import { firstConfig, holdDocument, preparePatch, replayRows, type HeldConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 import type { ConfigDocument, VersionRow } from '@rosemaryspread/decisions/config/configRows.js'
@@ -79,7 +79,7 @@
   }
 }
 
-/** Measures all sizes. */
+/** Measures configurations of all sizes. */
 export function measureSizes (): readonly MeasureRow[] {
   return TEAMS.map(measureTeams)
 }
--- a/packages/stand-ins/src/measure/config/spreadTimes.ts
+++ b/packages/stand-ins/src/measure/config/spreadTimes.ts
@@ -1,6 +1,6 @@
 /**
- * Time from the acceptance of a version until it is in force on every VM of a fleet, under
- * faults. In virtual time: latencies and faults are given, the code is the product's.
+ * Propagation time of a configuration under faults: from the acceptance of a version until it is in
+ * force on every VM. Runs the product's code in virtual time with simulated latencies and faults.
  */
 import { VERSION_TABLE } from '@rosemaryspread/decisions/config/configRows.js'
 import { PUSH_METHOD } from 'rosemaryspread/config/configSpread.js'
@@ -10,22 +10,22 @@
 
 const VMS = 6
 const PATCHES = 250
-/** Patches come at random, this far apart at least and at most. */
+/** Bounds of the random gap between two patches. */
 const MIN_GAP_MS = 2_500
 const MAX_GAP_MS = 6_000
-/** Milliseconds that a restarted VM needs before its process runs. */
+/** Boot time of a restarted VM. */
 const BOOT_MS = 1_000
 
-/** An operator whose VM ended waits no longer than this. */
+/** Timeout of a patch, for an accepting VM that was terminated. */
 const GIVE_UP_MS = 20_000
 
-/** A fault and how it meets each patch. */
+/** A fault and when it is injected. */
 interface SpreadCase {
   readonly name: string
   begin? (fleet: ConfigFleet): void
-  /** Called just before each patch. */
+  /** Called before each patch. */
   beforePatch? (fleet: ConfigFleet, acceptor: FleetVm): void
-  /** Called as soon as the version is accepted, before its acceptor does anything more. */
+  /** Called when the version is committed, before its acceptor continues. */
   onAccept? (fleet: ConfigFleet, acceptor: FleetVm): void
 }
 
@@ -64,8 +64,8 @@
 }
 
 /**
- * The value below which a share of values lies.
- * @param sorted - values in rising order
+ * Quantile by nearest rank.
+ * @param sorted - values in ascending order
  * @param share - 0 to 1
  */
 export function quantile (sorted: readonly number[], share: number): number {
@@ -73,7 +73,7 @@
   return sorted[Math.max(index, 0)] ?? Number.NaN
 }
 
-/** One case on one fleet. */
+/** Runs one case on a fresh fleet. */
 class SpreadRun {
   readonly #fleet: ConfigFleet
   readonly #acceptedAt = new Map<number, number>()
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Milliseconds until the slowest VM had this version or a higher one. */
+  /** Milliseconds until every VM had this version or a later one. */
   #spreadMs (version: number): number {
     const from = this.#acceptedAt.get(version) ?? 0
     const arrivals = this.#fleet.vms.map(({ name }) => {
@@ -142,10 +142,7 @@
   }
 }
 
-/**
- * Runs all cases.
- * @param seed - of all random decisions
- */
+/** Runs all cases. */
 export async function measureSpreadTimes (seed: string): Promise<readonly MeasureRow[]> {
   const rows: MeasureRow[] = []
   for (const spreadCase of cases) rows.push(await new SpreadRun(spreadCase, seed).run())
--- a/packages/stand-ins/src/measure/config/trafficCounts.ts
+++ b/packages/stand-ins/src/measure/config/trafficCounts.ts
@@ -1,6 +1,6 @@
 /**
- * Messages and bytes that the configuration costs each VM, idle and for each change, by the
- * number of VMs. In virtual time; bytes are those of the JSON texts, without HTTP or TCP heads.
+ * Configuration messages and bytes of each VM, idle and per change, by number of VMs, in virtual
+ * time. Bytes are those of the JSON bodies, without HTTP and TCP headers.
  */
 import { ConfigFleet, type FleetVm } from '../../config/configFleet.js'
 import type { Traffic } from '../../config/fleetTable.js'
@@ -31,7 +31,7 @@
   return { table: total(fleet.vms, vm => vm.table.traffic), peers: total(fleet.vms, vm => vm.peerTraffic) }
 }
 
-/** Messages or bytes of one VM in a time, beyond what it sends when idle. */
+/** Messages or bytes of one VM per change, without the idle traffic. */
 function perChange (before: Counts, after: Counts, idle: Counts, name: keyof Counts, what: keyof Traffic, vms: number): number {
   const idlePart = idle[name][what] * (CHANGES * CHANGE_MS) / IDLE_MS
   return (after[name][what] - before[name][what] - idlePart) / vms / CHANGES
@@ -70,7 +70,7 @@
   }
 }
 
-/** Milliseconds from the answer to the operator until all VMs have the version. */
+/** Applies a change; returns the milliseconds from the answer to the operator until all VMs have the version. */
 async function changeOnce (fleet: ConfigFleet, change: number): Promise<number> {
   const acceptor = fleet.vm(Math.floor(fleet.random() * fleet.vms.length))
   const from = fleet.time.now().mono
@@ -81,10 +81,7 @@
   return arrivals.length < fleet.vms.length ? Infinity : Math.max(...arrivals) - answered
 }
 
-/**
- * Runs all sizes.
- * @param seed - of all random decisions
- */
+/** Measures fleets of all sizes. */
 export async function measureTraffic (seed: string): Promise<readonly MeasureRow[]> {
   const rows: MeasureRow[] = []
   for (const vms of SIZES) rows.push(await measureSize(vms, seed))
--- a/packages/stand-ins/src/measure/config/wireCost.ts
+++ b/packages/stand-ins/src/measure/config/wireCost.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes and processor time of one poll and of one push on real connections over loopback.
- * Client and server run in this process, so the time is that of both ends together.
+ * Bytes and processor time of a configuration poll and of a push over real loopback connections.
+ * Client and server run in this process, so the time covers both ends.
  */
 import { connect, createServer, type AddressInfo, type Server } from 'node:net'
 import { firstConfig } from '@rosemaryspread/decisions/config/configPatch.js'
@@ -22,7 +22,7 @@
 
 interface Counter { bytes: number }
 
-/** Runs calls one after the other and answers the processor milliseconds of one. */
+/** Processor milliseconds of one call, averaged over sequential calls. */
 async function processorMs (call: () => Promise<unknown>): Promise<number> {
   for (let index = 0; index < WARM_UP; index++) await call()
   const before = process.cpuUsage()
@@ -38,7 +38,7 @@
   return (counter.bytes - before) / WARM_UP
 }
 
-/** Passes connections on to a port and counts what goes through, both ways. */
+/** TCP relay to a port that counts the bytes in both directions. */
 async function relay (port: number, counter: Counter): Promise<Server> {
   const server = createServer(inner => {
     const outer = connect(port, LOOPBACK)
@@ -96,7 +96,7 @@
   return { call: 'push between VMs', calls: CALLS, bytesBothWays: Math.round(bytes), processorMsBothEnds: Number(cpuMs.toFixed(3)) }
 }
 
-/** Measures both kinds of calls. */
+/** Measures polls and pushes. */
 export async function measureWire (): Promise<readonly MeasureRow[]> {
   return [await measurePoll(), await measurePush()]
 }
--- a/packages/stand-ins/src/measure/placement/naivePlanner.ts
+++ b/packages/stand-ins/src/measure/placement/naivePlanner.ts
@@ -1,16 +1,15 @@
 /**
- * A baseline for measurements: it compares what is declared with the newest reports and orders
- * everything that differs at once. It knows nothing of domains, versions in use, rates or
- * runners that come and go.
+ * Baseline planner: compares the declared state with the latest reports and orders all differences
+ * at once. It ignores failure domains, versions in use, rate limits and flapping runners.
  */
 import { elapsedMs, type Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
 import type { LoadedModel, PlacementAction, PlacementDecider, PlacementEvent, PlacementOrder } from '@rosemaryspread/decisions/placement/placementTypes.js'
 
-/** Silence after which a runner counts as down. */
+/** A runner without a report for this long counts as down. */
 const DOWN_MS = 3_000
 
-/** Orders everything at once. */
+/** Orders all differences at once. */
 export class NaivePlanner implements PlacementDecider {
   private config: FleetConfig | undefined
   private fencing: number | undefined
--- a/packages/stand-ins/src/measure/placement/placementMeasure.ts
+++ b/packages/stand-ins/src/measure/placement/placementMeasure.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure -- placement`: how long placement takes to reach what is declared after a
- * change or a fault, what it orders for it, and for how long copies are missing, in virtual
- * time. The product against a planner that orders everything at once.
+ * `npm run measure -- placement`: time until placement reaches the declared state after a change or
+ * a fault, its orders, and the time with copies missing, in virtual time. Compares the product
+ * with a planner that orders everything at once.
  */
 import seedrandom from 'seedrandom'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
@@ -13,15 +13,15 @@
 const MINUTE = 60_000
 const MS_PER_SECOND = 1_000
 const LIMIT_MS = 30 * MINUTE
-/** Time after a fault until it is judged, so that late orders are counted too. */
+/** Time after the first placement until the fault, so that late orders count before it. */
 const REST_MS = 5 * MINUTE
 
-/** One deployment. */
+/** Size of a deployment and the models that it declares. */
 interface Shape {
   readonly name: string
   readonly domains: readonly string[]
   readonly runnersPerDomain: number
-  /** Copies declared of each model; every runner may serve every model. */
+  /** Declared copies by model; every runner may serve every model. */
   readonly models: Readonly<Record<string, number>>
 }
 
@@ -67,13 +67,13 @@
   }]
 ]
 
-/** Without a spare runner nothing can be replaced elsewhere: only versions can change. */
+/** Faults that apply: without a spare runner copies can't move, so only versions can change. */
 function faultsOf ({ domains, runnersPerDomain, models }: Shape): ReadonlyArray<readonly [string, Fault]> {
   const isFull = Object.values(models).some(copies => copies >= domains.length * runnersPerDomain)
   return isFull ? faults.filter(([name]) => name.includes('new version')) : faults
 }
 
-/** A runner that has something loaded. */
+/** A random engine with a model loaded. */
 function holderOf (world: PlacementWorld, random: () => number): ReturnType<PlacementWorld['engine']> {
   const holding = [...world.engines.values()].filter(engine => engine.models.report.length > 0)
   return holding[Math.floor(random() * holding.length)]!
@@ -114,7 +114,7 @@
   }
 }
 
-/** Seconds until the declared state held for good, or `never`. */
+/** Seconds until the declared state was reached and stayed, or `never`. */
 function settle (world: PlacementWorld): number | string {
   const start = world.now
   let lastUnplaced = start
@@ -125,7 +125,7 @@
   return lastUnplaced === world.now ? 'never' : (lastUnplaced - start) / MS_PER_SECOND
 }
 
-/** The measurement. */
+/** Placement under changes and faults. */
 export const placementMeasure: Measurement = {
   group: 'measure',
   name: 'placement',
--- a/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- quarantine`: what keeping requests from targets costs one VM: the digest of a request by the size of its body,
- * what a VM remembers and looks up by the number of requests under suspicion, and the size of a row by the calls on an ended target.
+ * `npm run bench -- quarantine`: cost of the request quarantine for one VM: digest time by body size,
+ * heap, update and lookup time by number of suspected requests, and row size by number of calls on a terminated target.
  */
 import type { EndReport, TargetEnd } from '@rosemaryspread/decisions/quarantine/quarantineTypes.js'
 import { RequestQuarantine } from '@rosemaryspread/decisions/quarantine/requestQuarantine.js'
@@ -14,11 +14,11 @@
 const TIMES = 2_000
 const US_PER_MS = 1_000
 
-/** Cost of the quarantine, measured. */
+/** Cost of the request quarantine. */
 export const quarantineBench: Measurement = {
   group: 'bench',
   name: 'quarantine',
-  title: 'cost of a request\'s digest, of what is remembered of suspected requests, and of what is told',
+  title: 'cost of a request\'s digest, of the state of suspected requests, and of quarantine updates',
   run: async () => [...BODY_BYTES.map(digestRow), ...SUSPECTS.flatMap(memoryRows), ...DIGESTS.map(newsRow)]
 }
 
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.spec.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.spec.ts
@@ -1,20 +1,20 @@
 /**
- * How many targets one request ends, and whether harmless requests are refused where targets end for other reasons. Each case
- * is played with several seeds.
+ * Guards against a harmful request that ends many targets, and against the quarantine of harmless requests when targets end for
+ * other reasons. Each case runs with several seeds.
  */
 import { expect } from 'chai'
 import { QuarantineFleet, type QuarantineCounts, type QuarantineShape } from './quarantineFleet.js'
 
 const SEEDS = 5
 const SECOND = 1_000
-/** News go over links in a small fleet, and by the feed of the table in a large one. */
+/** Updates travel over links in a small fleet and through the change feed of the table in a large one, which is slower. */
 const small: QuarantineShape = { seed: '', vms: 6, targets: 18, requestsPerS: 120, runMs: 500, backMs: 5 * SECOND, newsMs: 10, samePart: 0 }
 const large: QuarantineShape = { ...small, vms: 60, targets: 114, requestsPerS: 460, newsMs: 250 }
 
 interface FleetCase {
   readonly name: string
   readonly shape: QuarantineShape
-  /** Sets up what happens in half a minute. */
+  /** Schedules the events of the 30 s run. */
   readonly set: (fleet: QuarantineFleet) => void
 }
 
@@ -34,15 +34,15 @@
   { name: 'six VMs, four times a second', shape: small, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
   { name: 'six VMs, three copies at once', shape: small, set: fleet => { every(fleet, SECOND, 500, 40, () => { fleet.harmful(3) }) } },
   { name: 'six VMs, every four seconds', shape: small, set: fleet => { every(fleet, SECOND, 4_000, 6, () => { fleet.harmful(1) }) } },
-  { name: 'six VMs whose news take a second', shape: { ...small, newsMs: SECOND }, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
+  { name: 'six VMs whose updates take a second', shape: { ...small, newsMs: SECOND }, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
   { name: 'sixty VMs, four times a second', shape: large, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
   { name: 'sixty VMs, three copies at once', shape: large, set: fleet => { every(fleet, SECOND, 500, 40, () => { fleet.harmful(3) }) } }
 ]
 
 const harmless: readonly FleetCase[] = [
-  { name: 'a failure domain ends at once', shape: small, set: fleet => { fleet.time.after(5 * SECOND, () => { for (const target of fleet.targets) if (target.view.domain === 'd0') fleet.end(target) }) } },
+  { name: 'all targets of a failure domain end at once', shape: small, set: fleet => { fleet.time.after(5 * SECOND, () => { for (const target of fleet.targets) if (target.view.domain === 'd0') fleet.end(target) }) } },
   {
-    name: 'a failure domain ends target by target, twice',
+    name: 'the targets of a failure domain end one by one, twice',
     shape: small,
     set: fleet => {
       const domain = fleet.targets.filter(({ view }) => view.domain === 'd0')
@@ -60,17 +60,17 @@
     set: fleet => { every(fleet, 3_000, 700, fleet.targets.length, index => { const target = fleet.targets[index]; if (target !== undefined) fleet.end(target) }) }
   },
   {
-    name: 'three targets for a request that a third of all callers make end again and again',
+    name: 'three targets end repeatedly while a third of all requests are identical',
     shape: { ...small, targets: 3, runMs: 60, backMs: 2 * SECOND, samePart: 0.33 },
     set: fleet => { every(fleet, 3_000, 900, 20, index => { const target = fleet.targets[index % 3]; if (target !== undefined) fleet.end(target) }) }
   },
-  { name: 'a harmful request comes among them', shape: small, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
-  { name: 'a harmful request comes among them, at sixty VMs', shape: large, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } }
+  { name: 'a harmful request is sent among them', shape: small, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } },
+  { name: 'a harmful request is sent among them, with sixty VMs', shape: large, set: fleet => { every(fleet, SECOND, 250, 80, () => { fleet.harmful(1) }) } }
 ]
 
 describe('QuarantineFleet', () => {
   for (const test of harmful) {
-    it(`ends few targets under one request, with ${test.name}`, async () => {
+    it(`quarantines a harmful request after few targets ended, with ${test.name}`, async () => {
       for (let seed = 1; seed <= SEEDS; seed += 1) {
         const counts = await play(test, seed)
         expect(counts.ends, JSON.stringify({ seed, ...counts })).to.be.within(3, 8)
@@ -80,7 +80,7 @@
   }
 
   for (const test of harmless) {
-    it(`refuses next to no harmless request where ${test.name}`, async () => {
+    it(`refuses fewer than 0.1% of harmless requests where ${test.name}`, async () => {
       const played = await Promise.all(Array.from({ length: SEEDS }, async (_, index) => await play(test, index + 1)))
       const asked = played.reduce((sum, counts) => sum + counts.asked, 0)
       const refused = played.reduce((sum, counts) => sum + counts.refused, 0)
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet before targets that end, in virtual time: who is quarantined, how many targets one request ends, and which harmless
- * requests are refused for it. The decisions are the product's; calls, targets and the way of the news are small fakes.
+ * Simulates a fleet whose targets end, in virtual time: which requests are quarantined, how many targets one request ends, and
+ * which harmless requests are refused. The decisions are the product's; calls, targets and the propagation of updates are fakes.
  */
 import seedrandom from 'seedrandom'
 import { TargetBalancer } from '@rosemaryspread/decisions/gateway/targetBalancer.js'
@@ -12,14 +12,14 @@
 
 const SERVICE = 's'
 const DOMAINS = 3
-/** Milliseconds until a VM reads that its connection broke. */
+/** Delay until a VM detects a broken connection. */
 const BREAK_MS = 1
-/** Milliseconds for which the register lists a target that ended. */
+/** Time for which the register still lists a target that ended. */
 const LISTED_MS = 3_000
-/** Sends of one call: two attempts, and targets that were not there passed over. */
+/** Bounds of one call: attempts, and unreachable targets skipped. */
 const MOST_ATTEMPTS = 2
 const MOST_ABSENT = 3
-/** Returns of the caller of a harmless request that failed. */
+/** Retries by the caller of a harmless request that failed. */
 const MOST_RETURNS = 6
 const RETURN_MS = 200
 const MS_PER_SECOND = 1_000
@@ -32,22 +32,22 @@
   readonly requestsPerS: number
   /** Mean milliseconds of a run; a run is between a tenth and twice as long. */
   readonly runMs: number
-  /** Milliseconds from the end of a target until another process has its id. */
+  /** Time from the end of a target until a new process has its id. */
   readonly backMs: number
-  /** Longest time that news take to another VM, in milliseconds. */
+  /** Longest delay of an update to another VM. */
   readonly newsMs: number
-  /** Part of the harmless requests that are all the same. */
+  /** Share of the harmless requests that are identical. */
   readonly samePart: number
 }
 
-/** What became of a play. */
+/** Counts of a run. */
 export interface QuarantineCounts {
   readonly asked: number
   /** Harmless requests that were refused as quarantined. */
   readonly refused: number
-  /** Processes that ended under the harmful requests. */
+  /** Target processes that harmful requests ended. */
   readonly ends: number
-  /** Harmful requests that reached a target later than three seconds after the third end. */
+  /** Harmful requests that reached a target more than three seconds after the third end. */
   readonly late: number
 }
 
@@ -62,7 +62,7 @@
   readonly quarantine: RequestQuarantine
   readonly answers: AnsweredRequests
   readonly balancer: TargetBalancer
-  /** Runs under way by request; each entry breaks one off. */
+  /** Functions that abort the open runs, by request digest. */
   readonly open: Map<string, Set<() => void>>
 }
 
@@ -73,11 +73,11 @@
   readonly exclude: Set<string>
   attempts: number
   absent: number
-  /** Comes again after the call failed. */
+  /** Retries after the call failed. */
   readonly again: () => void
 }
 
-/** A fleet. */
+/** Simulated fleet. */
 export class QuarantineFleet {
   readonly time = new VirtualTime()
   readonly targets: readonly Target[]
@@ -99,16 +99,12 @@
     }))
   }
 
-  /** What became of it. */
   get counts (): QuarantineCounts {
     const third = this.harmfulEnds[2] ?? Infinity
     return { asked: this.asked, refused: this.refusedDigests.size, ends: this.harmfulEnds.length, late: this.harmfulSends.filter(at => at > third + 3 * MS_PER_SECOND).length }
   }
 
-  /**
-   * Has harmless requests come for some time.
-   * @param ms - how long
-   */
+  /** Schedules harmless requests for this many milliseconds. */
   traffic (ms: number): void {
     const { requestsPerS, samePart } = this.shape
     for (let at = 0; at < ms; at += MS_PER_SECOND / requestsPerS) {
@@ -121,17 +117,14 @@
   }
 
   /**
-   * Has a request come that ends the targets that run it.
-   * @param copies - VMs that get it at once
+   * Sends a request that ends the targets that run it.
+   * @param copies - how many VMs receive it at once
    */
   harmful (copies: number): void {
     for (let copy = 0; copy < copies; copy += 1) this.come('harmful', true, 1)
   }
 
-  /**
-   * Ends a target.
-   * @param target - the target
-   */
+  /** Ends the process of a target; a new process replaces it after `restartMs`. */
   end (target: Target): void {
     if (!target.isUp) return
     target.isUp = false
