--- a/packages/stand-ins/src/measure/budget/budgetWorld.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorld.ts
@@ -63,6 +63,7 @@
   readonly engines: BudgetEngines
   readonly random: () => number
   private readonly network: PeerNetwork
+  /** Terminated VMs, with the time of termination. */
   private readonly gone: Array<{ readonly vm: string, readonly at: number }> = []
   private readonly replaced = new Set<BudgetVm>()
   private started = 0
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -103,7 +103,7 @@
           for (let count = 0; count < FLUSHES; count++) {
             seq += 1
             const outcome = await flushing.flush({ kind: 'flush', seq, bills: billsOf(seq, size), returns: [], transfers: [] })
-            if (outcome.kind !== 'durable') throw new Error(`flush ${seq} ended as '${outcome.kind}' instead of 'durable'`)
+            if (outcome.kind !== 'durable') throw new Error(`a flush must end as 'durable', but ended as '${outcome.kind}'`)
           }
         })
         if (round > 0) rounds.push(us / FLUSHES)
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -55,6 +55,7 @@
   view: TargetView
   isUp: boolean
   listedUntil: number
+  /** Callbacks of the open runs, called when the connection breaks. */
   readonly runs: Set<() => void>
 }
 
