--- a/packages/stand-ins/src/measure/budget/budgetBaselines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBaselines.ts
@@ -86,7 +86,7 @@
   unreported: number
 }
 
-/** Counts locally and exchanges totals with the table every `SYNC_MS`. */
+/** Counts locally and exchanges totals with the table every `SYNC_INTERVAL_MS`. */
 abstract class LocalSpender extends BaselineSpender {
   private readonly counts = new Map<string, LocalCount>()
   private syncedAt = -SYNC_MS
--- a/packages/stand-ins/src/measure/capacity/capacityFit.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.ts
@@ -24,7 +24,7 @@
 /**
  * Fits a line through points of one quantity.
  * @param points - at least three distinct sizes
- * @param at - planned size
+ * @param at - size of the driver at the planned scale
  */
 export function fitLine (points: ReadonlyArray<{ readonly size: number, readonly value: number }>, at: number): CapacityFit {
   const sizes = new Set(points.map(({ size }) => size))
--- a/packages/stand-ins/src/measure/capacity/capacityTarget.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityTarget.ts
@@ -24,7 +24,7 @@
 export const perVm = {
   requestsPerSecond: target.requestsPerSecond / target.vms,
   tokensPerSecond: target.tokensPerSecond / target.vms,
-  /** Streams open at once when each yields a token every `TOKEN_MS` (78 ms). */
+  /** Streams open at once when each yields a token every `TOKEN_INTERVAL_MS` (78 ms). */
   openStreams: target.tokensPerSecond / target.vms * TOKEN_MS / MS_PER_SECOND,
   changesPerSecond: target.changesPerDay / SECONDS_PER_DAY
 } as const
