--- a/packages/stand-ins/src/measure/budget/budgetBaselines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBaselines.ts
@@ -7,21 +7,21 @@
 import { budgetRowSchema, type Bill, type BudgetRow } from '@rosemaryspread/decisions/budget/budgetTypes.js'
 import type { Reservation } from 'rosemaryspread/budget/budgetPort.js'
 import { BudgetTable } from 'rosemaryspread/budget/budgetTable.js'
-import type { Spender, SpenderParts } from './budgetVm.js'
+import type { Spender, SpenderDeps } from './budgetVm.js'
 
 /** Interval at which totals are read and written. */
-const SYNC_MS = 5_000
+const SYNC_INTERVAL_MS = 5_000
 
-function keyOf (budget: string): { readonly table: string, readonly key: string } {
+function budgetRowKey (budget: string): { readonly table: string, readonly key: string } {
   return { table: budgetTables.budgets, key: budget }
 }
 
 /** Base of the baselines: issues reservation ids; without a lease, each confirmation succeeds. */
 abstract class BaselineSpender implements Spender {
   protected readonly table: BudgetTable
-  private reservations = 0
+  private reservationCount = 0
 
-  constructor (protected readonly parts: SpenderParts) {
+  constructor (protected readonly parts: SpenderDeps) {
     this.table = new BudgetTable(parts.store, parts.clock)
   }
 
@@ -33,9 +33,9 @@
     return Right(undefined)
   }
 
-  protected reservation (budget: string, tokens: number): Reservation {
-    this.reservations += 1
-    return { reservationId: `${this.parts.holder}.${this.reservations}`, budget, tokens }
+  protected createReservation (budget: string, tokens: number): Reservation {
+    this.reservationCount += 1
+    return { reservationId: `${this.parts.holder}.${this.reservationCount}`, budget, tokens }
   }
 }
 
@@ -44,9 +44,9 @@
   private unsettled: Array<{ readonly reservation: Reservation, readonly tokens: number }> = []
 
   async reserve (budget: string, tokens: number): Promise<Either<Failure, Reservation>> {
-    const reservation = this.reservation(budget, tokens)
-    const done = await this.change(reservation, row => ({ ...row, allotted: row.allotted + tokens }))
-    return done.map(() => reservation)
+    const reservation = this.createReservation(budget, tokens)
+    const result = await this.updateRow(reservation, row => ({ ...row, allotted: row.allotted + tokens }))
+    return result.map(() => reservation)
   }
 
   settle (reservation: Reservation, bill?: Bill): void {
@@ -58,20 +58,20 @@
     this.unsettled = []
     for (const item of batch) {
       const { reservation, tokens } = item
-      this.change(reservation, row => ({ ...row, allotted: row.allotted - reservation.tokens, spent: row.spent + tokens }))
-        .then(done => { if (done.isLeft()) this.unsettled.push(item) })
+      this.updateRow(reservation, row => ({ ...row, allotted: row.allotted - reservation.tokens, spent: row.spent + tokens }))
+        .then(result => { if (result.isLeft()) this.unsettled.push(item) })
         .catch(err => { throw err })
     }
   }
 
-  private async change (reservation: Reservation, next: (row: BudgetRow) => BudgetRow): Promise<Either<Failure, unknown>> {
+  private async updateRow (reservation: Reservation, update: (row: BudgetRow) => BudgetRow): Promise<Either<Failure, unknown>> {
     const { budget, reservationId } = reservation
-    return await this.table.run(reservationId, [keyOf(budget)], rows => {
+    return await this.table.run(reservationId, [budgetRowKey(budget)], rows => {
       const row = rows.get(budgetRowSchema, budgetTables.budgets, budget)
       if (row === undefined) return Left(new Failure('budgetUnknown', budget))
-      const after = next(row)
-      if (after.spent + after.allotted > after.paid) return Left(new Failure('budgetSpent', budget))
-      rows.set(budgetTables.budgets, budget, after)
+      const updated = update(row)
+      if (updated.spent + updated.allotted > updated.paid) return Left(new Failure('budgetSpent', budget))
+      rows.set(budgetTables.budgets, budget, updated)
       return Right({ kind: 'write' })
     })
   }
@@ -89,13 +89,13 @@
 /** Counts locally and exchanges totals with the table every `SYNC_INTERVAL_MS`. */
 abstract class LocalSpender extends BaselineSpender {
   private readonly counts = new Map<string, LocalCount>()
-  private syncedAt = -SYNC_MS
+  private syncedAt = -SYNC_INTERVAL_MS
 
   async reserve (budget: string, tokens: number): Promise<Either<Failure, Reservation>> {
     const count = this.countOf(budget)
     if (this.spendable(count) < tokens) return Left(new Failure('budgetSpent', budget))
     count.reserved += tokens
-    return Right(this.reservation(budget, tokens))
+    return Right(this.createReservation(budget, tokens))
   }
 
   settle (reservation: Reservation, bill?: Bill): void {
@@ -107,7 +107,7 @@
 
   tick (): void {
     const now = this.parts.clock.now().mono
-    if (now - this.syncedAt < SYNC_MS) return
+    if (now - this.syncedAt < SYNC_INTERVAL_MS) return
     this.syncedAt = now
     this.sync().catch(err => { throw err })
   }
@@ -133,14 +133,14 @@
     const dirty = [...this.counts].filter(([, count]) => count.unreported > 0)
     if (dirty.length === 0) return
     const reported = dirty.map(([budget, count]) => ({ budget, tokens: count.unreported }))
-    const done = await this.table.run('report', dirty.map(([budget]) => keyOf(budget)), rows => {
+    const result = await this.table.run('report', dirty.map(([budget]) => budgetRowKey(budget)), rows => {
       for (const { budget, tokens } of reported) {
         const row = rows.get(budgetRowSchema, budgetTables.budgets, budget)
         if (row !== undefined) rows.set(budgetTables.budgets, budget, { ...row, spent: row.spent + tokens })
       }
       return Right({ kind: 'write' })
     })
-    if (done.isRight()) for (const { budget, tokens } of reported) this.countOf(budget).unreported -= tokens
+    if (result.isRight()) for (const { budget, tokens } of reported) this.countOf(budget).unreported -= tokens
   }
 }
 
@@ -149,14 +149,14 @@
   /**
    * @param vms - number of shares; a VM started later has none
    */
-  constructor (parts: SpenderParts, private readonly vms: number) {
+  constructor (parts: SpenderDeps, private readonly vms: number) {
     super(parts)
   }
 
   protected spendable (count: LocalCount): number {
     const index = Number(/\d+/.exec(this.parts.holder)?.[0])
-    const part = index <= this.vms ? Math.floor(count.paid / this.vms) : 0
-    return part - count.reserved - count.spent
+    const share = index <= this.vms ? Math.floor(count.paid / this.vms) : 0
+    return share - count.reserved - count.spent
   }
 }
 
--- a/packages/stand-ins/src/measure/budget/budgetBench.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBench.ts
@@ -18,100 +18,100 @@
 /** Request rate of one VM at the planned scale. */
 const REQUESTS_PER_SECOND = 10.3
 const TICK_MS = 100
-const TOKENS = 1_500
-const USED = 700
+const RESERVED_TOKENS = 1_500
+const USED_TOKENS = 700
 const MICROS_PER_MS = 1_000
 
 /** A ledger whose draws and flushes succeed immediately. */
-class LedgerBench {
+class LedgerHarness {
   readonly ledger = new BudgetLedger('vm1~1', defaultBudgetPolicy)
   /** Table transactions of draws and flushes. */
   writes = 0
   mono = 0
   private readonly draws = new DrawQueue(defaultBudgetPolicy)
 
-  send (event: BudgetEvent): void {
+  dispatch (event: BudgetEvent): void {
     const now = { mono: this.mono, wall: this.mono }
     for (const action of this.ledger.handle(event, now)) this.answer(action)
   }
 
   tick (): void {
-    this.send({ kind: 'tick' })
-    this.grant(this.draws.dequeueDue({ mono: this.mono, wall: this.mono }))
+    this.dispatch({ kind: 'tick' })
+    this.grantDraws(this.draws.dequeueDue({ mono: this.mono, wall: this.mono }))
   }
 
   request (id: string, budget: string): void {
-    this.send({ kind: 'reserve', reservationId: id, budget, tokens: TOKENS })
-    this.send({ kind: 'settle', reservationId: id, bill: { requestId: id, budget, team: budget, tokens: USED, runner: 'r' } })
+    this.dispatch({ kind: 'reserve', reservationId: id, budget, tokens: RESERVED_TOKENS })
+    this.dispatch({ kind: 'settle', reservationId: id, bill: { requestId: id, budget, team: budget, tokens: USED_TOKENS, runner: 'r' } })
   }
 
   private answer (action: BudgetAction): void {
     const sentAt = { mono: this.mono, wall: this.mono }
-    if (action.kind === 'draw') this.grant(this.draws.add(action, sentAt))
+    if (action.kind === 'draw') this.grantDraws(this.draws.add(action, sentAt))
     if (action.kind === 'flush') {
       this.writes += 1
-      this.send({ kind: 'flushAnswered', seq: action.seq, outcome: { kind: 'durable', sentAt } })
+      this.dispatch({ kind: 'flushAnswered', seq: action.seq, outcome: { kind: 'durable', sentAt } })
     }
   }
 
   /** Grants a batch of draws in one transaction. */
-  private grant (draws: readonly DrawAction[]): void {
+  private grantDraws (draws: readonly DrawAction[]): void {
     if (draws.length === 0) return
     this.writes += 1
     this.draws.done(draws)
     const sentAt = { mono: this.mono, wall: this.mono }
     for (const { drawId, tokens } of draws) {
-      this.send({ kind: 'drawAnswered', drawId, outcome: { kind: 'granted', tokens, left: 1e9, sentAt } })
+      this.dispatch({ kind: 'drawAnswered', drawId, outcome: { kind: 'granted', tokens, left: 1e9, sentAt } })
     }
   }
 }
 
 function heapBytes (): number {
   setFlagsFromString('--expose-gc')
-  const collect = runInNewContext('gc') as () => void
-  collect()
+  const collectGarbage = runInNewContext('gc') as () => void
+  collectGarbage()
   return process.memoryUsage().heapUsed
 }
 
 function measureSize (size: number, seed: string): MeasureRow {
   const random = seedrandom(seed)
   const before = heapBytes()
-  const bench = new LedgerBench()
-  for (let index = 0; index < size; index += 1) bench.request(`first${index}`, `budget-${index}`)
-  for (let tick = 0; !bench.ledger.views().every(view => view.unsettled === 0); tick += 1) {
-    bench.mono += defaultBudgetPolicy.flushMs
-    bench.tick()
+  const harness = new LedgerHarness()
+  for (let index = 0; index < size; index += 1) harness.request(`first${index}`, `budget-${index}`)
+  for (let tick = 0; !harness.ledger.views().every(view => view.unsettled === 0); tick += 1) {
+    harness.mono += defaultBudgetPolicy.flushMs
+    harness.tick()
   }
   const bytes = (heapBytes() - before) / size
-  const { writes: writesBefore } = bench
-  const requestMs = timeRequests(bench, size, random)
-  const writes = bench.writes - writesBefore
+  const { writes: writesBefore } = harness
+  const requestMs = timeRequests(harness, size, random)
+  const writes = harness.writes - writesBefore
   return {
     budgets_drawn_on: size,
     bytes_per_budget: Math.round(bytes),
     microseconds_per_request: Number((requestMs * MICROS_PER_MS / REQUESTS).toFixed(1)),
-    microseconds_per_tick: Number((timeTicks(bench) * MICROS_PER_MS / TICKS).toFixed(1)),
+    microseconds_per_tick: Number((timeTicks(harness) * MICROS_PER_MS / TICKS).toFixed(1)),
     table_writes_per_request: Number((writes / REQUESTS).toFixed(3))
   }
 }
 
 /** Milliseconds for all requests; they arrive at `REQUESTS_PER_SECOND` in virtual time, with the ticks between them included. */
-function timeRequests (bench: LedgerBench, size: number, random: () => number): number {
+function timeRequests (harness: LedgerHarness, size: number, random: () => number): number {
   const started = performance.now()
-  let due = 0
+  let dueMs = 0
   for (let index = 0; index < REQUESTS; index += 1) {
-    bench.request(`r${index}`, `budget-${Math.floor(size * random() ** 2)}`)
-    for (due += 1000 / REQUESTS_PER_SECOND; due >= TICK_MS; due -= TICK_MS) {
-      bench.mono += TICK_MS
-      bench.tick()
+    harness.request(`r${index}`, `budget-${Math.floor(size * random() ** 2)}`)
+    for (dueMs += 1000 / REQUESTS_PER_SECOND; dueMs >= TICK_MS; dueMs -= TICK_MS) {
+      harness.mono += TICK_MS
+      harness.tick()
     }
   }
   return performance.now() - started
 }
 
-function timeTicks (bench: LedgerBench): number {
+function timeTicks (harness: LedgerHarness): number {
   const started = performance.now()
-  for (let index = 0; index < TICKS; index += 1) bench.tick()
+  for (let index = 0; index < TICKS; index += 1) harness.tick()
   return performance.now() - started
 }
 
--- a/packages/stand-ins/src/measure/budget/budgetChaos.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.spec.ts
@@ -10,7 +10,7 @@
 const runs = Number(process.env.CHAOS_RUNS ?? 2000)
 
 /** Outcomes and events that the cases together must reach, so that the test covers them. */
-const reached = [
+const expectedOutcomes = [
   'admitted', 'budgetSpent', 'budgetElsewhere', 'budgetPending', 'budgetDrawn', 'budgetFlushed', 'budgetTransferred',
   'budgetRecalled', 'budgetReturned', 'budgetRecovered', 'allotmentClosed', 'budgetFault'
 ]
@@ -24,6 +24,6 @@
       expect(await new ChaosRun(caseSeed, tally).run(steps)).to.deep.equal([])
     }), { seed, numRuns: runs, endOnFailure: process.env.CHAOS_FAST === '1' })
     if (process.env.CHAOS_TALLY === '1') console.log(tally)
-    expect([...tally.keys()]).to.include.members(reached)
+    expect([...tally.keys()]).to.include.members(expectedOutcomes)
   })
 })
--- a/packages/stand-ins/src/measure/budget/budgetChaos.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.ts
@@ -6,39 +6,39 @@
 import { defaultBudgetPolicy, type BudgetPolicy } from '@rosemaryspread/decisions/budget/budgetPolicy.js'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
 import { auditBudgets } from './budgetAudit.js'
-import type { SpenderParts } from './budgetVm.js'
-import { BudgetWorld } from './budgetWorld.js'
-
-const SECOND = 1000
-const CHAOS_MS = 160 * SECOND
-const HEAL_MS = 190 * SECOND
-const DRAIN_MS = 45 * SECOND
-const PAID = 8_000
+import type { SpenderDeps } from './budgetVm.js'
+import { BudgetHarness } from './budgetHarness.js'
+
+const SECOND_MS = 1000
+const CHAOS_MS = 160 * SECOND_MS
+const HEAL_MS = 190 * SECOND_MS
+const DRAIN_MS = 45 * SECOND_MS
+const PAID_TOKENS = 8_000
 const budgets = ['b0', 'b1']
 
 /** Intervals short enough that holders expire within one case. */
 const policy: BudgetPolicy = {
   ...defaultBudgetPolicy,
-  horizonMs: 120 * SECOND,
-  rateWindowMs: 30 * SECOND,
+  horizonMs: 120 * SECOND_MS,
+  rateWindowMs: 30 * SECOND_MS,
   minTokens: 1000,
-  idleReturnMs: 70 * SECOND,
-  allotmentExpiryMs: 60 * SECOND,
-  marginMs: 3 * SECOND,
-  requestTimeoutMs: 10 * SECOND
+  idleReturnMs: 70 * SECOND_MS,
+  allotmentExpiryMs: 60 * SECOND_MS,
+  marginMs: 3 * SECOND_MS,
+  requestTimeoutMs: 10 * SECOND_MS
 }
 
 /** Counts of outcomes and events over many cases, to check their coverage. */
 export type Tally = Map<string, number>
 
 /** Creates the driver of one VM; a faulty driver shows that the audit can fail. */
-export type DriverFactory = (parts: SpenderParts, policy: BudgetPolicy, log: BudgetLog) => BudgetDriver
+export type DriverFactory = (deps: SpenderDeps, policy: BudgetPolicy, log: BudgetLog) => BudgetDriver
 
 /** Log that a driver writes to. */
 export type BudgetLog = ConstructorParameters<typeof BudgetDriver>[0]['log']
 
 /** Creates the unmodified driver. */
-export const productDriver: DriverFactory = (parts, policy, log) => new BudgetDriver({ ...parts, policy, log })
+export const productDriver: DriverFactory = (deps, policy, log) => new BudgetDriver({ ...deps, policy, log })
 
 /** One step of a case; `at` and `lasts` in seconds. `which` selects a VM, domain or budget, modulo their number. */
 export type ChaosStep =
@@ -62,85 +62,85 @@
 
 /** Runs one case. */
 export class ChaosRun {
-  readonly world: BudgetWorld
+  readonly harness: BudgetHarness
   private requests = 0
 
   constructor (seed: number, private readonly tally: Tally, factory: DriverFactory = productDriver) {
-    this.world = new BudgetWorld({
+    this.harness = new BudgetHarness({
       seed: String(seed),
       domains: ['a', 'b'],
       vmsPerDomain: 2,
       latencies: { betweenDomains: 4, table: 5 },
       tickMs: 1000,
-      listLagMs: 12 * SECOND,
-      recoverEveryMs: 6 * SECOND,
-      spender: parts => factory(parts, policy, { write: event => { this.count(event) } })
+      listLagMs: 12 * SECOND_MS,
+      recoverEveryMs: 6 * SECOND_MS,
+      spender: deps => factory(deps, policy, { write: event => { this.count(event) } })
     })
   }
 
   async run (steps: readonly ChaosStep[]): Promise<readonly string[]> {
-    const { time } = this.world
-    for (const budget of budgets) this.topUp(budget, PAID, `first-${budget}`)
-    for (const item of steps) time.after(item.at * SECOND + SECOND, () => this.apply(item))
+    const { time } = this.harness
+    for (const budget of budgets) this.topUp(budget, PAID_TOKENS, `first-${budget}`)
+    for (const step of steps) time.after(step.at * SECOND_MS + SECOND_MS, () => this.apply(step))
     await time.runUntil(CHAOS_MS)
     this.heal()
     await time.runUntil(CHAOS_MS + HEAL_MS)
-    for (const { vm, spender } of this.world.nodes) if (!vm.isDead && spender instanceof BudgetDriver) this.drain(spender)
+    for (const { vm, spender } of this.harness.nodes) if (!vm.isDead && spender instanceof BudgetDriver) this.drain(spender)
     await time.runUntil(CHAOS_MS + HEAL_MS + DRAIN_MS)
-    return auditBudgets(this.world)
+    return auditBudgets(this.harness)
   }
 
-  private apply (item: ChaosStep): void {
-    const { world } = this
+  private apply (step: ChaosStep): void {
+    const { harness: world } = this
     const { faults, time } = world
-    const node = world.nodes[item.which % world.nodes.length]
-    const domain = item.which % 2 === 0 ? 'a' : 'b'
-    switch (item.kind) {
+    const node = world.nodes[step.which % world.nodes.length]
+    const domain = step.which % 2 === 0 ? 'a' : 'b'
+    switch (step.kind) {
       case 'cut':
         faults.cut.add(domain)
-        time.after(item.lasts * SECOND, () => faults.cut.delete(domain))
+        time.after(step.lasts * SECOND_MS, () => faults.cut.delete(domain))
         break
       case 'outage':
         faults.outage = true
-        time.after(item.lasts * SECOND, () => { faults.outage = false })
+        time.after(step.lasts * SECOND_MS, () => { faults.outage = false })
         break
       case 'lose':
-        faults.lostAnswers = 0.4
-        faults.lostRequests = 0.2
-        time.after(item.lasts * SECOND, () => { this.stopLosing() })
+        faults.lostAnswerShare = 0.4
+        faults.lostRequestShare = 0.2
+        time.after(step.lasts * SECOND_MS, () => { this.stopMessageLoss() })
         break
       case 'slow':
         faults.slowMs = 3000
-        time.after(item.lasts * SECOND, () => { faults.slowMs = 0 })
+        time.after(step.lasts * SECOND_MS, () => { faults.slowMs = 0 })
         break
       case 'kill':
         if (node === undefined || node.vm.isDead) break
         world.kill(node)
-        time.after(5 * SECOND, () => world.startVm(node.vm.domain))
+        time.after(5 * SECOND_MS, () => world.startVm(node.vm.domain))
         break
       case 'drain': if (node?.spender instanceof BudgetDriver && node.vm.isServing) this.drain(node.spender); break
-      case 'step': if (node !== undefined) node.vm.wallOffset += (item.at - 75) * SECOND; break
-      case 'freeze': node?.vm.freeze(item.lasts * SECOND, item.stopsMono); break
+      case 'step': if (node !== undefined) node.vm.wallOffsetMs += (step.at - 75) * SECOND_MS; break
+      case 'freeze': node?.vm.freeze(step.lasts * SECOND_MS, step.stopsMono); break
       case 'replace':
         if (node === undefined || !node.vm.isServing) break
-        node.vm.freeze(item.lasts * SECOND, item.stopsMono)
+        node.vm.freeze(step.lasts * SECOND_MS, step.stopsMono)
         world.replace(node)
         break
-      case 'topUp': if (item.tokens !== 0) this.topUp(budgets[item.which % 2] ?? 'b0', item.tokens, `op-${item.at}-${item.which}`); break
-      case 'burst': this.burst(item.which, item.count, item.tokens); break
+      case 'topUp': if (step.tokens !== 0) this.topUp(budgets[step.which % 2] ?? 'b0', step.tokens, `op-${step.at}-${step.which}`); break
+      case 'burst': this.burst(step.which, step.count, step.tokens); break
     }
   }
 
-  private burst (choice: number, count: number, tokens: number): void {
-    const { world } = this
+  private burst (selector: number, count: number, tokens: number): void {
+    const { harness: world } = this
     const serving = world.nodes.filter(node => node.vm.isServing)
     for (let index = 0; index < count; index += 1) {
-      const node = serving[(choice + (index >> 2)) % Math.max(1, serving.length)]
+      const node = serving[(selector + (index >> 2)) % Math.max(1, serving.length)]
       if (node === undefined) return
       this.requests += 1
       const used = Math.floor(tokens * world.random())
-      world.request(node, { requestId: `r${this.requests}`, budget: budgets[choice % 2] ?? 'b0', tokens, used, runMs: 9000 * world.random(), giveUpAfterMs: 3000 })
-        .then(end => { this.count(end.kind === 'refused' ? end.failure.code : 'admitted') })
+      world.request(node, { requestId: `r${this.requests}`, budget: budgets[selector % 2] ?? 'b0', tokens, used, runMs: 9000 * world.random(), giveUpAfterMs: 3000 })
+        .then(outcome => { this.count(outcome.kind === 'refused' ? outcome.failure.code : 'admitted') })
         .catch(err => { throw err })
     }
   }
@@ -150,7 +150,7 @@
   }
 
   private topUp (budget: string, tokens: number, operationId: string): void {
-    const driver = this.world.nodes.find(node => node.vm.isServing)?.spender
+    const driver = this.harness.nodes.find(node => node.vm.isServing)?.spender
     if (driver instanceof BudgetDriver) driver.topUp({ operationId, budget, tokens, author: 'ana' }).catch(err => { throw err })
   }
 
@@ -158,17 +158,17 @@
     driver.drain().catch(err => { throw err })
   }
 
-  private stopLosing (): void {
-    this.world.faults.lostAnswers = 0
-    this.world.faults.lostRequests = 0
+  private stopMessageLoss (): void {
+    this.harness.faults.lostAnswerShare = 0
+    this.harness.faults.lostRequestShare = 0
   }
 
   private heal (): void {
-    const { faults, nodes } = this.world
+    const { faults, nodes } = this.harness
     faults.cut.clear()
     faults.outage = false
     faults.slowMs = 0
-    this.stopLosing()
+    this.stopMessageLoss()
     for (const { vm } of nodes) vm.wake()
   }
 }
--- a/packages/stand-ins/src/measure/budget/budgetEngines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetEngines.ts
@@ -51,7 +51,7 @@
    * Client of the engines for VMs of one failure domain.
    * @param from - failure domain of the VM
    */
-  reachedFrom (from: string): RecoveryRunners {
+  clientFrom (from: string): RecoveryRunners {
     return {
       declared: () => [...this.byDomain.keys()].map(domain => ({ runner: domain, address: domain, servesSince: {} })),
       engines: {
@@ -59,7 +59,7 @@
           await this.network.call(from, domain, async () => [...this.recordsOf(domain).values()].filter(record => record.holder === holder)),
         find: async (domain, requestId) =>
           await this.network.call(from, domain, async () => Maybe.fromNullable(this.recordsOf(domain).get(requestId))),
-        cancel: async (domain, requestId) => (await this.network.call(from, domain, async () => this.cancel(domain, requestId))).chain(found)
+        cancel: async (domain, requestId) => (await this.network.call(from, domain, async () => this.cancel(domain, requestId))).chain(requireRecord)
       }
     }
   }
@@ -75,6 +75,6 @@
   }
 }
 
-function found (record: RunRecord | undefined): Either<Failure, RunRecord> {
+function requireRecord (record: RunRecord | undefined): Either<Failure, RunRecord> {
   return record === undefined ? Left(new Failure('notFound', 'no such run')) : Right(record)
 }
--- a/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
@@ -10,38 +10,38 @@
 import type { TransferResponse, TransferRequest } from 'rosemaryspread/budget/budgetPeers.js'
 import type { Row, TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 import { ChaosRun, productDriver, type ChaosStep, type DriverFactory, type Tally } from './budgetChaos.js'
-import type { SpenderParts } from './budgetVm.js'
+import type { SpenderDeps } from './budgetVm.js'
 
 /** The product with some of its dependencies replaced. */
-function weaker (change: (parts: SpenderParts) => Partial<SpenderParts>): DriverFactory {
-  return (parts, policy, log) => productDriver({ ...parts, ...change(parts) }, policy, log)
+function faultyDriver (override: (deps: SpenderDeps) => Partial<SpenderDeps>): DriverFactory {
+  return (deps, policy, log) => productDriver({ ...deps, ...override(deps) }, policy, log)
 }
 
 /** A store that filters the rows read and drops the checks on segments. */
-function seen (store: TableStore, see: (row: Row) => Row | null): TableStore {
+function filteredStore (store: TableStore, filter: (row: Row) => Row | null): TableStore {
   return {
     scan: async req => await store.scan(req),
-    read: async keys => (await store.read(keys)).map(answer => ({ ...answer, rows: answer.rows.map(row => row === null ? null : see(row)) })),
+    read: async keys => (await store.read(keys)).map(answer => ({ ...answer, rows: answer.rows.map(row => row === null ? null : filter(row)) })),
     transact: async tx => await store.transact({ ...tx, checks: tx.checks.filter(check => check.table !== budgetTables.segments) })
   }
 }
 
 /** Doesn't see that a draw was already applied, so it draws again after a lost answer. */
-const drawsAnew = weaker(parts => ({
-  store: seen(parts.store, row => row.table === budgetTables.allotments ? { ...row, value: { ...row.value as object, lastDraw: undefined } } : row)
+const drawsAgain = faultyDriver(deps => ({
+  store: filteredStore(deps.store, row => row.table === budgetTables.allotments ? { ...row, value: { ...row.value as object, lastDraw: undefined } } : row)
 }))
 
 /** Doesn't see that a flush was already applied, so it settles again after a lost answer. */
-const settlesAnew = weaker(parts => ({ store: seen(parts.store, row => row.table === budgetTables.segments ? null : row) }))
+const settlesAgain = faultyDriver(deps => ({ store: filteredStore(deps.store, row => row.table === budgetTables.segments ? null : row) }))
 
 /** Measures its lease on the monotonic clock alone, which some hypervisors stop during a pause. */
-const oneClock = weaker(parts => ({ clock: { now: () => ({ mono: parts.clock.now().mono, wall: 0 }) } }))
+const monotonicClockOnly = faultyDriver(deps => ({ clock: { now: () => ({ mono: deps.clock.now().mono, wall: 0 }) } }))
 
 /** Recovers the full allotment of a terminated holder without querying the runners. */
-const asksNoRunner = weaker(parts => ({ runners: { ...parts.runners, declared: () => [] } }))
+const skipsRunners = faultyDriver(deps => ({ runners: { ...deps.runners, declared: () => [] } }))
 
 /** The product while all runners are unreachable for two minutes. */
-const runnersSilent = weaker(({ runners, clock }) => ({
+const unreachableRunners = faultyDriver(({ runners, clock }) => ({
   runners: {
     ...runners,
     engines: {
@@ -54,23 +54,23 @@
 }))
 
 /** Treats an unreachable runner as one without runs. */
-const trustsSilence = weaker(parts => ({
-  runners: { ...parts.runners, engines: { ...parts.runners.engines, listByHolder: async () => Right([]) } }
+const treatsUnreachableAsIdle = faultyDriver(deps => ({
+  runners: { ...deps.runners, engines: { ...deps.runners.engines, listByHolder: async () => Right([]) } }
 }))
 
 /** Closes the allotment of a terminated holder without querying peers for unrecorded transfers. */
-const asksNoPeer = weaker(({ peers }) => ({
+const skipsTransferCheck = faultyDriver(({ peers }) => ({
   peers: { members: () => peers.members(), requestTransfer: async (holder, ask) => await peers.requestTransfer(holder, ask), recall: async (holder, ask) => await peers.recall(holder, ask), confirmNoTransfers: async () => Right({ none: true }) }
 }))
 
 /** Answers a transfer request without subtracting the tokens first. */
-class GivesFirst extends BudgetDriver {
-  override onTransferRequest (ask: TransferRequest): TransferResponse {
-    const { transferId, budget, to, atLeast: tokens } = ask
+class GrantsWithoutSubtracting extends BudgetDriver {
+  override onTransferRequest (request: TransferRequest): TransferResponse {
+    const { transferId, budget, to, atLeast: tokens } = request
     return { transfer: { transferId, budget, to, tokens, from: to === 'vm1~1' ? 'vm2~1' : 'vm1~1', validForMs: 40_000 } }
   }
 }
-const givesFirst: DriverFactory = (parts, policy, log) => new GivesFirst({ ...parts, policy, log })
+const grantsWithoutSubtracting: DriverFactory = (deps, policy, log) => new GrantsWithoutSubtracting({ ...deps, policy, log })
 
 const burst = (at: number, which: number, count: number, tokens: number): ChaosStep => ({ kind: 'burst', at, which, count, tokens })
 
@@ -78,32 +78,32 @@
   {
     title: 'answers of draws are lost',
     steps: [{ kind: 'lose', at: 1, lasts: 60, which: 0 }, burst(2, 0, 8, 500), burst(12, 1, 8, 500), burst(30, 2, 8, 400)],
-    weak: drawsAnew,
+    weak: drawsAgain,
     breaks: /stranded/
   },
   {
     title: 'answers of flushes are lost',
     steps: [{ kind: 'lose', at: 8, lasts: 60, which: 0 }, burst(2, 0, 8, 500), burst(12, 1, 8, 500), burst(30, 2, 8, 400)],
-    weak: settlesAnew,
+    weak: settlesAgain,
     breaks: /billed|stranded/
   },
   {
     title: 'a holder resumes after its expiry on a VM that stops the monotonic clock',
     steps: [burst(2, 2, 4, 900), { kind: 'replace', at: 16, lasts: 90, which: 2, stopsMono: true }, burst(107, 2, 4, 100), burst(107, 3, 4, 100), burst(107, 4, 4, 100)],
-    weak: oneClock,
+    weak: monotonicClockOnly,
     breaks: /not billed/
   },
   {
     title: 'a holder is killed with unbilled runs',
     steps: [burst(2, 0, 8, 900), { kind: 'kill', at: 5, which: 0 }],
-    weak: asksNoRunner,
+    weak: skipsRunners,
     breaks: /not billed/
   },
   {
     title: 'a holder is killed and no runner answers for two minutes',
     steps: [burst(2, 0, 8, 900), { kind: 'kill', at: 5, which: 0 }],
-    strong: runnersSilent,
-    weak: trustsSilence,
+    strong: unreachableRunners,
+    weak: treatsUnreachableAsIdle,
     breaks: /not billed/
   },
   {
@@ -112,13 +112,13 @@
       burst(2, 0, 1, 2000), { kind: 'outage', at: 20, lasts: 12, which: 0 }, burst(21, 4, 1, 3), burst(22, 1, 4, 200), burst(21, 6, 8, 150),
       burst(21, 2, 4, 150), burst(21, 0, 8, 150), { kind: 'kill', at: 30, which: 0 }, { kind: 'freeze', at: 31, lasts: 40, which: 1, stopsMono: false }
     ],
-    weak: asksNoPeer,
+    weak: skipsTransferCheck,
     breaks: /not billed/
   },
   {
     title: 'tokens are transferred while the table is down',
     steps: [burst(2, 0, 4, 900), { kind: 'outage', at: 20, lasts: 30, which: 0 }, burst(21, 0, 12, 300), burst(23, 4, 12, 300), burst(25, 0, 12, 300)],
-    weak: givesFirst,
+    weak: grantsWithoutSubtracting,
     breaks: /not billed/
   }
 ]
@@ -127,17 +127,17 @@
   for (const { title, steps, strong, weak, breaks } of cases) {
     it(`${title}: the product holds its invariants, the faulty driver does not`, async () => {
       expect(await new ChaosRun(1, new Map(), strong).run(steps)).to.deep.equal([])
-      const mistakes = await new ChaosRun(1, new Map(), weak).run(steps)
-      expect(mistakes.join('; ')).to.match(breaks)
+      const violations = await new ChaosRun(1, new Map(), weak).run(steps)
+      expect(violations.join('; ')).to.match(breaks)
     })
   }
 
   it('serves from tokens recalled from another domain, where a holder without peers refuses', async () => {
     const steps = [burst(2, 2, 4, 1900), burst(20, 0, 1, 3000)]
-    const alone = weaker(({ peers }) => ({ peers: { ...peers, members: () => [] } }))
+    const withoutMembers = faultyDriver(({ peers }) => ({ peers: { ...peers, members: () => [] } }))
     const [withPeers, withoutPeers]: readonly Tally[] = [new Map(), new Map()]
     await new ChaosRun(1, withPeers as Tally).run(steps)
-    await new ChaosRun(1, withoutPeers as Tally, alone).run(steps)
+    await new ChaosRun(1, withoutPeers as Tally, withoutMembers).run(steps)
     expect([withPeers?.get('admitted'), withoutPeers?.get('admitted')]).to.deep.equal([5, 4])
   })
 })
--- a/packages/stand-ins/src/measure/budget/budgetWorld.ts
+++ b/packages/stand-ins/src/measure/budget/budgetHarness.ts
@@ -9,14 +9,14 @@
 import { TableState } from '../../table/tableState.js'
 import { BudgetEngines } from './budgetEngines.js'
 import { NetworkFaults, PeerNetwork, RemoteTable, type Latencies } from './budgetNetwork.js'
-import { BudgetVm, type Spender, type SpenderParts } from './budgetVm.js'
+import { BudgetVm, type Spender, type SpenderDeps } from './budgetVm.js'
 import { VirtualTime } from '../../time/virtualTime.js'
 
 /** Creates the budget accounting of one VM. */
-export type SpenderFactory = (parts: SpenderParts) => Spender
+export type SpenderFactory = (deps: SpenderDeps) => Spender
 
 /** Size and timing of the simulated fleet. */
-export interface WorldShape {
+export interface HarnessShape {
   readonly seed: string
   readonly domains: readonly string[]
   readonly vmsPerDomain: number
@@ -30,7 +30,7 @@
 }
 
 /** A request to serve. */
-export interface WorldRequest {
+export interface HarnessRequest {
   readonly requestId: string
   readonly budget: string
   /** Worst-case cost, which is reserved. */
@@ -42,24 +42,24 @@
 }
 
 /** A VM with its budget accounting and its table client. */
-export interface WorldNode {
+export interface HarnessNode {
   readonly vm: BudgetVm
   readonly spender: Spender
   readonly table: RemoteTable
 }
 
 /** Outcome of a request. */
-export type RequestEnd = { readonly kind: 'admitted' } | { readonly kind: 'refused', readonly failure: Failure }
+export type RequestOutcome = { readonly kind: 'admitted' } | { readonly kind: 'refused', readonly failure: Failure }
 
 /** Delay between a reservation and the dispatch of its run. */
-const DISPATCH_MS = 2
+const DISPATCH_DELAY_MS = 2
 
 /** Simulated fleet. */
-export class BudgetWorld {
+export class BudgetHarness {
   readonly time = new VirtualTime()
   readonly faults = new NetworkFaults()
   readonly state = new TableState(() => this.time.mono)
-  readonly nodes: WorldNode[] = []
+  readonly nodes: HarnessNode[] = []
   readonly engines: BudgetEngines
   readonly random: () => number
   private readonly network: PeerNetwork
@@ -68,7 +68,7 @@
   private readonly replaced = new Set<BudgetVm>()
   private started = 0
 
-  constructor (readonly shape: WorldShape) {
+  constructor (readonly shape: HarnessShape) {
     this.random = seedrandom(shape.seed)
     this.network = new PeerNetwork(this.time, this.faults, shape.latencies, this.random)
     this.engines = new BudgetEngines(shape.domains, this.network)
@@ -80,11 +80,11 @@
   }
 
   /** VMs of a failure domain that accept requests. */
-  serving (domain: string): readonly WorldNode[] {
+  serving (domain: string): readonly HarnessNode[] {
     return this.nodes.filter(node => node.vm.domain === domain && node.vm.isServing)
   }
 
-  startVm (domain: string): WorldNode {
+  startVm (domain: string): HarnessNode {
     this.started += 1
     const name = `vm${this.started}`
     const vm = new BudgetVm(name, `${name}~1`, domain, this.time)
@@ -93,8 +93,8 @@
       holder: vm.holder,
       domain,
       store: vm.guardStore(table),
-      peers: vm.guardPeers(this.peersOf(vm)),
-      runners: this.engines.reachedFrom(domain),
+      peers: vm.guardPeers(this.createPeers(vm)),
+      runners: this.engines.clientFrom(domain),
       clock: vm.clock
     })
     const node = { vm, spender, table }
@@ -103,25 +103,25 @@
   }
 
   /** Terminates a VM; the platform's list shows it after its lag. */
-  kill (node: WorldNode): void {
+  kill (node: HarnessNode): void {
     node.vm.isDead = true
     this.gone.push({ vm: node.vm.vm, at: this.time.mono })
   }
 
   /** Starts a replacement for a VM that membership no longer lists, although the VM may still wake. */
-  replace (node: WorldNode): void {
+  replace (node: HarnessNode): void {
     this.replaced.add(node.vm)
     this.startVm(node.vm.domain)
   }
 
   /** Serves one request at the VM that the caller connected to. */
-  async request (node: WorldNode, req: WorldRequest): Promise<RequestEnd> {
+  async request (node: HarnessNode, req: HarnessRequest): Promise<RequestOutcome> {
     const { vm, spender } = node
     const reserved = await spender.reserve(req.budget, req.tokens, req.giveUpAfterMs)
     if (reserved.isLeft()) return { kind: 'refused', failure: reserved.extract() as Failure }
     const reservation = reserved.unsafeCoerce()
-    await this.time.sleep(DISPATCH_MS)
-    await vm.take(undefined)
+    await this.time.sleep(DISPATCH_DELAY_MS)
+    await vm.whenRunning(undefined)
     const confirmed = spender.confirm(reservation)
     if (confirmed.isLeft()) {
       spender.settle(reservation)
@@ -140,9 +140,9 @@
     return { asOf, vms: this.gone.filter(item => item.at <= asOf).map(item => ({ vm: item.vm, state: 'gone' })) }
   }
 
-  private finish (node: WorldNode, req: WorldRequest, settle: () => void): void {
+  private finish (node: HarnessNode, req: HarnessRequest, settle: () => void): void {
     this.engines.end(node.vm.domain, req.requestId)
-    node.vm.take(undefined).then(settle).catch(err => { throw err })
+    node.vm.whenRunning(undefined).then(settle).catch(err => { throw err })
   }
 
   private tick (): void {
@@ -152,36 +152,36 @@
 
   private recover (): void {
     const { list } = this
-    const able = this.nodes.filter(node => node.vm.isServing && !this.faults.cut.has(node.vm.domain))
-    for (const { spender } of able.slice(0, 2)) {
+    const candidates = this.nodes.filter(node => node.vm.isServing && !this.faults.cut.has(node.vm.domain))
+    for (const { spender } of candidates.slice(0, 2)) {
       if (spender instanceof BudgetDriver) spender.recoverTerminated(list).catch(err => { throw err })
     }
     this.time.after(this.shape.recoverEveryMs, () => this.recover())
   }
 
-  private peersOf (self: BudgetVm): BudgetPeers {
-    const find = (holder: string): WorldNode | undefined => this.nodes.find(node => node.vm.holder === holder)
-    const call = async <T>(holder: string, serve: (driver: BudgetDriver) => Promise<T>): ReturnType<typeof this.network.call<T>> => {
+  private createPeers (localVm: BudgetVm): BudgetPeers {
+    const find = (holder: string): HarnessNode | undefined => this.nodes.find(node => node.vm.holder === holder)
+    const call = async <T>(holder: string, handler: (driver: BudgetDriver) => Promise<T>): ReturnType<typeof this.network.call<T>> => {
       const node = find(holder)
       const driver = node?.spender
       const isAlive = node !== undefined && !node.vm.isDead && driver instanceof BudgetDriver
-      return await this.network.call(self.domain, node?.vm.domain ?? self.domain, isAlive
+      return await this.network.call(localVm.domain, node?.vm.domain ?? localVm.domain, isAlive
         ? async () => {
-          await node.vm.take(undefined)
-          return await serve(driver)
+          await node.vm.whenRunning(undefined)
+          return await handler(driver)
         }
         : undefined)
     }
     return {
       members: () => {
-        const gone = new Set(this.list.vms.map(item => item.vm))
+        const terminatedNames = new Set(this.list.vms.map(item => item.vm))
         return this.nodes
-          .filter(node => node.vm !== self && !gone.has(node.vm.vm) && !this.replaced.has(node.vm))
+          .filter(node => node.vm !== localVm && !terminatedNames.has(node.vm.vm) && !this.replaced.has(node.vm))
           .map(({ vm }) => ({ holder: vm.holder, domain: vm.domain }))
       },
-      requestTransfer: async (holder, ask) => await call(holder, async driver => driver.onTransferRequest(ask)),
-      recall: async (holder, ask) => await call(holder, async driver => await driver.onRecall(ask)),
-      confirmNoTransfers: async (holder, ask) => await call(holder, async driver => driver.onConfirmRequest(ask))
+      requestTransfer: async (holder, request) => await call(holder, async driver => driver.onTransferRequest(request)),
+      recall: async (holder, request) => await call(holder, async driver => await driver.onRecall(request)),
+      confirmNoTransfers: async (holder, request) => await call(holder, async driver => driver.onConfirmRequest(request))
     }
   }
 }
--- a/packages/stand-ins/src/measure/budget/budgetMeasure.ts
+++ b/packages/stand-ins/src/measure/budget/budgetMeasure.ts
@@ -10,7 +10,7 @@
 const MAX_THREADS = 4
 
 /** Trials that one thread runs. */
-export interface TrialOrder {
+export interface TrialAssignment {
   readonly seed: string
   /** The thread runs every `step`th trial, starting at index `first`. */
   readonly first: number
@@ -23,8 +23,8 @@
   readonly row: MeasureRow
 }
 
-async function runThread (order: TrialOrder): Promise<readonly TrialResult[]> {
-  const worker = new Worker(new URL('./budgetTrialThread.js', import.meta.url), { workerData: order })
+async function runThread (assignment: TrialAssignment): Promise<readonly TrialResult[]> {
+  const worker = new Worker(new URL('./budgetTrialThread.js', import.meta.url), { workerData: assignment })
   const [results] = await once(worker, 'message') as [readonly TrialResult[]]
   return results
 }
--- a/packages/stand-ins/src/measure/budget/budgetNetwork.ts
+++ b/packages/stand-ins/src/measure/budget/budgetNetwork.ts
@@ -15,7 +15,7 @@
 }
 
 /** Timeout of a call without an answer. */
-const TIMEOUT_MS = 1_000
+const CALL_TIMEOUT_MS = 1_000
 
 /** Faults in force. */
 export class NetworkFaults {
@@ -23,9 +23,9 @@
   readonly cut = new Set<string>()
   outage = false
   /** Share of answers lost after the call took effect, 0 to 1. */
-  lostAnswers = 0
+  lostAnswerShare = 0
   /** Share of requests lost before the call took effect, 0 to 1. */
-  lostRequests = 0
+  lostRequestShare = 0
   /** Upper bound of the random delay added to each table call. */
   slowMs = 0
 
@@ -71,13 +71,13 @@
   private async call<T> (effect: () => Either<Failure, T>, isWrite: boolean): Promise<Either<Failure, T>> {
     await this.time.sleep(this.latencies.table + this.faults.slowMs * this.random())
     if (this.isDown) {
-      await this.time.sleep(this.faults.outage ? this.latencies.table : TIMEOUT_MS)
+      await this.time.sleep(this.faults.outage ? this.latencies.table : CALL_TIMEOUT_MS)
       return Left(new Failure('platformUnavailable', 'the table cannot be reached'))
     }
-    if (this.random() < this.faults.lostRequests) return await this.lost(isWrite)
+    if (this.random() < this.faults.lostRequestShare) return await this.lost(isWrite)
     const answer = effect()
     await this.time.sleep(this.latencies.table)
-    if (this.isDown || this.random() < this.faults.lostAnswers) return await this.lost(isWrite)
+    if (this.isDown || this.random() < this.faults.lostAnswerShare) return await this.lost(isWrite)
     return answer
   }
 
@@ -86,7 +86,7 @@
   }
 
   private async lost<T> (isWrite: boolean): Promise<Either<Failure, T>> {
-    await this.time.sleep(TIMEOUT_MS)
+    await this.time.sleep(CALL_TIMEOUT_MS)
     return Left(isWrite
       ? new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
       : new Failure('platformUnavailable', 'the answer was lost'))
@@ -108,13 +108,13 @@
    * @param to - failure domain of the callee
    * @param handler - executes the call; `undefined` when the callee is down
    */
-  async call<T> (from: string, to: string, serve: (() => Promise<T>) | undefined): Promise<Either<Failure, T>> {
+  async call<T> (from: string, to: string, handler: (() => Promise<T>) | undefined): Promise<Either<Failure, T>> {
     await this.time.sleep(this.latency(from, to))
-    if (serve === undefined || !this.faults.connects(from, to) || this.random() < this.faults.lostRequests) return await this.unreachable()
-    const answer = await Promise.race([serve().then(value => ({ value })), this.time.sleep(TIMEOUT_MS).then(() => undefined)])
-    if (answer === undefined) return Left(unreachable())
+    if (handler === undefined || !this.faults.connects(from, to) || this.random() < this.faults.lostRequestShare) return await this.failAfterTimeout()
+    const answer = await Promise.race([handler().then(value => ({ value })), this.time.sleep(CALL_TIMEOUT_MS).then(() => undefined)])
+    if (answer === undefined) return Left(unreachableFailure())
     await this.time.sleep(this.latency(from, to))
-    if (!this.faults.connects(from, to) || this.random() < this.faults.lostAnswers) return await this.unreachable()
+    if (!this.faults.connects(from, to) || this.random() < this.faults.lostAnswerShare) return await this.failAfterTimeout()
     return Right(structuredClone(answer.value))
   }
 
@@ -122,12 +122,12 @@
     return from === to ? this.latencies.betweenDomains / 2 : this.latencies.betweenDomains
   }
 
-  private async unreachable<T> (): Promise<Either<Failure, T>> {
-    await this.time.sleep(TIMEOUT_MS)
-    return Left(unreachable())
+  private async failAfterTimeout<T> (): Promise<Either<Failure, T>> {
+    await this.time.sleep(CALL_TIMEOUT_MS)
+    return Left(unreachableFailure())
   }
 }
 
-function unreachable (): Failure {
+function unreachableFailure (): Failure {
   return new Failure('peerUnreachable', 'the VM cannot be reached', { ran: 'unknown' })
 }
--- a/packages/stand-ins/src/measure/budget/budgetTrialThread.ts
+++ b/packages/stand-ins/src/measure/budget/budgetTrialThread.ts
@@ -2,11 +2,11 @@
  * Worker thread of the budget measurement: runs its share of the trials.
  */
 import { parentPort, workerData } from 'node:worker_threads'
-import type { TrialOrder, TrialResult } from './budgetMeasure.js'
-import { runTrial, trialsOf } from './budgetTrial.js'
+import type { TrialAssignment, TrialResult } from './budgetMeasure.js'
+import { runTrial, allTrials } from './budgetTrial.js'
 
-const { seed, first, step } = workerData as TrialOrder
-const trials = trialsOf(seed)
+const { seed, first, step } = workerData as TrialAssignment
+const trials = allTrials(seed)
 const results: TrialResult[] = []
 for (let index = first; index < trials.length; index += step) {
   const trial = trials[index]
--- a/packages/stand-ins/src/measure/budget/budgetVm.ts
+++ b/packages/stand-ins/src/measure/budget/budgetVm.ts
@@ -17,7 +17,7 @@
 }
 
 /** Dependencies of a spender. */
-export interface SpenderParts {
+export interface SpenderDeps {
   readonly holder: string
   readonly domain: string
   readonly store: TableStore
@@ -30,12 +30,12 @@
 export class BudgetVm {
   isDead = false
   /** Error of the wall clock. */
-  wallOffset = 0
-  private monoOffset = 0
+  wallOffsetMs = 0
+  private monoOffsetMs = 0
   private frozen: { readonly at: number, readonly stopsMono: boolean } | undefined
   private queue: Array<() => void> = []
   readonly clock: Clock = {
-    now: () => ({ mono: this.time.mono + this.monoOffset, wall: this.time.mono + this.wallOffset })
+    now: () => ({ mono: this.time.mono + this.monoOffsetMs, wall: this.time.mono + this.wallOffsetMs })
   }
 
   constructor (readonly vm: string, readonly holder: string, readonly domain: string, private readonly time: VirtualTime) {}
@@ -57,38 +57,38 @@
   /** Resumes a frozen VM. */
   wake (): void {
     if (this.frozen === undefined) return
-    if (this.frozen.stopsMono) this.monoOffset -= this.time.mono - this.frozen.at
+    if (this.frozen.stopsMono) this.monoOffsetMs -= this.time.mono - this.frozen.at
     this.frozen = undefined
     const { queue } = this
     this.queue = []
-    for (const run of queue) run()
+    for (const resume of queue) resume()
   }
 
   /** Resolves with the value as soon as the VM runs; never after it was killed. */
-  async take<T> (value: T): Promise<T> {
+  async whenRunning<T> (value: T): Promise<T> {
     if (this.isDead) return await new Promise<T>(() => {})
     if (this.frozen === undefined) return value
     await new Promise<void>(resolve => this.queue.push(resolve))
-    return await this.take(value)
+    return await this.whenRunning(value)
   }
 
   /** Wraps a table client so that answers arrive only while the VM runs. */
   guardStore (store: TableStore): TableStore {
     return {
-      read: async keys => await this.take(await store.read(keys)),
-      scan: async req => await this.take(await store.scan(req)),
-      transact: async tx => await this.take(await store.transact(tx))
+      read: async keys => await this.whenRunning(await store.read(keys)),
+      scan: async req => await this.whenRunning(await store.scan(req)),
+      transact: async tx => await this.whenRunning(await store.transact(tx))
     }
   }
 
   /** Wraps a peer client so that answers arrive only while the VM runs. */
   guardPeers (peers: BudgetPeers): BudgetPeers {
-    const take = async <T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> => await this.take(await answer)
+    const receive = async <T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> => await this.whenRunning(await answer)
     return {
       members: () => peers.members(),
-      requestTransfer: async (holder: string, ask: TransferRequest) => await take(peers.requestTransfer(holder, ask)),
-      recall: async (holder: string, ask: RecallRequest) => await take(peers.recall(holder, ask)),
-      confirmNoTransfers: async (holder: string, ask: ConfirmRequest) => await take(peers.confirmNoTransfers(holder, ask))
+      requestTransfer: async (holder: string, request: TransferRequest) => await receive(peers.requestTransfer(holder, request)),
+      recall: async (holder: string, request: RecallRequest) => await receive(peers.recall(holder, request)),
+      confirmNoTransfers: async (holder: string, request: ConfirmRequest) => await receive(peers.confirmNoTransfers(holder, request))
     }
   }
 }
--- a/packages/stand-ins/src/measure/budget/budgetWorkload.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorkload.ts
@@ -2,7 +2,7 @@
  * Generates the requests and budgets of one deployment for the budget measurement.
  */
 import seedrandom from 'seedrandom'
-import type { WorldRequest } from './budgetWorld.js'
+import type { HarnessRequest } from './budgetHarness.js'
 
 /** Size, latency and load of a deployment. */
 export interface Deployment {
@@ -20,7 +20,7 @@
 ]
 
 /** A request with its arrival time and failure domain. */
-export interface ArrivingRequest extends WorldRequest {
+export interface ArrivingRequest extends HarnessRequest {
   readonly at: number
   readonly domain: string
 }
@@ -28,14 +28,14 @@
 /** Shares of ten teams in the requests; a few are large. */
 const teamShares = [30, 20, 15, 10, 8, 6, 4, 3, 2, 2]
 /** Share of its demand that a budget covers, by turns; half of the budgets run out shortly before the end. */
-const coverage = [0.95, 1.5]
+const coverageShares = [0.95, 1.5]
 
-const LEAST_TOKENS = 300
-const MOST_TOKENS = 2100
-const LEAST_USED = 0.2
-const MOST_USED = 0.9
-const LEAST_RUN_MS = 1_000
-const MOST_RUN_MS = 15_000
+const MIN_TOKENS = 300
+const MAX_TOKENS = 2100
+const MIN_USED_SHARE = 0.2
+const MAX_USED_SHARE = 0.9
+const MIN_RUN_MS = 1_000
+const MAX_RUN_MS = 15_000
 const GIVE_UP_MS = 5_000
 
 /** Requests and budgets of one run. */
@@ -50,38 +50,38 @@
  * @param isSkewed - whether the first failure domain gets three of five requests
  * @param endMs - length of the run
  */
-export function drawWorkload (deployment: Deployment, isSkewed: boolean, endMs: number, seed: string): Workload {
+export function generateWorkload (deployment: Deployment, isSkewed: boolean, endMs: number, seed: string): Workload {
   const random = seedrandom(`${seed}/${deployment.name}/${String(isSkewed)}`)
-  const between = (low: number, high: number): number => low + (high - low) * random()
+  const uniform = (low: number, high: number): number => low + (high - low) * random()
   const requests: ArrivingRequest[] = []
   for (let at = 0; at < endMs; at += -Math.log(1 - random()) * 1000 / deployment.requestsPerSecond) {
-    const tokens = Math.round(between(LEAST_TOKENS, MOST_TOKENS))
+    const tokens = Math.round(uniform(MIN_TOKENS, MAX_TOKENS))
     requests.push({
       at,
       requestId: `r${requests.length}`,
-      budget: `team${pick(teamShares, random())}`,
-      domain: deployment.domains[pick(isSkewed ? [3, 1, 1] : [1, 1, 1], random())] ?? '',
+      budget: `team${pickIndex(teamShares, random())}`,
+      domain: deployment.domains[pickIndex(isSkewed ? [3, 1, 1] : [1, 1, 1], random())] ?? '',
       tokens,
-      used: Math.floor(tokens * between(LEAST_USED, MOST_USED)),
-      runMs: between(LEAST_RUN_MS, MOST_RUN_MS),
+      used: Math.floor(tokens * uniform(MIN_USED_SHARE, MAX_USED_SHARE)),
+      runMs: uniform(MIN_RUN_MS, MAX_RUN_MS),
       giveUpAfterMs: GIVE_UP_MS
     })
   }
-  return { requests, paid: paidFor(requests) }
+  return { requests, paid: paidTokensFor(requests) }
 }
 
-function pick (shares: readonly number[], at: number): number {
+function pickIndex (shares: readonly number[], position: number): number {
   const total = shares.reduce((sum, share) => sum + share, 0)
-  let left = at * total
+  let remaining = position * total
   const index = shares.findIndex(share => {
-    left -= share
-    return left < 0
+    remaining -= share
+    return remaining < 0
   })
   return Math.max(0, index)
 }
 
-function paidFor (requests: readonly ArrivingRequest[]): ReadonlyMap<string, number> {
+function paidTokensFor (requests: readonly ArrivingRequest[]): ReadonlyMap<string, number> {
   const used = new Map<string, number>()
   for (const req of requests) used.set(req.budget, (used.get(req.budget) ?? 0) + req.used)
-  return new Map([...used].sort().map(([budget, tokens], index) => [budget, Math.ceil(tokens * (coverage[index % coverage.length] ?? 1))]))
+  return new Map([...used].sort().map(([budget, tokens], index) => [budget, Math.ceil(tokens * (coverageShares[index % coverageShares.length] ?? 1))]))
 }
--- a/packages/stand-ins/src/measure/capacity/capacityFit.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.ts
@@ -6,10 +6,10 @@
 import type { ProbePoint } from './probeTypes.js'
 
 /** Fewest distinct sizes for a fit. */
-export const LEAST_SIZES = 3
+export const MIN_SIZES = 3
 
 const PERCENT = 100
-const DIGITS = 4
+const SIGNIFICANT_DIGITS = 4
 
 /** A fitted line. */
 export interface CapacityFit {
@@ -18,26 +18,26 @@
   /** Largest deviation of a measured value from the line, in percent of the largest measured value. */
   readonly errorPct: number
   /** Value of the line at the planned size. */
-  readonly atTarget: number
+  readonly projected: number
 }
 
 /**
  * Fits a line through points of one quantity.
  * @param points - at least three distinct sizes
- * @param at - size of the driver at the planned scale
+ * @param plannedSize - size of the driver at the planned scale
  */
-export function fitLine (points: ReadonlyArray<{ readonly size: number, readonly value: number }>, at: number): CapacityFit {
+export function fitLine (points: ReadonlyArray<{ readonly size: number, readonly value: number }>, plannedSize: number): CapacityFit {
   const sizes = new Set(points.map(({ size }) => size))
-  if (sizes.size < LEAST_SIZES) throw new Error(`a linear fit needs at least ${LEAST_SIZES} sizes, got ${sizes.size}`)
+  if (sizes.size < MIN_SIZES) throw new Error(`a linear fit needs at least ${MIN_SIZES} sizes, got ${sizes.size}`)
   const { m, b } = linearRegression(points.map(({ size, value }) => [size, value]))
   const largest = Math.max(...points.map(({ value }) => Math.abs(value)))
   const deviation = Math.max(...points.map(({ size, value }) => Math.abs(value - (b + m * size))))
-  return { intercept: b, slope: m, errorPct: largest === 0 ? 0 : deviation / largest * PERCENT, atTarget: b + m * at }
+  return { intercept: b, slope: m, errorPct: largest === 0 ? 0 : deviation / largest * PERCENT, projected: b + m * plannedSize }
 }
 
 /** Rounds to four significant digits. */
-export function rounded (value: number): number {
-  return Number(value.toPrecision(DIGITS))
+export function roundSignificant (value: number): number {
+  return Number(value.toPrecision(SIGNIFICANT_DIGITS))
 }
 
 /** Fits each quantity into one row, in the order of measurement. */
@@ -47,23 +47,23 @@
     const name = [point.role, point.driver, point.quantity].join('\n')
     series.set(name, [...series.get(name) ?? [], point])
   }
-  return [...series.values()].map(rowOf)
+  return [...series.values()].map(toRow)
 }
 
-function rowOf (points: readonly ProbePoint[]): MeasureRow {
+function toRow (points: readonly ProbePoint[]): MeasureRow {
   const { role, driver, quantity, unit, at } = points[0] as ProbePoint
-  const { intercept, slope, errorPct, atTarget } = fitLine(points, at)
+  const { intercept, slope, errorPct, projected } = fitLine(points, at)
   return {
     role,
     driver,
     quantity,
     unit,
-    sizes: points.map(({ size }) => rounded(size)).join(' '),
-    values: points.map(({ value }) => rounded(value)).join(' '),
-    intercept: rounded(intercept),
-    slope: rounded(slope),
+    sizes: points.map(({ size }) => roundSignificant(size)).join(' '),
+    values: points.map(({ value }) => roundSignificant(value)).join(' '),
+    intercept: roundSignificant(intercept),
+    slope: roundSignificant(slope),
     error_pct: Number(errorPct.toFixed(1)),
-    target_size: rounded(at),
-    at_target: rounded(atTarget)
+    target_size: roundSignificant(at),
+    at_target: roundSignificant(projected)
   }
 }
--- a/packages/stand-ins/src/measure/capacity/capacityTarget.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityTarget.ts
@@ -4,11 +4,11 @@
 
 const SECONDS_PER_DAY = 86_400
 /** Interval between two tokens of a stream at the planned scale. */
-const TOKEN_MS = 78
+const TOKEN_INTERVAL_MS = 78
 const MS_PER_SECOND = 1_000
 
 /** Sizes and rates of the planned fleet. */
-export const target = {
+export const plannedScale = {
   vms: 360,
   runners: 600,
   models: 27,
@@ -21,10 +21,10 @@
 } as const
 
 /** Load of one VM at the planned scale. */
-export const perVm = {
-  requestsPerSecond: target.requestsPerSecond / target.vms,
-  tokensPerSecond: target.tokensPerSecond / target.vms,
+export const plannedVmLoad = {
+  requestsPerSecond: plannedScale.requestsPerSecond / plannedScale.vms,
+  tokensPerSecond: plannedScale.tokensPerSecond / plannedScale.vms,
   /** Streams open at once when each yields a token every `TOKEN_INTERVAL_MS` (78 ms). */
-  openStreams: target.tokensPerSecond / target.vms * TOKEN_MS / MS_PER_SECOND,
-  changesPerSecond: target.changesPerDay / SECONDS_PER_DAY
+  openStreams: plannedScale.tokensPerSecond / plannedScale.vms * TOKEN_INTERVAL_MS / MS_PER_SECOND,
+  changesPerSecond: plannedScale.changesPerDay / SECONDS_PER_DAY
 } as const
--- a/packages/stand-ins/src/measure/capacity/configProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/configProbe.ts
@@ -12,15 +12,15 @@
 import { measureTraffic } from '../config/trafficCounts.js'
 import { measureWire } from '../config/wireCost.js'
 import { CountingTable } from './countingTable.js'
-import { perVm, target } from './capacityTarget.js'
-import { pointOf, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
-import { heapOf, medianOf, processorUs } from './processMeter.js'
+import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
+import { measureHeap, median, processorUs } from './processMeter.js'
 
 const TEAMS = [900, 2_700, 8_100]
 const RUNNERS = 600
-const BATCH = 200
+const BATCH_SIZE = 200
 const CHANGES = 128
-const LOADS = 3
+const LOAD_ROUNDS = 3
 const US_PER_MS = 1_000
 const log = { write: () => {} }
 const systemTimers = {
@@ -30,11 +30,11 @@
   }
 }
 
-const series = (role: string, quantity: string, unit: string): ProbeSeries => ({ role, driver: 'teams', quantity, unit, at: target.teams })
+const series = (role: string, quantity: string, unit: string): ProbeSeries => ({ role, driver: 'teams', quantity, unit, at: plannedScale.teams })
 
-function teamOf (index: number): object {
-  const hash = (part: number): string => (index * 2 + part).toString(16).padStart(64, '0')
-  return { displayName: `Team number ${index}`, budget: `budget-${index}`, models: [`model-${index % target.models}`], services: [], keyHashes: [hash(0), hash(1)] }
+function createTeam (index: number): object {
+  const hash = (ordinal: number): string => (index * 2 + ordinal).toString(16).padStart(64, '0')
+  return { displayName: `Team number ${index}`, budget: `budget-${index}`, models: [`model-${index % plannedScale.models}`], services: [], keyHashes: [hash(0), hash(1)] }
 }
 
 function add (path: string, value: object): PatchOperation {
@@ -42,40 +42,40 @@
 }
 
 /** Patches that build a configuration with this many teams and the planned number of runners and models. */
-function patchesFor (teams: number): readonly (readonly PatchOperation[])[] {
-  const models = Array.from({ length: target.models }, (_, index) => add(`/models/model-${index}`, {}))
+function createPatches (teams: number): readonly (readonly PatchOperation[])[] {
+  const models = Array.from({ length: plannedScale.models }, (_, index) => add(`/models/model-${index}`, {}))
   const runners = Array.from({ length: RUNNERS }, (_, index) => add(`/runners/runner-${index}`, {
-    address: `10.1.${index >> 8}.${index & 255}:8000`, domain: `domain-${index % 6}`, models: [`model-${index % target.models}`]
+    address: `10.1.${index >> 8}.${index & 255}:8000`, domain: `domain-${index % 6}`, models: [`model-${index % plannedScale.models}`]
   }))
-  const all = [models, ...chunks(runners)]
-  return [...all, ...chunks(Array.from({ length: teams }, (_, index) => add(`/teams/team-${index}`, teamOf(index))))]
+  const all = [models, ...inBatches(runners)]
+  return [...all, ...inBatches(Array.from({ length: teams }, (_, index) => add(`/teams/team-${index}`, createTeam(index))))]
 }
 
-function chunks<T> (items: readonly T[]): readonly (readonly T[])[] {
-  return Array.from({ length: Math.ceil(items.length / BATCH) }, (_, index) => items.slice(index * BATCH, (index + 1) * BATCH))
+function inBatches<T> (items: readonly T[]): readonly (readonly T[])[] {
+  return Array.from({ length: Math.ceil(items.length / BATCH_SIZE) }, (_, index) => items.slice(index * BATCH_SIZE, (index + 1) * BATCH_SIZE))
 }
 
-function textOf (teams: number): { readonly digest: string, readonly version: number, readonly text: string } {
-  let held: VerifiedConfig = initialConfig()
-  for (const patch of patchesFor(teams)) held = preparePatch(held, patch, 0).unsafeCoerce().next
-  return { digest: held.digest, version: held.version, text: JSON.stringify(held.document) }
+function serializeConfig (teams: number): { readonly digest: string, readonly version: number, readonly text: string } {
+  let config: VerifiedConfig = initialConfig()
+  for (const patch of createPatches(teams)) config = preparePatch(config, patch, 0).unsafeCoerce().next
+  return { digest: config.digest, version: config.version, text: JSON.stringify(config.document) }
 }
 
 async function heapPoints (teams: number): Promise<readonly ProbePoint[]> {
-  const { digest, version, text } = textOf(teams)
+  const { digest, version, text } = serializeConfig(teams)
   const load = (): VerifiedConfig => verifyDocument({ version, digest, document: JSON.parse(text) as ConfigDocument }).unsafeCoerce()
-  const { kept, bytes } = heapOf(load)
-  const keys = heapOf(() => {
+  const { retained, bytes } = measureHeap(load)
+  const keys = measureHeap(() => {
     const directory = new KeyDirectory()
-    directory.replace(Object.entries(kept.config.teams).map(([team, { keyHashes }]) => [team, keyHashes]))
+    directory.replace(Object.entries(retained.config.teams).map(([team, { keyHashes }]) => [team, keyHashes]))
     return directory
   })
   const times: number[] = []
-  for (let index = 0; index < LOADS; index++) times.push(await processorUs(() => { load() }))
+  for (let index = 0; index < LOAD_ROUNDS; index++) times.push(await processorUs(() => { load() }))
   return [
-    pointOf(series('entry VM', 'heap of the configuration in force', 'bytes'), teams, bytes),
-    pointOf(series('entry VM', 'heap of KeyDirectory', 'bytes'), teams, keys.bytes),
-    pointOf(series('entry VM', 'processor time to load the configuration at start', 'ms'), teams, medianOf(times) / US_PER_MS)
+    createPoint(series('entry VM', 'heap of the configuration in force', 'bytes'), teams, bytes),
+    createPoint(series('entry VM', 'heap of KeyDirectory', 'bytes'), teams, keys.bytes),
+    createPoint(series('entry VM', 'processor time to load the configuration at start', 'ms'), teams, median(times) / US_PER_MS)
   ]
 }
 
@@ -99,7 +99,7 @@
   }
 }
 
-function storeOver (state: TableState, objects: MemoryObjects): { readonly store: ConfigStore, readonly table: CountingTable } {
+function createStore (state: TableState, objects: MemoryObjects): { readonly store: ConfigStore, readonly table: CountingTable } {
   const table = new CountingTable(new MemoryTableStore(state))
   const clock = { now: () => ({ mono: performance.now(), wall: Date.now() }) }
   return { table, store: new ConfigStore({ table, objects, clock, log, timers: systemTimers, random: () => 0.5 }) }
@@ -108,46 +108,46 @@
 async function objectPoints (teams: number): Promise<readonly ProbePoint[]> {
   const state = new TableState()
   const objects = new CountingObjects()
-  const { store } = storeOver(state, objects)
+  const { store } = createStore(state, objects)
   await store.load()
   const accept = async (patchId: string, patch: readonly PatchOperation[]): Promise<void> => {
     const base = store.inForce?.version ?? 0
     const answer = await store.patch({ base, patchId, author: 'bench', dryRun: false, patch: [...patch] })
     answer.unsafeCoerce()
   }
-  for (const [index, patch] of patchesFor(teams).entries()) await accept(`first-${index}`, patch)
-  await settle()
+  for (const [index, patch] of createPatches(teams).entries()) await accept(`first-${index}`, patch)
+  await awaitObjectWrites()
   const before = { puts: objects.puts, bytes: objects.bytes }
   for (let index = 0; index < CHANGES; index++) {
     await accept(`change-${index}`, [{ op: 'replace', path: `/teams/team-${index % teams}/weight`, value: index + 2 }])
-    await settle()
+    await awaitObjectWrites()
   }
   const puts = (objects.puts - before.puts) / CHANGES
   const bytes = (objects.bytes - before.bytes) / CHANGES
-  const fresh = new CountingObjects()
-  for (const [name, body] of objects.objects) fresh.objects.set(name, body)
-  const started = storeOver(state, fresh)
+  const startObjects = new CountingObjects()
+  for (const [name, body] of objects.objects) startObjects.objects.set(name, body)
+  const started = createStore(state, startObjects)
   await started.store.load()
   return [
-    pointOf(series('object store', 'objects written for each change', ''), teams, puts),
-    pointOf(series('object store', 'bytes read and written for each change', 'bytes'), teams, bytes),
-    pointOf(series('object store', 'objects read by a VM that starts', ''), teams, fresh.gets),
-    pointOf(series('object store', 'bytes read by a VM that starts', 'bytes'), teams, fresh.bytes),
-    pointOf(series('table service', 'rows read for the configuration by a VM that starts', ''), teams, started.table.counts.rowsRead)
+    createPoint(series('object store', 'objects written for each change', ''), teams, puts),
+    createPoint(series('object store', 'bytes read and written for each change', 'bytes'), teams, bytes),
+    createPoint(series('object store', 'objects read by a VM that starts', ''), teams, startObjects.gets),
+    createPoint(series('object store', 'bytes read by a VM that starts', 'bytes'), teams, startObjects.bytes),
+    createPoint(series('table service', 'rows read for the configuration by a VM that starts', ''), teams, started.table.counts.rowsRead)
   ]
 }
 
 /** Waits for object writes that run in the background. */
-async function settle (): Promise<void> {
+async function awaitObjectWrites (): Promise<void> {
   for (let turn = 0; turn < 8; turn++) await new Promise(resolve => setImmediate(resolve))
 }
 
 /** Heap and load time by number of teams. */
 export const teamProbe: CapacityProbe = {
   name: 'teams',
-  timed: true,
+  isTimeSensitive: true,
   run: async () => {
-    await heapPoints(BATCH)
+    await heapPoints(BATCH_SIZE)
     const points: ProbePoint[] = []
     for (const teams of TEAMS) points.push(...await heapPoints(teams))
     return points
@@ -157,7 +157,7 @@
 /** Object store traffic by number of teams. */
 export const objectProbe: CapacityProbe = {
   name: 'objects',
-  timed: false,
+  isTimeSensitive: false,
   run: async () => {
     const points: ProbePoint[] = []
     for (const teams of TEAMS) points.push(...await objectPoints(teams))
@@ -168,24 +168,24 @@
 /** Configuration traffic by number of VMs. */
 export const configTrafficProbe: CapacityProbe = {
   name: 'config-traffic',
-  timed: true,
+  isTimeSensitive: true,
   run: async seed => {
     const rows = await measureTraffic(seed)
     const [poll, push] = await measureWire()
-    const vm = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'VMs', quantity, unit, at: target.vms })
-    const fleet = (quantity: string, unit: string): ProbeSeries => ({ role: 'table service', driver: 'VMs, whole fleet', quantity, unit, at: target.vms })
+    const vmSeries = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'VMs', quantity, unit, at: plannedScale.vms })
+    const fleetSeries = (quantity: string, unit: string): ProbeSeries => ({ role: 'table service', driver: 'VMs, whole fleet', quantity, unit, at: plannedScale.vms })
     return rows.flatMap(row => {
       const vms = Number(row.vms)
       const polls = Number(row.idleTableCallsPerVmS)
-      const pushes = Number(row.changePeerMessagesPerVm) / 2 * perVm.changesPerSecond
+      const pushes = Number(row.changePeerMessagesPerVm) / 2 * plannedVmLoad.changesPerSecond
       const bytes = polls * Number(poll?.bytesBothWays) + pushes * Number(push?.bytesBothWays)
       const us = (polls * Number(poll?.processorMsBothEnds) + pushes * Number(push?.processorMsBothEnds)) * US_PER_MS
       return [
-        pointOf(vm('bytes of configuration polls and pushes', 'bytes/s'), vms, bytes),
-        pointOf(vm('processor time of polls and pushes, both ends', 'us/s'), vms, us),
-        pointOf(vm('time until a change is in force everywhere, largest', 'ms'), vms, Number(row.inForceMaxMs)),
-        pointOf(fleet('configuration reads when idle', '1/s'), vms, polls * vms),
-        pointOf(fleet('configuration reads for changes', '1/s'), vms, Number(row.changeTableCallsPerVm) * vms * perVm.changesPerSecond)
+        createPoint(vmSeries('bytes of configuration polls and pushes', 'bytes/s'), vms, bytes),
+        createPoint(vmSeries('processor time of polls and pushes, both ends', 'us/s'), vms, us),
+        createPoint(vmSeries('time until a change is in force everywhere, largest', 'ms'), vms, Number(row.inForceMaxMs)),
+        createPoint(fleetSeries('configuration reads when idle', '1/s'), vms, polls * vms),
+        createPoint(fleetSeries('configuration reads for changes', '1/s'), vms, Number(row.changeTableCallsPerVm) * vms * plannedVmLoad.changesPerSecond)
       ]
     })
   }
--- a/packages/stand-ins/src/measure/capacity/countingTable.ts
+++ b/packages/stand-ins/src/measure/capacity/countingTable.ts
@@ -21,7 +21,7 @@
 export class CountingTable implements TableStore {
   counts: TableCounts = { reads: 0, rowsRead: 0, writes: 0, rowsWritten: 0, bytes: 0 }
 
-  constructor (private readonly inner: TableStore) {}
+  constructor (private readonly store: TableStore) {}
 
   /** Sets all counts to zero. */
   reset (): void {
@@ -31,11 +31,11 @@
   async read (keys: readonly RowKey[]): Promise<Either<Failure, ReadAnswer>> {
     this.counts.reads++
     this.counts.rowsRead += keys.length
-    return this.weigh({ keys }, await this.inner.read(keys))
+    return this.countBytes({ keys }, await this.store.read(keys))
   }
 
   async scan (req: ScanRequest): Promise<Either<Failure, ScanAnswer>> {
-    const answer = this.weigh(req, await this.inner.scan(req))
+    const answer = this.countBytes(req, await this.store.scan(req))
     this.counts.reads++
     this.counts.rowsRead += answer.map(({ rows }) => rows.length).orDefault(0)
     return answer
@@ -44,10 +44,10 @@
   async transact (tx: Transaction): Promise<Either<Failure, TransactAnswer>> {
     this.counts.writes++
     this.counts.rowsWritten += tx.writes.length
-    return this.weigh(tx, await this.inner.transact(tx))
+    return this.countBytes(tx, await this.store.transact(tx))
   }
 
-  private weigh<T> (sent: unknown, answer: Either<Failure, T>): Either<Failure, T> {
+  private countBytes<T> (sent: unknown, answer: Either<Failure, T>): Either<Failure, T> {
     this.counts.bytes += JSON.stringify(sent).length + JSON.stringify(answer.extract()).length
     return answer
   }
--- a/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
@@ -4,9 +4,9 @@
  */
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
-import { BudgetWorld } from '../budget/budgetWorld.js'
-import { target } from './capacityTarget.js'
-import { pointOf, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
+import { BudgetHarness } from '../budget/budgetHarness.js'
+import { plannedScale } from './capacityTarget.js'
+import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela', 'thu-duc', 'tan-binh', 'binh-thanh']
 const VMS_PER_DOMAIN = [1, 2, 4, 8, 20]
@@ -14,15 +14,15 @@
 const LATENCIES = { betweenDomains: 2, table: 3 }
 const TICK_MS = 200
 /** Interval between two requests of one VM. */
-const EVERY_MS = 1_000
-const WORST_CASE = 1_024
-const USED = 224
+const REQUEST_INTERVAL_MS = 1_000
+const RESERVED_TOKENS = 1_024
+const USED_TOKENS = 224
 const RUN_MS = 500
-const PLENTY = 1_000_000_000
+const AMPLE_TOKENS = 1_000_000_000
 const START_MS = 60_000
 const STEADY_MS = 240_000
 /** Time for which the scarce budget covers the demand. */
-const SCARCE_MS = 120_000
+const SCARCE_COVERAGE_MS = 120_000
 const SECOND_MS = 1_000
 const PERCENT = 100
 
@@ -33,14 +33,14 @@
 }
 
 /** Simulated fleet on one budget, with counters. */
-class HotBudget {
-  readonly world: BudgetWorld
+class HotBudgetRun {
+  readonly harness: BudgetHarness
   private readonly drivers: BudgetDriver[] = []
   private gaveUp = 0
   private requests = 0
 
   constructor (vmsPerDomain: number, paid: number, seed: string) {
-    this.world = new BudgetWorld({
+    this.harness = new BudgetHarness({
       seed,
       domains: DOMAINS,
       vmsPerDomain,
@@ -48,15 +48,15 @@
       tickMs: TICK_MS,
       listLagMs: SECOND_MS,
       recoverEveryMs: SECOND_MS * SECOND_MS,
-      spender: parts => {
-        const driver = new BudgetDriver({ ...parts, log: { write: (_name, fields) => this.note(fields) } })
+      spender: deps => {
+        const driver = new BudgetDriver({ ...deps, log: { write: (_name, fields) => this.countExhaustedRetries(fields) } })
         this.drivers.push(driver)
         return driver
       }
     })
     const value = { budget: BUDGET, paid, spent: 0, allotted: 0 }
-    this.world.state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: BUDGET, value }] })
-    for (const node of this.world.nodes) this.ask(node, EVERY_MS * this.world.random())
+    this.harness.state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: BUDGET, value }] })
+    for (const node of this.harness.nodes) this.ask(node, REQUEST_INTERVAL_MS * this.harness.random())
   }
 
   get counts (): Counts {
@@ -69,58 +69,58 @@
   }
 
   /** Runs for some time and returns the counts of that time. */
-  async during (ms: number): Promise<Counts> {
+  async countDuring (ms: number): Promise<Counts> {
     const before = this.counts
-    await this.world.time.runUntil(this.world.time.mono + ms)
+    await this.harness.time.runUntil(this.harness.time.mono + ms)
     const after = this.counts
     return { committed: after.committed - before.committed, conflicts: after.conflicts - before.conflicts, gaveUp: after.gaveUp - before.gaveUp }
   }
 
-  private ask (node: BudgetWorld['nodes'][number], after: number): void {
-    this.world.time.after(after, () => {
+  private ask (node: BudgetHarness['nodes'][number], delayMs: number): void {
+    this.harness.time.after(delayMs, () => {
       this.requests += 1
-      this.world.request(node, { requestId: `req-${this.requests}`, budget: BUDGET, tokens: WORST_CASE, used: USED, runMs: RUN_MS, giveUpAfterMs: SECOND_MS })
+      this.harness.request(node, { requestId: `req-${this.requests}`, budget: BUDGET, tokens: RESERVED_TOKENS, used: USED_TOKENS, runMs: RUN_MS, giveUpAfterMs: SECOND_MS })
         .catch(err => { throw err })
-      this.ask(node, EVERY_MS)
+      this.ask(node, REQUEST_INTERVAL_MS)
     })
   }
 
-  private note (fields: Readonly<Record<string, unknown>> | undefined): void {
+  private countExhaustedRetries (fields: Readonly<Record<string, unknown>> | undefined): void {
     if (String(fields?.detail).includes('conflicted too often')) this.gaveUp += 1
   }
 }
 
-const series = (quantity: string, unit: string): ProbeSeries => ({ role: 'table service', driver: 'holders of the busiest budget', quantity, unit, at: target.vms })
+const series = (quantity: string, unit: string): ProbeSeries => ({ role: 'table service', driver: 'holders of the busiest budget', quantity, unit, at: plannedScale.vms })
 
 function phasePoints (phase: string, holders: number, ms: number, { committed, conflicts, gaveUp }: Counts): readonly ProbePoint[] {
-  const tries = committed + conflicts
+  const attempts = committed + conflicts
   return [
-    pointOf(series(`${phase}: conflicting transactions`, '%'), holders, tries === 0 ? 0 : conflicts / tries * PERCENT),
-    pointOf(series(`${phase}: tries for each commit`, ''), holders, tries / Math.max(1, committed)),
-    pointOf(series(`${phase}: transactions tried`, '1/s'), holders, tries * SECOND_MS / ms),
-    pointOf(series(`${phase}: given up after 8 tries`, '1/s'), holders, gaveUp * SECOND_MS / ms)
+    createPoint(series(`${phase}: conflicting transactions`, '%'), holders, attempts === 0 ? 0 : conflicts / attempts * PERCENT),
+    createPoint(series(`${phase}: tries for each commit`, ''), holders, attempts / Math.max(1, committed)),
+    createPoint(series(`${phase}: transactions tried`, '1/s'), holders, attempts * SECOND_MS / ms),
+    createPoint(series(`${phase}: given up after 8 tries`, '1/s'), holders, gaveUp * SECOND_MS / ms)
   ]
 }
 
 async function measureHolders (vmsPerDomain: number, seed: string): Promise<readonly ProbePoint[]> {
   const holders = DOMAINS.length * vmsPerDomain
-  const plenty = new HotBudget(vmsPerDomain, PLENTY, seed)
-  const start = await plenty.during(START_MS)
-  await plenty.during(START_MS)
-  const steady = await plenty.during(STEADY_MS)
-  const scarce = new HotBudget(vmsPerDomain, holders * USED * SCARCE_MS / EVERY_MS, seed)
-  const end = await scarce.during(SCARCE_MS)
+  const ample = new HotBudgetRun(vmsPerDomain, AMPLE_TOKENS, seed)
+  const start = await ample.countDuring(START_MS)
+  await ample.countDuring(START_MS)
+  const steady = await ample.countDuring(STEADY_MS)
+  const scarce = new HotBudgetRun(vmsPerDomain, holders * USED_TOKENS * SCARCE_COVERAGE_MS / REQUEST_INTERVAL_MS, seed)
+  const end = await scarce.countDuring(SCARCE_COVERAGE_MS)
   return [
     ...phasePoints('first minute', holders, START_MS, start),
     ...phasePoints('plenty left', holders, STEADY_MS, steady),
-    ...phasePoints('last two minutes of budget', holders, SCARCE_MS, end)
+    ...phasePoints('last two minutes of budget', holders, SCARCE_COVERAGE_MS, end)
   ]
 }
 
 /** Conflicts on the busiest budget by number of holders. */
 export const hotBudgetProbe: CapacityProbe = {
   name: 'hot-budget',
-  timed: false,
+  isTimeSensitive: false,
   run: async seed => {
     const points: ProbePoint[] = []
     for (const size of VMS_PER_DOMAIN) points.push(...await measureHolders(size, seed))
--- a/packages/stand-ins/src/measure/capacity/memberProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/memberProbe.ts
@@ -6,75 +6,75 @@
 import { MemberTable } from '@rosemaryspread/decisions/membership/memberTable.js'
 import { defaultMemberLimits, type MemberRow } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import { membershipBench } from '../membershipBench.js'
-import { target } from './capacityTarget.js'
-import { pointOf, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
-import { heapOf } from './processMeter.js'
+import { plannedScale } from './capacityTarget.js'
+import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
+import { measureHeap } from './processMeter.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela', 'thu-duc', 'tan-binh', 'binh-thanh']
 const HEAP_SIZES = [60, 180, 360, 720]
 const CALL_SIZES = [12, 30, 60]
 const SECOND_MS = 1_000
 /** Scan periods over which calls are counted. */
-const SCANS = 3
+const COUNTED_SCAN_PERIODS = 3
 
-const vmSeries = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'VMs', quantity, unit, at: target.vms })
-const tableSeries = (quantity: string): ProbeSeries => ({ role: 'table service', driver: 'VMs, whole fleet', quantity, unit: '1/s', at: target.vms })
+const vmSeries = (quantity: string, unit: string): ProbeSeries => ({ role: 'entry VM', driver: 'VMs', quantity, unit, at: plannedScale.vms })
+const tableSeries = (quantity: string): ProbeSeries => ({ role: 'table service', driver: 'VMs, whole fleet', quantity, unit: '1/s', at: plannedScale.vms })
 
-function rowOf (index: number): MemberRow {
+function createRow (index: number): MemberRow {
   const domain = DOMAINS[index % DOMAINS.length] ?? ''
   const vm = `${domain}-${index}`
   const address = `10.0.${index >> 8}.${index & 255}`
   return { vm, holder: `${vm}~0123456789ab`, domain, region: 'ecuador', callers: `${address}:8000`, operators: `${address}:8001`, peers: `${address}:8002`, state: 'live', configVersion: 1, capacity: 1 }
 }
 
-function tableOf (vms: number): MemberTable {
+function createTable (vms: number): MemberTable {
   const now = { mono: 0, wall: 0 }
-  const table = new MemberTable(rowOf(0), () => 0.5)
-  const rows = Array.from({ length: vms }, (_, index) => ({ row: rowOf(index), version: index + 1, ageMs: 0 }))
+  const table = new MemberTable(createRow(0), () => 0.5)
+  const rows = Array.from({ length: vms }, (_, index) => ({ row: createRow(index), version: index + 1, ageMs: 0 }))
   table.handle({ kind: 'rowsRead', rows, whole: true, requestedAt: now }, now)
   return table
 }
 
 /** Calls of the whole fleet per second. */
-function callsOf (vms: number): readonly ProbePoint[] {
+function callPoints (vms: number): readonly ProbePoint[] {
   const fleet = new MemberHarness()
   for (let index = 0; index < vms; index++) fleet.add(DOMAINS[index % DOMAINS.length] ?? '', index, '0123456789ab')
   const { scanMs, scanMsPerMember } = defaultMemberLimits
   const period = Math.ceil((scanMs + scanMsPerMember * vms) / SECOND_MS)
   fleet.run(period)
   for (const vm of fleet.vms) vm.actions.length = 0
-  fleet.run(period * SCANS)
+  fleet.run(period * COUNTED_SCAN_PERIODS)
   const rate = (...kinds: ReadonlyArray<Parameters<typeof fleet.vms[number]['count']>[0]>): number =>
-    fleet.vms.reduce((sum, vm) => sum + kinds.reduce((part, kind) => part + vm.count(kind), 0), 0) / period / SCANS
+    fleet.vms.reduce((sum, vm) => sum + kinds.reduce((subtotal, kind) => subtotal + vm.count(kind), 0), 0) / period / COUNTED_SCAN_PERIODS
   return [
-    pointOf(tableSeries('membership transactions'), vms, rate('writeLocalRow', 'deleteRow')),
-    pointOf(tableSeries('membership reads and scans'), vms, rate('scan', 'readRows', 'readLocalRow')),
-    pointOf(tableSeries('rows read by membership scans'), vms, rate('scan') * vms),
-    pointOf({ ...tableSeries('reads of the VM list'), role: 'VM list' }, vms, rate('readList'))
+    createPoint(tableSeries('membership transactions'), vms, rate('writeLocalRow', 'deleteRow')),
+    createPoint(tableSeries('membership reads and scans'), vms, rate('scan', 'readRows', 'readLocalRow')),
+    createPoint(tableSeries('rows read by membership scans'), vms, rate('scan') * vms),
+    createPoint({ ...tableSeries('reads of the VM list'), role: 'VM list' }, vms, rate('readList'))
   ]
 }
 
 /** Heap and calls of membership, simulated without sockets. */
 export const memberProbe: CapacityProbe = {
   name: 'members',
-  timed: false,
+  isTimeSensitive: false,
   run: async () => {
-    heapOf(() => tableOf(Math.max(...HEAP_SIZES)))
-    const heap = HEAP_SIZES.map(size => pointOf(vmSeries('heap of MemberTable', 'bytes'), size, heapOf(() => tableOf(size)).bytes))
-    return [...heap, ...CALL_SIZES.flatMap(callsOf)]
+    measureHeap(() => createTable(Math.max(...HEAP_SIZES)))
+    const heap = HEAP_SIZES.map(size => createPoint(vmSeries('heap of MemberTable', 'bytes'), size, measureHeap(() => createTable(size)).bytes))
+    return [...heap, ...CALL_SIZES.flatMap(callPoints)]
   }
 }
 
 /** Heartbeat and rumor traffic by number of VMs, as `bench -- membership` counts it. */
 export const gossipProbe: CapacityProbe = {
   name: 'gossip',
-  timed: true,
+  isTimeSensitive: true,
   run: async seed => {
     const rows = await membershipBench.run({ seed })
     return rows.flatMap(row => [
-      pointOf(vmSeries('messages of membership both ways, busiest', '1/s'), Number(row.vms), Number(row.messages_both_ways_per_s_busiest)),
-      pointOf(vmSeries('bytes of membership both ways, busiest', 'bytes/s'), Number(row.vms), Number(row.bytes_both_ways_per_s_busiest)),
-      pointOf(vmSeries('processor time to decide and encode membership', 'us/s'), Number(row.vms), Number(row.decide_and_encode_us_per_s))
+      createPoint(vmSeries('messages of membership both ways, busiest', '1/s'), Number(row.vms), Number(row.messages_both_ways_per_s_busiest)),
+      createPoint(vmSeries('bytes of membership both ways, busiest', 'bytes/s'), Number(row.vms), Number(row.bytes_both_ways_per_s_busiest)),
+      createPoint(vmSeries('processor time to decide and encode membership', 'us/s'), Number(row.vms), Number(row.decide_and_encode_us_per_s))
     ])
   }
 }
--- a/packages/stand-ins/src/measure/capacity/probeTypes.ts
+++ b/packages/stand-ins/src/measure/capacity/probeTypes.ts
@@ -24,11 +24,11 @@
 export interface CapacityProbe {
   readonly name: string
   /** Whether it measures processor time, so that no other probe may run at the same time. */
-  readonly timed: boolean
+  readonly isTimeSensitive: boolean
   run (seed: string): Promise<readonly ProbePoint[]>
 }
 
 /** One measured point of a series. */
-export function pointOf (series: ProbeSeries, size: number, value: number): ProbePoint {
+export function createPoint (series: ProbeSeries, size: number, value: number): ProbePoint {
   return { ...series, size, value }
 }
--- a/packages/stand-ins/src/measure/capacity/processMeter.ts
+++ b/packages/stand-ins/src/measure/capacity/processMeter.ts
@@ -11,23 +11,23 @@
 const US_PER_MS = 1_000
 
 /** Bytes of heap in use after garbage collection; needs `--expose-gc`. */
-export function settledHeap (): number {
+export function heapAfterGc (): number {
   for (let pass = 0; pass < 4; pass++) globalThis.gc?.()
   return process.memoryUsage().heapUsed
 }
 
 /** Builds a value and measures the heap bytes that it retains. */
-export function heapOf<T> (build: () => T): { readonly kept: T, readonly bytes: number } {
-  const before = settledHeap()
-  const kept = build()
-  return { kept, bytes: settledHeap() - before }
+export function measureHeap<T> (build: () => T): { readonly retained: T, readonly bytes: number } {
+  const before = heapAfterGc()
+  const retained = build()
+  return { retained, bytes: heapAfterGc() - before }
 }
 
 /**
  * Median, the upper one for an even number of values.
  * @param values - at least one
  */
-export function medianOf (values: readonly number[]): number {
+export function median (values: readonly number[]): number {
   const sorted = [...values].sort((one, other) => one - other)
   return sorted[Math.floor(sorted.length / 2)] ?? NaN
 }
@@ -41,7 +41,7 @@
 }
 
 /** Reads processor time and memory of a process from `/proc`. */
-export class OtherProcess {
+export class ProcessMeter {
   constructor (readonly pid: number) {}
 
   /** Processor milliseconds of all its threads, in user and system mode. */
@@ -58,11 +58,11 @@
 }
 
 /** Finds the child of this process whose command line contains a text. */
-export async function childWith (text: string): Promise<OtherProcess> {
+export async function findChildProcess (text: string): Promise<ProcessMeter> {
   const children = await readFile(`/proc/${process.pid}/task/${process.pid}/children`, 'utf8')
   for (const pid of children.trim().split(' ')) {
     const command = await readFile(`/proc/${pid}/cmdline`, 'utf8').catch(() => '')
-    if (command.includes(text)) return new OtherProcess(Number(pid))
+    if (command.includes(text)) return new ProcessMeter(Number(pid))
   }
   throw new Error(`no child process with '${text}' in its command line`)
 }
@@ -73,17 +73,17 @@
  * @param rounds - rounds counted, after one that warms up
  */
 export async function usPerCall (calls: number, rounds: number, work: (index: number) => Promise<unknown> | unknown): Promise<number> {
-  const all: number[] = []
+  const samples: number[] = []
   for (let round = 0; round <= rounds; round++) {
     const us = await processorUs(async () => {
       for (let index = 0; index < calls; index++) await work(index)
     })
-    if (round > 0) all.push(us / calls)
+    if (round > 0) samples.push(us / calls)
   }
-  return medianOf(all)
+  return median(samples)
 }
 
-export async function pause (ms: number): Promise<void> {
+export async function delay (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
 
--- a/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
@@ -10,17 +10,17 @@
 import type { RecoveryRunners } from 'rosemaryspread/budget/budgetRecoveryRuns.js'
 import { MemoryTableStore } from '../../table/memoryTableStore.js'
 import { TableState } from '../../table/tableState.js'
-import { target } from './capacityTarget.js'
+import { plannedScale } from './capacityTarget.js'
 import { CountingTable } from './countingTable.js'
-import { pointOf, type CapacityProbe, type ProbePoint } from './probeTypes.js'
+import { createPoint, type CapacityProbe, type ProbePoint } from './probeTypes.js'
 
 const BUDGETS = [10, 20, 40]
 const RUNNERS = [12, 120, 600]
 const FEW_BUDGETS = 10
 const DOMAIN = 'quito-centro'
-const ENDED = 'quito-centro-a'
-const TOKENS = 1_024
-const PAID = 1_000_000
+const TERMINATED_VM = 'quito-centro-a'
+const BILLED_TOKENS = 1_024
+const PAID_TOKENS = 1_000_000
 const TICKS = 20
 const TICK_MS = 500
 const log = { write: () => {} }
@@ -31,26 +31,26 @@
   readonly tableCalls: number
 }
 
-async function recover (budgets: number, runners: number): Promise<RecoveryCost> {
+async function measureRecovery (budgets: number, runners: number): Promise<RecoveryCost> {
   let mono = 0
   const clock = { now: () => ({ mono, wall: mono }) }
   const state = new TableState(() => mono)
   const names = Array.from({ length: budgets }, (_, index) => `budget-${index}`)
-  for (const budget of names) state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: budget, value: { budget, paid: PAID, spent: 0, allotted: 0 } }] })
+  for (const budget of names) state.transact({ checks: [], writes: [{ table: budgetTables.budgets, key: budget, value: { budget, paid: PAID_TOKENS, spent: 0, allotted: 0 } }] })
   const unreachable = async (): Promise<Either<Failure, never>> => Left(new Failure('peerUnreachable', 'the fleet has no other VMs'))
   const peers = { members: () => [], requestTransfer: unreachable, recall: unreachable, confirmNoTransfers: unreachable }
-  const ended = new BudgetDriver({ holder: `${ENDED}~0123456789ab`, domain: DOMAIN, store: new MemoryTableStore(state), peers, clock, log })
+  const terminated = new BudgetDriver({ holder: `${TERMINATED_VM}~0123456789ab`, domain: DOMAIN, store: new MemoryTableStore(state), peers, clock, log })
   for (const budget of names) {
-    const reserved = await ended.reserve(budget, TOKENS, TICK_MS)
-    ended.settle(reserved.unsafeCoerce(), { requestId: budget, budget, team: budget, tokens: TOKENS, runner: 'runner-0' })
+    const reserved = await terminated.reserve(budget, BILLED_TOKENS, TICK_MS)
+    terminated.settle(reserved.unsafeCoerce(), { requestId: budget, budget, team: budget, tokens: BILLED_TOKENS, runner: 'runner-0' })
   }
   for (let tick = 0; tick < TICKS; tick++) {
     mono += TICK_MS
-    ended.tick()
+    terminated.tick()
     await setImmediate()
   }
   let runnerCalls = 0
-  const known: RecoveryRunners = {
+  const idleRunners: RecoveryRunners = {
     engines: {
       listByHolder: async () => {
         runnerCalls++
@@ -62,28 +62,28 @@
     declared: () => Array.from({ length: runners }, (_, index) => ({ runner: `runner-${index}`, address: `10.1.0.${index}:8000`, servesSince: {} }))
   }
   const table = new CountingTable(new MemoryTableStore(state))
-  const other = new BudgetDriver({ holder: 'quito-centro-b~0123456789ab', domain: DOMAIN, store: table, peers, clock, log, runners: known })
-  await other.recoverTerminated({ asOf: mono + TICK_MS, vms: [{ vm: ENDED, state: 'gone' }] })
-  const left = state.all(budgetTables.allotments).filter(({ value }) => (value as { state: string }).state === 'open')
-  if (left.length > 0) throw new Error(`${left.length} allotments of the terminated VM are still open after recovery`)
+  const recoverer = new BudgetDriver({ holder: 'quito-centro-b~0123456789ab', domain: DOMAIN, store: table, peers, clock, log, runners: idleRunners })
+  await recoverer.recoverTerminated({ asOf: mono + TICK_MS, vms: [{ vm: TERMINATED_VM, state: 'gone' }] })
+  const stillOpen = state.all(budgetTables.allotments).filter(({ value }) => (value as { state: string }).state === 'open')
+  if (stillOpen.length > 0) throw new Error(`${stillOpen.length} allotments of the terminated VM are still open after recovery`)
   return { runnerCalls, tableCalls: table.counts.reads + table.counts.writes }
 }
 
 /** Calls of recovery by budgets and by runners. */
 export const recoveryProbe: CapacityProbe = {
   name: 'recovery',
-  timed: false,
+  isTimeSensitive: false,
   run: async () => {
     const points: ProbePoint[] = []
     for (const size of BUDGETS) {
-      const { runnerCalls, tableCalls } = await recover(size, target.runners)
-      const held = { role: 'entry VM', driver: 'budgets held by an ended VM, 600 runners', unit: '', at: target.teams }
-      points.push(pointOf({ ...held, quantity: 'calls to runners to recover it' }, size, runnerCalls))
-      points.push(pointOf({ ...held, role: 'table service', quantity: 'calls to recover it' }, size, tableCalls))
+      const { runnerCalls, tableCalls } = await measureRecovery(size, plannedScale.runners)
+      const series = { role: 'entry VM', driver: 'budgets held by an ended VM, 600 runners', unit: '', at: plannedScale.teams }
+      points.push(createPoint({ ...series, quantity: 'calls to runners to recover it' }, size, runnerCalls))
+      points.push(createPoint({ ...series, role: 'table service', quantity: 'calls to recover it' }, size, tableCalls))
     }
     for (const size of RUNNERS) {
-      const { runnerCalls } = await recover(FEW_BUDGETS, size)
-      points.push(pointOf({ role: 'entry VM', driver: 'runners, 10 budgets held by an ended VM', quantity: 'calls to runners to recover it', unit: '', at: target.runners }, size, runnerCalls))
+      const { runnerCalls } = await measureRecovery(FEW_BUDGETS, size)
+      points.push(createPoint({ role: 'entry VM', driver: 'runners, 10 budgets held by an ended VM', quantity: 'calls to runners to recover it', unit: '', at: plannedScale.runners }, size, runnerCalls))
     }
     return points
   }
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -15,30 +15,30 @@
 import { Fleet } from '../../scenario/fleet/fleet.js'
 import { teamKey } from '../../scenario/fleet/fleetConfig.js'
 import { fleetSchema, type FleetHead } from '../../scenario/language/scenarioSchema.js'
-import { perVm, target } from './capacityTarget.js'
-import { pointOf, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
-import { childWith, pause, type OtherProcess } from './processMeter.js'
+import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
+import { findChildProcess, delay, type ProcessMeter } from './processMeter.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela']
 const TEAMS = 8
 const MODEL = 'asistente-lm'
-const BUDGET = 1_000_000_000
+const PAID_TOKENS = 1_000_000_000
 const SETTLE_MS = 4_000
 const IDLE_MS = 5_000
 const IDLE_SIZES = [1, 3, 6]
 /** Reported size: small fleets send heartbeats to all VMs, so a fit doesn't extrapolate to large fleets. */
-const TODAY_VMS = 6
+const REPORTED_VMS = 6
 const LOAD_MS = 4_000
-const REQUESTS = [40, 120, 240]
-const TOKENS = [10, 60, 240]
+const REQUEST_COUNTS = [40, 120, 240]
+const TOKENS_PER_REQUEST = [10, 60, 240]
 const TOKEN_REQUESTS = 120
-const STREAMS = [60, 180, 360]
+const STREAM_COUNTS = [60, 180, 360]
 const STREAM_TOKENS = 240
 const SLOW_MS_PER_TOKEN = 2_000
-const WATCHED = [24, 96, 192]
+const WATCHED_RUNNERS = [24, 96, 192]
 const SECOND_MS = 1_000
 
-interface TableCountsOfStandIn {
+interface StandInTableCounts {
   readonly reads: number
   readonly scans: number
   readonly transactions: number
@@ -46,36 +46,36 @@
 
 const series = (role: string, driver: string, quantity: string, unit: string, at: number): ProbeSeries => ({ role, driver, quantity, unit, at })
 
-function headOf (vms: number, msPerToken: number): FleetHead {
+function createFleetHead (vms: number, msPerToken: number): FleetHead {
   const teams = Object.fromEntries(Array.from({ length: TEAMS }, (_, index) => [`team-${index}`, { budget: `budget-${index}`, models: [MODEL] }]))
   return fleetSchema.parse({
     vms: Object.fromEntries(Array.from({ length: vms }, (_, index) => [`vm${index}`, DOMAINS[index % DOMAINS.length]])),
     engines: Object.fromEntries(DOMAINS.map((domain, index) => [`engine${index}`, { domain, models: [MODEL], slots: 256, msPerToken }])),
     teams,
-    budgets: Object.fromEntries(Array.from({ length: TEAMS }, (_, index) => [`budget-${index}`, BUDGET]))
+    budgets: Object.fromEntries(Array.from({ length: TEAMS }, (_, index) => [`budget-${index}`, PAID_TOKENS]))
   })
 }
 
 /** A running fleet whose first VM is metered. */
 class MeasuredFleet {
-  private constructor (readonly fleet: Fleet, readonly vm: OtherProcess) {}
+  private constructor (readonly fleet: Fleet, readonly vm: ProcessMeter) {}
 
   static async start (vms: number, msPerToken: number): Promise<MeasuredFleet> {
     const folder = await mkdtemp(join(tmpdir(), 'rosemaryspread-capacity-'))
-    const fleet = await Fleet.start({ head: headOf(vms, msPerToken), folder, links: false, weakness: undefined })
-    const vm = await childWith(`${folder}/vm0.yaml`)
-    await pause(SETTLE_MS)
+    const fleet = await Fleet.start({ head: createFleetHead(vms, msPerToken), folder, links: false, weakness: undefined })
+    const vm = await findChildProcess(`${folder}/vm0.yaml`)
+    await delay(SETTLE_MS)
     return new MeasuredFleet(fleet, vm)
   }
 
-  async tableCounts (): Promise<TableCountsOfStandIn> {
+  async tableCounts (): Promise<StandInTableCounts> {
     const { ports } = this.fleet.standIn('table')
-    const { counts } = await got.get(`http://127.0.0.1:${ports.control}/control/state`).json<{ counts: TableCountsOfStandIn }>()
+    const { counts } = await got.get(`http://127.0.0.1:${ports.control}/control/state`).json<{ counts: StandInTableCounts }>()
     return counts
   }
 
   /** Processor milliseconds of the VM and elapsed seconds during some work. */
-  async cost (work: () => Promise<void>): Promise<{ readonly cpuMs: number, readonly seconds: number }> {
+  async measureCost (work: () => Promise<void>): Promise<{ readonly cpuMs: number, readonly seconds: number }> {
     const startedAt = performance.now()
     const before = await this.vm.processorMs()
     await work()
@@ -84,7 +84,7 @@
 
   /** Processor milliseconds per second without requests. */
   async idleMsPerS (): Promise<number> {
-    const { cpuMs, seconds } = await this.cost(async () => { await pause(IDLE_MS) })
+    const { cpuMs, seconds } = await this.measureCost(async () => { await delay(IDLE_MS) })
     return cpuMs / seconds
   }
 
@@ -93,7 +93,7 @@
   }
 }
 
-function specOf (index: number, tokens: number): RequestSpec {
+function createSpec (index: number, tokens: number): RequestSpec {
   const team = `team-${index % TEAMS}`
   const body = JSON.stringify({ model: MODEL, messages: [{ role: 'user', content: `Necesito asistencia en la terminal, viaje ${index}` }], max_tokens: tokens, stream: true })
   return { team, teamKey: teamKey(team), path: '/v1/chat/completions', body, digest: bodyDigest(body), repeatable: true, idempotencyKey: undefined, requestId: undefined, timeoutMs: undefined, streamed: true }
@@ -103,36 +103,36 @@
 async function sendEvenly (measured: MeasuredFleet, requests: number, tokens: number): Promise<number> {
   const caller = new TestCaller()
   const url = measured.fleet.vm('vm0').callersUrl
-  const asks: Promise<unknown>[] = []
+  const pending: Promise<unknown>[] = []
   const from = performance.now()
   for (let index = 0; index < requests; index++) {
-    await pause(Math.max(0, from + index * LOAD_MS / requests - performance.now()))
-    asks.push(caller.ask(specOf(index, tokens), 'vm0', url))
+    await delay(Math.max(0, from + index * LOAD_MS / requests - performance.now()))
+    pending.push(caller.ask(createSpec(index, tokens), 'vm0', url))
   }
-  await Promise.all(asks)
-  await pause(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
-  const refused = caller.asks.filter(ask => ask.outcome?.kind !== 'answered').length
-  if (refused > 0) throw new Error(`${refused} of ${requests} requests got no answer`)
+  await Promise.all(pending)
+  await delay(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
+  const unanswered = caller.asks.filter(ask => ask.outcome?.kind !== 'answered').length
+  if (unanswered > 0) throw new Error(`${unanswered} of ${requests} requests got no answer`)
   return caller.asks.reduce((sum, ask) => sum + ask.pieces, 0)
 }
 
 /** Cost of an idle VM by fleet size. */
 export const idleVmProbe: CapacityProbe = {
   name: 'vm-idle',
-  timed: true,
+  isTimeSensitive: true,
   run: async () => {
     const points: ProbePoint[] = []
     for (const vms of IDLE_SIZES) {
       const measured = await MeasuredFleet.start(vms, 2)
       const before = await measured.tableCounts()
-      const { cpuMs, seconds } = await measured.cost(async () => { await pause(IDLE_MS) })
+      const { cpuMs, seconds } = await measured.measureCost(async () => { await delay(IDLE_MS) })
       const after = await measured.tableCounts()
-      const entry = (quantity: string, unit: string): ProbeSeries => series('entry VM', 'VMs, real processes, 3 engines', quantity, unit, TODAY_VMS)
+      const vmSeries = (quantity: string, unit: string): ProbeSeries => series('entry VM', 'VMs, real processes, 3 engines', quantity, unit, REPORTED_VMS)
       points.push(
-        pointOf(entry('processor time idle', 'ms/s'), vms, cpuMs / seconds),
-        pointOf(entry('resident memory idle', 'MB'), vms, await measured.vm.residentMb()),
-        pointOf(series('table service', 'VMs, real processes', 'reads and scans idle', '1/s', TODAY_VMS), vms, (after.reads + after.scans - before.reads - before.scans) / seconds),
-        pointOf(series('table service', 'VMs, real processes', 'transactions idle', '1/s', TODAY_VMS), vms, (after.transactions - before.transactions) / seconds)
+        createPoint(vmSeries('processor time idle', 'ms/s'), vms, cpuMs / seconds),
+        createPoint(vmSeries('resident memory idle', 'MB'), vms, await measured.vm.residentMb()),
+        createPoint(series('table service', 'VMs, real processes', 'reads and scans idle', '1/s', REPORTED_VMS), vms, (after.reads + after.scans - before.reads - before.scans) / seconds),
+        createPoint(series('table service', 'VMs, real processes', 'transactions idle', '1/s', REPORTED_VMS), vms, (after.transactions - before.transactions) / seconds)
       )
       await measured.end()
     }
@@ -143,17 +143,17 @@
 /** Cost of requests and of relayed tokens. */
 export const loadedVmProbe: CapacityProbe = {
   name: 'vm-load',
-  timed: true,
+  isTimeSensitive: true,
   run: async () => {
     const measured = await MeasuredFleet.start(1, 5)
     await sendEvenly(measured, TOKEN_REQUESTS, 20)
     const idle = await measured.idleMsPerS()
     const points: ProbePoint[] = []
-    for (const requests of REQUESTS) points.push(await requestPoint(measured, requests, idle))
-    for (const tokens of TOKENS) {
+    for (const requests of REQUEST_COUNTS) points.push(await requestPoint(measured, requests, idle))
+    for (const tokens of TOKENS_PER_REQUEST) {
       let relayed = 0
-      const { cpuMs, seconds } = await measured.cost(async () => { relayed = await sendEvenly(measured, TOKEN_REQUESTS, tokens) })
-      points.push(pointOf(series('entry VM', 'tokens relayed, 120 requests', 'processor time of a real VM', 'ms', perVm.tokensPerSecond), relayed, cpuMs - idle * seconds))
+      const { cpuMs, seconds } = await measured.measureCost(async () => { relayed = await sendEvenly(measured, TOKEN_REQUESTS, tokens) })
+      points.push(createPoint(series('entry VM', 'tokens relayed, 120 requests', 'processor time of a real VM', 'ms', plannedVmLoad.tokensPerSecond), relayed, cpuMs - idle * seconds))
     }
     await measured.end()
     return points
@@ -161,27 +161,27 @@
 }
 
 async function requestPoint (measured: MeasuredFleet, requests: number, idle: number): Promise<ProbePoint> {
-  const { cpuMs, seconds } = await measured.cost(async () => { await sendEvenly(measured, requests, 1) })
-  const of = series('entry VM', 'requests of one token', 'processor time of a real VM', 'ms', perVm.requestsPerSecond)
-  return pointOf(of, requests, cpuMs - idle * seconds)
+  const { cpuMs, seconds } = await measured.measureCost(async () => { await sendEvenly(measured, requests, 1) })
+  const requestSeries = series('entry VM', 'requests of one token', 'processor time of a real VM', 'ms', plannedVmLoad.requestsPerSecond)
+  return createPoint(requestSeries, requests, cpuMs - idle * seconds)
 }
 
 /** Resident memory by open streams. */
 export const streamsProbe: CapacityProbe = {
   name: 'vm-streams',
-  timed: true,
+  isTimeSensitive: true,
   run: async () => {
     const measured = await MeasuredFleet.start(1, SLOW_MS_PER_TOKEN)
     const caller = new TestCaller()
     const points: ProbePoint[] = []
-    for (const streams of STREAMS) {
+    for (const streams of STREAM_COUNTS) {
       while (caller.asks.length < streams) {
-        caller.ask(specOf(caller.asks.length, STREAM_TOKENS), 'vm0', measured.fleet.vm('vm0').callersUrl).catch(() => {})
-        await pause(5)
+        caller.ask(createSpec(caller.asks.length, STREAM_TOKENS), 'vm0', measured.fleet.vm('vm0').callersUrl).catch(() => {})
+        await delay(5)
       }
-      await pause(SETTLE_MS)
+      await delay(SETTLE_MS)
       const open = caller.asks.filter(ask => ask.outcome === undefined && ask.pieces > 0).length
-      points.push(pointOf(series('entry VM', 'open streams', 'resident memory of a real VM', 'MB', perVm.openStreams), open, await measured.vm.residentMb()))
+      points.push(createPoint(series('entry VM', 'open streams', 'resident memory of a real VM', 'MB', plannedVmLoad.openStreams), open, await measured.vm.residentMb()))
     }
     await measured.end()
     return points
@@ -230,14 +230,14 @@
 /** Cost of load polls by number of runners watched. */
 export const pollProbe: CapacityProbe = {
   name: 'vm-polls',
-  timed: true,
+  isTimeSensitive: true,
   run: async () => {
     const measured = await MeasuredFleet.start(1, 2)
     const runners = new IdleRunners()
     const points: ProbePoint[] = []
     const vm = measured.fleet.vm('vm0')
-    for (const [round, size] of WATCHED.entries()) {
-      const first = WATCHED[round - 1] ?? 0
+    for (const [round, size] of WATCHED_RUNNERS.entries()) {
+      const first = WATCHED_RUNNERS[round - 1] ?? 0
       const patch = [{ op: 'add', path: `/models/many-${round}`, value: {} }]
       for (let index = first; index < size; index++) {
         if ((index - first) % 24 === 0) patch.push({ op: 'add', path: `/models/m${index}`, value: {} })
@@ -246,7 +246,7 @@
       }
       const outcome = await measured.fleet.operator.patch(vm.operatorsUrl, { base: round + 1, patchId: `runners-${round}`, patch })
       if (outcome.status !== 200) throw new Error(`the patch that adds runners failed with status ${outcome.status} ${outcome.name ?? ''}`)
-      await pause(SETTLE_MS)
+      await delay(SETTLE_MS)
       points.push(...await pollPoints(measured, runners, size))
     }
     await measured.end()
@@ -256,12 +256,12 @@
 }
 
 async function pollPoints (measured: MeasuredFleet, runners: IdleRunners, size: number): Promise<readonly ProbePoint[]> {
-  const of = (quantity: string, unit: string): ProbeSeries => series('entry VM', 'runners watched', quantity, unit, target.runners)
+  const pollSeries = (quantity: string, unit: string): ProbeSeries => series('entry VM', 'runners watched', quantity, unit, plannedScale.runners)
   const before = { calls: runners.calls, bytes: runners.bytes }
-  const { cpuMs, seconds } = await measured.cost(async () => { await pause(IDLE_MS) })
+  const { cpuMs, seconds } = await measured.measureCost(async () => { await delay(IDLE_MS) })
   return [
-    pointOf(of('processor time of a real VM', 'ms/s'), size, cpuMs / seconds),
-    pointOf(of('calls to runners', '1/s'), size, (runners.calls - before.calls) / seconds),
-    pointOf(of('bytes of calls to runners', 'bytes/s'), size, (runners.bytes - before.bytes) / seconds)
+    createPoint(pollSeries('processor time of a real VM', 'ms/s'), size, cpuMs / seconds),
+    createPoint(pollSeries('calls to runners', '1/s'), size, (runners.calls - before.calls) / seconds),
+    createPoint(pollSeries('bytes of calls to runners', 'bytes/s'), size, (runners.bytes - before.bytes) / seconds)
   ]
 }
--- a/packages/stand-ins/src/measure/capacityBench.ts
+++ b/packages/stand-ins/src/measure/capacityBench.ts
@@ -26,12 +26,12 @@
   title: 'slopes of state, messages, processor time and memory of each role, and their value at the target',
   run: async options => {
     const found = new Map<CapacityProbe, readonly ProbePoint[]>()
-    const waiting = capacityProbes.filter(probe => !probe.timed)
+    const waiting = capacityProbes.filter(probe => !probe.isTimeSensitive)
     const lane = async (): Promise<void> => {
       for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) found.set(next, await pointsOf(next, options))
     }
     await Promise.all(Array.from({ length: AT_ONCE }, lane))
-    for (const probe of capacityProbes.filter(item => item.timed)) found.set(probe, await pointsOf(probe, options))
+    for (const probe of capacityProbes.filter(item => item.isTimeSensitive)) found.set(probe, await pointsOf(probe, options))
     return fitRows(capacityProbes.flatMap(probe => found.get(probe) ?? []))
   }
 }
--- a/packages/stand-ins/src/measure/config/spreadTimes.ts
+++ b/packages/stand-ins/src/measure/config/propagationTimes.ts
@@ -17,19 +17,19 @@
 const BOOT_MS = 1_000
 
 /** Timeout of a patch, for an accepting VM that was terminated. */
-const GIVE_UP_MS = 20_000
+const PATCH_TIMEOUT_MS = 20_000
 
 /** A fault and when it is injected. */
-interface SpreadCase {
+interface PropagationCase {
   readonly name: string
-  begin? (fleet: ConfigFleet): void
+  setUp? (fleet: ConfigFleet): void
   /** Called before each patch. */
   beforePatch? (fleet: ConfigFleet, acceptor: FleetVm): void
   /** Called when the version is committed, before its acceptor continues. */
   onAccept? (fleet: ConfigFleet, acceptor: FleetVm): void
 }
 
-function restartLater (fleet: ConfigFleet, vm: FleetVm, delayMs: number): void {
+function scheduleRestart (fleet: ConfigFleet, vm: FleetVm, delayMs: number): void {
   fleet.time.after(delayMs, () => {
     vm.kill()
     fleet.time.after(BOOT_MS, () => { vm.start().catch(() => {}) })
@@ -41,23 +41,23 @@
 }
 const losePushes = (fleet: ConfigFleet): void => { fleet.isLost = (_from, _to, method) => method === PUSH_METHOD }
 
-const cases: readonly SpreadCase[] = [
+const cases: readonly PropagationCase[] = [
   { name: 'no fault' },
-  { name: 'half of the pushes lost', begin: fleet => { fleet.isLost = (_from, _to, method) => method === PUSH_METHOD && fleet.random() < 0.5 } },
-  { name: 'all pushes lost (polls alone)', begin: losePushes },
-  { name: 'all messages between VMs lost', begin: fleet => { fleet.isLost = () => true } },
-  { name: 'table slow, 0.5 s a call', begin: slowTable(250) },
-  { name: 'table slow, 4 s a call', begin: slowTable(2_000) },
-  { name: 'table slow, 0.5 s a call, all pushes lost', begin: fleet => { slowTable(250)(fleet); losePushes(fleet) } },
-  { name: 'one VM cut off from the table', begin: fleet => { fleet.vm(5).table.cut = true } },
+  { name: 'half of the pushes lost', setUp: fleet => { fleet.isLost = (_from, _to, method) => method === PUSH_METHOD && fleet.random() < 0.5 } },
+  { name: 'all pushes lost (polls alone)', setUp: losePushes },
+  { name: 'all messages between VMs lost', setUp: fleet => { fleet.isLost = () => true } },
+  { name: 'table slow, 0.5 s a call', setUp: slowTable(250) },
+  { name: 'table slow, 4 s a call', setUp: slowTable(2_000) },
+  { name: 'table slow, 0.5 s a call, all pushes lost', setUp: fleet => { slowTable(250)(fleet); losePushes(fleet) } },
+  { name: 'one VM cut off from the table', setUp: fleet => { fleet.vm(5).table.cut = true } },
   {
     name: 'one other VM restarts around each patch, 1 s to boot',
-    beforePatch: (fleet, acceptor) => restartLater(fleet, otherThan(fleet, acceptor), fleet.random() * 200)
+    beforePatch: (fleet, acceptor) => scheduleRestart(fleet, randomOtherVm(fleet, acceptor), fleet.random() * 200)
   },
-  { name: 'the accepting VM restarts as it accepts, 1 s to boot', onAccept: (fleet, acceptor) => restartLater(fleet, acceptor, 0) }
+  { name: 'the accepting VM restarts as it accepts, 1 s to boot', onAccept: (fleet, acceptor) => scheduleRestart(fleet, acceptor, 0) }
 ]
 
-function otherThan (fleet: ConfigFleet, acceptor: FleetVm): FleetVm {
+function randomOtherVm (fleet: ConfigFleet, acceptor: FleetVm): FleetVm {
   const index = Math.floor(fleet.random() * (VMS - 1))
   const vm = fleet.vm(index)
   return vm === acceptor ? fleet.vm(VMS - 1) : vm
@@ -74,54 +74,54 @@
 }
 
 /** Runs one case on a fresh fleet. */
-class SpreadRun {
+class PropagationRun {
   readonly #fleet: ConfigFleet
   readonly #acceptedAt = new Map<number, number>()
-  readonly #answerMs: number[] = []
+  readonly #answerTimesMs: number[] = []
   #acceptor: FleetVm | undefined
 
-  constructor (private readonly spreadCase: SpreadCase, seed: string) {
-    this.#fleet = new ConfigFleet({ vms: VMS, seed: `${seed}/${spreadCase.name}` })
+  constructor (private readonly propagationCase: PropagationCase, seed: string) {
+    this.#fleet = new ConfigFleet({ vms: VMS, seed: `${seed}/${propagationCase.name}` })
     this.#fleet.state.onCommit(rows => {
       if (!rows.some(row => row.table === VERSION_TABLE)) return
       this.#acceptedAt.set(this.#acceptedAt.size + 1, this.#fleet.time.now().mono)
-      if (this.#acceptor !== undefined) this.spreadCase.onAccept?.(this.#fleet, this.#acceptor)
+      if (this.#acceptor !== undefined) this.propagationCase.onAccept?.(this.#fleet, this.#acceptor)
     })
   }
 
   async run (): Promise<MeasureRow> {
     const fleet = this.#fleet
     await fleet.start()
-    this.spreadCase.begin?.(fleet)
+    this.propagationCase.setUp?.(fleet)
     await fleet.time.run(MAX_GAP_MS)
     for (let patch = 0; patch < PATCHES; patch++) {
-      await this.#patch(patch)
+      await this.#applyPatch(patch)
       await fleet.time.run(MIN_GAP_MS + fleet.random() * (MAX_GAP_MS - MIN_GAP_MS))
     }
     await fleet.time.run(2 * MAX_GAP_MS)
     fleet.stop()
-    return this.#row()
+    return this.#toRow()
   }
 
-  async #patch (patch: number): Promise<void> {
+  async #applyPatch (patch: number): Promise<void> {
     const fleet = this.#fleet
     const acceptor = fleet.vm(Math.floor(fleet.random() * (VMS - 1)))
     this.#acceptor = acceptor
-    this.spreadCase.beforePatch?.(fleet, acceptor)
+    this.propagationCase.beforePatch?.(fleet, acceptor)
     const from = fleet.time.now().mono
     const base = Math.max(0, ...fleet.vms.map(vm => vm.store.inForce?.version ?? 0))
     const answered = acceptor.store.patch(modelPatch(base, `m${patch}`)).then(result => {
-      if (result.isRight()) this.#answerMs.push(fleet.time.now().mono - from)
+      if (result.isRight()) this.#answerTimesMs.push(fleet.time.now().mono - from)
     })
-    await fleet.time.until(Promise.race([answered, fleet.time.sleep(GIVE_UP_MS)]))
+    await fleet.time.until(Promise.race([answered, fleet.time.sleep(PATCH_TIMEOUT_MS)]))
   }
 
-  #row (): MeasureRow {
+  #toRow (): MeasureRow {
     const versions = [...this.#acceptedAt.keys()]
-    const times = versions.map(version => this.#spreadMs(version)).sort((one, other) => one - other)
-    const answers = this.#answerMs.sort((one, other) => one - other)
+    const times = versions.map(version => this.#propagationMs(version)).sort((one, other) => one - other)
+    const answers = this.#answerTimesMs.sort((one, other) => one - other)
     return {
-      fault: this.spreadCase.name,
+      fault: this.propagationCase.name,
       accepted: versions.length,
       p50Ms: Math.round(quantile(times, 0.5)),
       p99Ms: Math.round(quantile(times, 0.99)),
@@ -132,7 +132,7 @@
   }
 
   /** Milliseconds until every VM had this version or a later one. */
-  #spreadMs (version: number): number {
+  #propagationMs (version: number): number {
     const from = this.#acceptedAt.get(version) ?? 0
     const arrivals = this.#fleet.vms.map(({ name }) => {
       const first = this.#fleet.inForce.find(record => record.vm === name && record.version >= version)
@@ -143,8 +143,8 @@
 }
 
 /** Runs all cases. */
-export async function measureSpreadTimes (seed: string): Promise<readonly MeasureRow[]> {
+export async function measurePropagationTimes (seed: string): Promise<readonly MeasureRow[]> {
   const rows: MeasureRow[] = []
-  for (const spreadCase of cases) rows.push(await new SpreadRun(spreadCase, seed).run())
+  for (const propagationCase of cases) rows.push(await new PropagationRun(propagationCase, seed).run())
   return rows
 }
--- a/packages/stand-ins/src/measure/config/trafficCounts.ts
+++ b/packages/stand-ins/src/measure/config/trafficCounts.ts
@@ -5,7 +5,7 @@
 import { ConfigFleet, type FleetVm } from '../../config/configFleet.js'
 import type { Traffic } from '../../config/fleetTable.js'
 import type { MeasureRow } from '../measureTypes.js'
-import { quantile } from './spreadTimes.js'
+import { quantile } from './propagationTimes.js'
 
 const SIZES = [6, 60, 360]
 const IDLE_MS = 60_000
@@ -18,23 +18,23 @@
   readonly peers: Traffic
 }
 
-function total (vms: readonly FleetVm[], of: (vm: FleetVm) => Traffic): Traffic {
+function sumTraffic (vms: readonly FleetVm[], trafficOf: (vm: FleetVm) => Traffic): Traffic {
   const sum = { messages: 0, bytes: 0 }
   for (const vm of vms) {
-    sum.messages += of(vm).messages
-    sum.bytes += of(vm).bytes
+    sum.messages += trafficOf(vm).messages
+    sum.bytes += trafficOf(vm).bytes
   }
   return sum
 }
 
-function countsOf (fleet: ConfigFleet): Counts {
-  return { table: total(fleet.vms, vm => vm.table.traffic), peers: total(fleet.vms, vm => vm.peerTraffic) }
+function countTraffic (fleet: ConfigFleet): Counts {
+  return { table: sumTraffic(fleet.vms, vm => vm.table.traffic), peers: sumTraffic(fleet.vms, vm => vm.peerTraffic) }
 }
 
 /** Messages or bytes of one VM per change, without the idle traffic. */
-function perChange (before: Counts, after: Counts, idle: Counts, name: keyof Counts, what: keyof Traffic, vms: number): number {
-  const idlePart = idle[name][what] * (CHANGES * CHANGE_MS) / IDLE_MS
-  return (after[name][what] - before[name][what] - idlePart) / vms / CHANGES
+function perChange (before: Counts, after: Counts, idle: Counts, link: keyof Counts, field: keyof Traffic, vms: number): number {
+  const idleShare = idle[link][field] * (CHANGES * CHANGE_MS) / IDLE_MS
+  return (after[link][field] - before[link][field] - idleShare) / vms / CHANGES
 }
 
 async function measureSize (vms: number, seed: string): Promise<MeasureRow> {
@@ -42,36 +42,36 @@
   await fleet.start()
   await fleet.addModel(fleet.vm(0), 0, 'first')
   await fleet.time.run(IDLE_MS)
-  const start = countsOf(fleet)
+  const start = countTraffic(fleet)
   await fleet.time.run(IDLE_MS)
-  const quiet = countsOf(fleet)
+  const afterIdle = countTraffic(fleet)
   const idle: Counts = {
-    table: { messages: quiet.table.messages - start.table.messages, bytes: quiet.table.bytes - start.table.bytes },
-    peers: { messages: quiet.peers.messages - start.peers.messages, bytes: quiet.peers.bytes - start.peers.bytes }
+    table: { messages: afterIdle.table.messages - start.table.messages, bytes: afterIdle.table.bytes - start.table.bytes },
+    peers: { messages: afterIdle.peers.messages - start.peers.messages, bytes: afterIdle.peers.bytes - start.peers.bytes }
   }
   const times: number[] = []
-  for (let change = 1; change <= CHANGES; change++) times.push(await changeOnce(fleet, change))
-  const after = countsOf(fleet)
+  for (let change = 1; change <= CHANGES; change++) times.push(await applyChange(fleet, change))
+  const after = countTraffic(fleet)
   fleet.stop()
   times.sort((one, other) => one - other)
   const seconds = IDLE_MS / SECOND_MS
-  const each = (name: keyof Counts, what: keyof Traffic): number => Number(perChange(quiet, after, idle, name, what, vms).toFixed(1))
+  const perVmChange = (link: keyof Counts, field: keyof Traffic): number => Number(perChange(afterIdle, after, idle, link, field, vms).toFixed(1))
   return {
     vms,
     idleTableCallsPerVmS: Number((idle.table.messages / vms / seconds).toFixed(2)),
     idleTableBytesPerVmS: Math.round(idle.table.bytes / vms / seconds),
     idlePeerMessagesPerVmS: Number((idle.peers.messages / vms / seconds).toFixed(2)),
-    changeTableCallsPerVm: each('table', 'messages'),
-    changeTableBytesPerVm: each('table', 'bytes'),
-    changePeerMessagesPerVm: each('peers', 'messages'),
-    changePeerBytesPerVm: each('peers', 'bytes'),
+    changeTableCallsPerVm: perVmChange('table', 'messages'),
+    changeTableBytesPerVm: perVmChange('table', 'bytes'),
+    changePeerMessagesPerVm: perVmChange('peers', 'messages'),
+    changePeerBytesPerVm: perVmChange('peers', 'bytes'),
     inForceP50Ms: Math.round(quantile(times, 0.5)),
     inForceMaxMs: Math.round(quantile(times, 1))
   }
 }
 
 /** Applies a change; returns the milliseconds from the answer to the operator until all VMs have the version. */
-async function changeOnce (fleet: ConfigFleet, change: number): Promise<number> {
+async function applyChange (fleet: ConfigFleet, change: number): Promise<number> {
   const acceptor = fleet.vm(Math.floor(fleet.random() * fleet.vms.length))
   const from = fleet.time.now().mono
   await fleet.addModel(acceptor, change, `m${change}`)
--- a/packages/stand-ins/src/measure/config/wireCost.ts
+++ b/packages/stand-ins/src/measure/config/wireCost.ts
@@ -14,8 +14,8 @@
 import type { MeasureRow } from '../measureTypes.js'
 
 const LOOPBACK = '127.0.0.1'
-const CALLS = 2_000
-const WARM_UP = 500
+const MEASURED_CALLS = 2_000
+const WARM_UP_CALLS = 500
 const TIMEOUT_MS = 5_000
 const MICROS_PER_MS = 1_000
 const DIGEST = 'a'.repeat(64)
@@ -23,23 +23,23 @@
 interface Counter { bytes: number }
 
 /** Processor milliseconds of one call, averaged over sequential calls. */
-async function processorMs (call: () => Promise<unknown>): Promise<number> {
-  for (let index = 0; index < WARM_UP; index++) await call()
+async function cpuMsPerCall (call: () => Promise<unknown>): Promise<number> {
+  for (let index = 0; index < WARM_UP_CALLS; index++) await call()
   const before = process.cpuUsage()
-  for (let index = 0; index < CALLS; index++) await call()
+  for (let index = 0; index < MEASURED_CALLS; index++) await call()
   const { user, system } = process.cpuUsage(before)
-  return (user + system) / MICROS_PER_MS / CALLS
+  return (user + system) / MICROS_PER_MS / MEASURED_CALLS
 }
 
-async function bytesOf (counter: Counter, call: () => Promise<unknown>): Promise<number> {
+async function bytesPerCall (counter: Counter, call: () => Promise<unknown>): Promise<number> {
   await call()
   const before = counter.bytes
-  for (let index = 0; index < WARM_UP; index++) await call()
-  return (counter.bytes - before) / WARM_UP
+  for (let index = 0; index < WARM_UP_CALLS; index++) await call()
+  return (counter.bytes - before) / WARM_UP_CALLS
 }
 
 /** TCP relay to a port that counts the bytes in both directions. */
-async function relay (port: number, counter: Counter): Promise<Server> {
+async function startCountingRelay (port: number, counter: Counter): Promise<Server> {
   const server = createServer(inner => {
     const outer = connect(port, LOOPBACK)
     for (const [from, to] of [[inner, outer], [outer, inner]] as const) {
@@ -57,17 +57,17 @@
   const standIn = new StandIn({ listen: address, control: address }, tableDefinition())
   const { listen } = await standIn.start()
   const counter = { bytes: 0 }
-  const counted = await relay(listen.port, counter)
-  const storeAt = (port: number): HttpTableStore => new HttpTableStore(`http://${LOOPBACK}:${port}`, 'vm1', TIMEOUT_MS)
-  const direct = storeAt(listen.port)
-  const viaRelay = storeAt((counted.address() as AddressInfo).port)
+  const relay = await startCountingRelay(listen.port, counter)
+  const createStore = (port: number): HttpTableStore => new HttpTableStore(`http://${LOOPBACK}:${port}`, 'vm1', TIMEOUT_MS)
+  const direct = createStore(listen.port)
+  const viaRelay = createStore((relay.address() as AddressInfo).port)
   await direct.transact({ checks: [], writes: [{ ...currentKey, value: { version: 1, digest: DIGEST, patchId: 'p1' } }] })
   const origin = initialConfig()
-  const bytes = await bytesOf(counter, async () => await new ConfigReader(viaRelay, origin).poll(1))
-  const cpuMs = await processorMs(async () => await new ConfigReader(direct, origin).poll(1))
-  counted.close()
+  const bytes = await bytesPerCall(counter, async () => await new ConfigReader(viaRelay, origin).poll(1))
+  const cpuMs = await cpuMsPerCall(async () => await new ConfigReader(direct, origin).poll(1))
+  relay.close()
   await standIn.stop()
-  return { call: 'poll of config/current over HTTP', calls: CALLS, bytesBothWays: Math.round(bytes), processorMsBothEnds: Number(cpuMs.toFixed(3)) }
+  return { call: 'poll of config/current over HTTP', calls: MEASURED_CALLS, bytesBothWays: Math.round(bytes), processorMsBothEnds: Number(cpuMs.toFixed(3)) }
 }
 
 async function measurePush (): Promise<MeasureRow> {
@@ -81,19 +81,19 @@
     identity: { holder: 'a~1', keys },
     clock: { now: () => ({ mono: performance.now(), wall: Date.now() }) },
     random: () => 0.5,
-    dial: target => {
-      const socket = dialTcp(target)
+    dial: peerAddress => {
+      const socket = dialTcp(peerAddress)
       sockets.push(socket)
       return socket
     }
   })
   const counter = { get bytes () { return sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0) } }
   const push = async (): Promise<unknown> => await client.call(address, PUSH_METHOD, { version: 1, digest: DIGEST, from: '10.0.0.1:7000' }, TIMEOUT_MS)
-  const bytes = await bytesOf(counter, push)
-  const cpuMs = await processorMs(push)
+  const bytes = await bytesPerCall(counter, push)
+  const cpuMs = await cpuMsPerCall(push)
   client.close()
   await server.close()
-  return { call: 'push between VMs', calls: CALLS, bytesBothWays: Math.round(bytes), processorMsBothEnds: Number(cpuMs.toFixed(3)) }
+  return { call: 'push between VMs', calls: MEASURED_CALLS, bytesBothWays: Math.round(bytes), processorMsBothEnds: Number(cpuMs.toFixed(3)) }
 }
 
 /** Measures polls and pushes. */
--- a/packages/stand-ins/src/measure/configMeasure.ts
+++ b/packages/stand-ins/src/measure/configMeasure.ts
@@ -2,7 +2,7 @@
  * Measurements of the configuration: how soon a version is in force, and what it costs.
  */
 import { measureSizes } from './config/sizeCost.js'
-import { measureSpreadTimes } from './config/spreadTimes.js'
+import { measurePropagationTimes } from './config/propagationTimes.js'
 import { measureTraffic } from './config/trafficCounts.js'
 import { measureWire } from './config/wireCost.js'
 import type { Measurement } from './measureTypes.js'
@@ -12,7 +12,7 @@
   group: 'measure',
   name: 'config',
   title: 'time until a version is in force on all six VMs, by fault (virtual time)',
-  run: async ({ seed }) => await measureSpreadTimes(seed)
+  run: async ({ seed }) => await measurePropagationTimes(seed)
 }
 
 /** Messages and bytes by the number of VMs. */
--- a/packages/stand-ins/src/measure/placement/naivePlanner.ts
+++ b/packages/stand-ins/src/measure/placement/naivePlanner.ts
@@ -28,16 +28,16 @@
     if (this.config === undefined || this.fencing === undefined) return []
     this.round += 1
     return Object.entries(this.config.models).flatMap(([model, { version, copies }]) => {
-      const places = this.placesOf(model, now)
-      const chosen = places.slice(0, copies ?? places.length)
+      const eligible = this.eligibleRunners(model, now)
+      const chosen = eligible.slice(0, copies ?? eligible.length)
       return [
-        ...places.filter(runner => !chosen.includes(runner)).flatMap(runner => this.unload(runner, model)),
+        ...eligible.filter(runner => !chosen.includes(runner)).flatMap(runner => this.unload(runner, model)),
         ...chosen.flatMap(runner => this.load(runner, model, version))
       ]
     })
   }
 
-  private placesOf (model: string, now: Instant): readonly string[] {
+  private eligibleRunners (model: string, now: Instant): readonly string[] {
     return Object.entries(this.config?.runners ?? {})
       .filter(([runner, { models, state }]) => state === 'active' && models.includes(model) && this.isUp(runner, now))
       .map(([runner]) => runner)
@@ -48,16 +48,16 @@
     return report !== undefined && elapsedMs(report.at, now) < DOWN_MS
   }
 
-  private loaded (runner: string, model: string): LoadedModel | undefined {
+  private findLoaded (runner: string, model: string): LoadedModel | undefined {
     return this.reports.get(runner)?.models.find(item => item.model === model)
   }
 
   private load (runner: string, model: string, version: string): readonly PlacementAction[] {
-    return this.loaded(runner, model)?.version === version ? [] : [this.order(runner, 'load', model, version)]
+    return this.findLoaded(runner, model)?.version === version ? [] : [this.order(runner, 'load', model, version)]
   }
 
   private unload (runner: string, model: string): readonly PlacementAction[] {
-    const loaded = this.loaded(runner, model)
+    const loaded = this.findLoaded(runner, model)
     return loaded === undefined ? [] : [this.order(runner, 'unload', model, loaded.version)]
   }
 
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -10,22 +10,22 @@
 import { AnsweredRequests } from 'rosemaryspread/quarantine/answeredRequests.js'
 import { VirtualTime } from '../../time/virtualTime.js'
 
-const SERVICE = 's'
-const DOMAINS = 3
+const SERVICE_NAME = 's'
+const DOMAIN_COUNT = 3
 /** Delay until a VM detects a broken connection. */
-const BREAK_MS = 1
+const BREAK_DETECTION_MS = 1
 /** Time for which the register still lists a target that ended. */
 const LISTED_MS = 3_000
 /** Bounds of one call: attempts, and unreachable targets skipped. */
-const MOST_ATTEMPTS = 2
-const MOST_ABSENT = 3
+const MAX_ATTEMPTS = 2
+const MAX_UNREACHABLE = 3
 /** Retries by the caller of a harmless request that failed. */
-const MOST_RETURNS = 6
-const RETURN_MS = 200
+const MAX_RETRIES = 6
+const MAX_RETRY_DELAY_MS = 200
 const MS_PER_SECOND = 1_000
 
 /** Size and traffic of a fleet. */
-export interface QuarantineShape {
+export interface QuarantineFleetShape {
   readonly seed: string
   readonly vms: number
   readonly targets: number
@@ -33,11 +33,11 @@
   /** Mean milliseconds of a run; a run is between a tenth and twice as long. */
   readonly runMs: number
   /** Time from the end of a target until a new process has its id. */
-  readonly backMs: number
+  readonly restartMs: number
   /** Longest delay of an update to another VM. */
-  readonly newsMs: number
+  readonly maxUpdateDelayMs: number
   /** Share of the harmless requests that are identical. */
-  readonly samePart: number
+  readonly identicalShare: number
 }
 
 /** Counts of a run. */
@@ -67,15 +67,15 @@
   readonly open: Map<string, Set<() => void>>
 }
 
-interface Ask {
+interface Call {
   readonly vm: Vm
   readonly digest: string
   readonly isHarmful: boolean
   readonly exclude: Set<string>
   attempts: number
-  absent: number
+  unreachableCount: number
   /** Retries after the call failed. */
-  readonly again: () => void
+  readonly retry: () => void
 }
 
 /** Simulated fleet. */
@@ -89,11 +89,11 @@
   private readonly refusedDigests = new Set<string>()
   private asked = 0
 
-  constructor (private readonly shape: QuarantineShape) {
+  constructor (private readonly shape: QuarantineFleetShape) {
     this.random = seedrandom(shape.seed)
     this.vms = Array.from({ length: shape.vms }, () => ({ quarantine: new RequestQuarantine(), answers: new AnsweredRequests(), balancer: new TargetBalancer(), open: new Map<string, Set<() => void>>() }))
     this.targets = Array.from({ length: shape.targets }, (_, index) => ({
-      view: { id: `t${index}`, service: SERVICE, address: `t${index}`, domain: `d${index % DOMAINS}`, slots: 64, isLeaving: false, startedAt: 0 },
+      view: { id: `t${index}`, service: SERVICE_NAME, address: `t${index}`, domain: `d${index % DOMAIN_COUNT}`, slots: 64, isLeaving: false, startedAt: 0 },
       isUp: true,
       listedUntil: Infinity,
       runs: new Set<() => void>()
@@ -106,13 +106,13 @@
   }
 
   /** Schedules harmless requests for this many milliseconds. */
-  traffic (ms: number): void {
-    const { requestsPerS, samePart } = this.shape
+  sendHarmless (ms: number): void {
+    const { requestsPerS, identicalShare } = this.shape
     for (let at = 0; at < ms; at += MS_PER_SECOND / requestsPerS) {
-      const digest = this.random() < samePart ? 'the same' : `harmless ${this.time.mono + at}`
+      const digest = this.random() < identicalShare ? 'the same' : `harmless ${this.time.mono + at}`
       this.time.after(at, () => {
         this.asked += 1
-        this.come(digest, false, MOST_RETURNS)
+        this.submit(digest, false, MAX_RETRIES)
       })
     }
   }
@@ -121,8 +121,8 @@
    * Sends a request that ends the targets that run it.
    * @param copies - how many VMs receive it at once
    */
-  harmful (copies: number): void {
-    for (let copy = 0; copy < copies; copy += 1) this.come('harmful', true, 1)
+  sendHarmful (copies: number): void {
+    for (let copy = 0; copy < copies; copy += 1) this.submit('harmful', true, 1)
   }
 
   /** Ends the process of a target; a new process replaces it after `restartMs`. */
@@ -130,9 +130,9 @@
     if (!target.isUp) return
     target.isUp = false
     target.listedUntil = this.time.mono + LISTED_MS
-    for (const broke of target.runs) this.time.after(BREAK_MS, broke)
+    for (const onBreak of target.runs) this.time.after(BREAK_DETECTION_MS, onBreak)
     target.runs.clear()
-    this.time.after(this.shape.backMs, () => {
+    this.time.after(this.shape.restartMs, () => {
       target.isUp = true
       target.listedUntil = Infinity
       target.view = { ...target.view, startedAt: this.time.mono }
@@ -140,14 +140,14 @@
     })
   }
 
-  private come (digest: string, isHarmful: boolean, returns: number): void {
+  private submit (digest: string, isHarmful: boolean, retries: number): void {
     const vm = this.vms[Math.floor(this.random() * this.vms.length)] as Vm
-    const again = (): void => { if (returns > 0) this.time.after(RETURN_MS * this.random(), () => { this.come(digest, isHarmful, returns - 1) }) }
-    this.send({ vm, digest, isHarmful, exclude: new Set(), attempts: 0, absent: 0, again })
+    const retry = (): void => { if (retries > 0) this.time.after(MAX_RETRY_DELAY_MS * this.random(), () => { this.submit(digest, isHarmful, retries - 1) }) }
+    this.send({ vm, digest, isHarmful, exclude: new Set(), attempts: 0, unreachableCount: 0, retry })
   }
 
-  private send (ask: Ask): void {
-    const { vm, digest, isHarmful, exclude } = ask
+  private send (call: Call): void {
+    const { vm, digest, isHarmful, exclude } = call
     const { mono } = this.time
     const standing = vm.quarantine.standing(digest, mono)
     if (standing === 'quarantined') {
@@ -157,53 +157,53 @@
     const listed = this.targets.filter(({ listedUntil }) => listedUntil > mono).map(({ view }) => view)
     const suspicion = standing === 'suspected' ? { suspicion: { digest, domains: vm.quarantine.domainsOf(digest) } } : {}
     const chosen = vm.balancer.choose(listed, { sharedParts: [], sharedTokens: 0, unsharedTokens: 100, exclude, ...suspicion }, mono, this.random())
-    chosen.ifLeft(() => { ask.again() }).ifRight(choice => {
+    chosen.ifLeft(() => { call.retry() }).ifRight(choice => {
       const target = this.targets.find(({ view }) => view.id === choice.target.id) as Target
       const ticket = vm.balancer.sent(choice, [], mono).ticket
-      const ended = (verdict: 'good' | 'unreachable'): void => {
+      const recordVerdict = (verdict: 'good' | 'unreachable'): void => {
         vm.balancer.endPrefill(choice.target.id, ticket, verdict === 'good', this.time.mono)
         vm.balancer.ended(choice.target.id, verdict, this.time.mono)
       }
-      if (target.isUp) this.run(ask, target, ended)
-      else this.passOver(ask, target, ended)
+      if (target.isUp) this.run(call, target, recordVerdict)
+      else this.skipUnreachable(call, target, recordVerdict)
     })
   }
 
-  private passOver (ask: Ask, target: Target, ended: (verdict: 'unreachable') => void): void {
-    ended('unreachable')
-    ask.exclude.add(target.view.id)
-    ask.absent += 1
-    if (ask.absent <= MOST_ABSENT) this.send(ask)
-    else ask.again()
+  private skipUnreachable (call: Call, target: Target, recordVerdict: (verdict: 'unreachable') => void): void {
+    recordVerdict('unreachable')
+    call.exclude.add(target.view.id)
+    call.unreachableCount += 1
+    if (call.unreachableCount <= MAX_UNREACHABLE) this.send(call)
+    else call.retry()
   }
 
-  private run (ask: Ask, target: Target, ended: (verdict: 'good' | 'unreachable') => void): void {
-    const { vm, digest, isHarmful, exclude } = ask
+  private run (call: Call, target: Target, recordVerdict: (verdict: 'good' | 'unreachable') => void): void {
+    const { vm, digest, isHarmful, exclude } = call
     const process = target.view
     if (isHarmful) this.harmfulSends.push(this.time.mono)
-    const broke = (): void => {
-      ended('unreachable')
+    const onBreak = (): void => {
+      recordVerdict('unreachable')
       exclude.add(process.id)
-      ask.attempts += 1
-      this.told(vm, digest, { target: process.id, domain: process.domain, at: this.time.mono, startedAt: process.startedAt ?? 0 })
-      if (ask.attempts < MOST_ATTEMPTS) this.send(ask)
-      else ask.again()
+      call.attempts += 1
+      this.reportEnd(vm, digest, { target: process.id, domain: process.domain, at: this.time.mono, startedAt: process.startedAt ?? 0 })
+      if (call.attempts < MAX_ATTEMPTS) this.send(call)
+      else call.retry()
     }
-    target.runs.add(broke)
-    const breakOff = (): void => { if (target.runs.delete(broke)) ended('unreachable') }
+    target.runs.add(onBreak)
+    const abort = (): void => { if (target.runs.delete(onBreak)) recordVerdict('unreachable') }
     const open = vm.open.get(digest) ?? new Set()
-    vm.open.set(digest, open.add(breakOff))
+    vm.open.set(digest, open.add(abort))
     this.time.after(this.shape.runMs * (0.1 + 1.9 * this.random()), () => {
-      open.delete(breakOff)
+      open.delete(abort)
       if (open.size === 0) vm.open.delete(digest)
-      if (!target.runs.has(broke)) return
+      if (!target.runs.has(onBreak)) return
       if (isHarmful) {
         this.harmfulEnds.push(this.time.mono)
         this.end(target)
         return
       }
-      target.runs.delete(broke)
-      ended('good')
+      target.runs.delete(onBreak)
+      recordVerdict('good')
       this.answered(vm, digest)
     })
   }
@@ -211,23 +211,23 @@
   private answered (vm: Vm, digest: string): void {
     vm.answers.add(digest, this.time.mono)
     const clearance = vm.quarantine.answered(digest, this.time.mono)
-    if (clearance !== undefined) this.spread(vm, clearance)
+    if (clearance !== undefined) this.broadcast(vm, clearance)
   }
 
-  private told (vm: Vm, digest: string, end: TargetEnd): void {
+  private reportEnd (vm: Vm, digest: string, end: TargetEnd): void {
     if (vm.answers.has(digest, this.time.mono)) return
-    const news: QuarantineUpdate = { kind: 'ended', ends: [end], digests: [digest] }
-    this.take(vm, news)
-    this.spread(vm, news)
+    const update: QuarantineUpdate = { kind: 'ended', ends: [end], digests: [digest] }
+    this.applyUpdate(vm, update)
+    this.broadcast(vm, update)
   }
 
-  private take (vm: Vm, news: QuarantineUpdate): void {
-    for (const { digest } of vm.quarantine.apply(news, this.time.mono)) for (const breakOff of vm.open.get(digest) ?? []) breakOff()
+  private applyUpdate (vm: Vm, update: QuarantineUpdate): void {
+    for (const { digest } of vm.quarantine.apply(update, this.time.mono)) for (const abort of vm.open.get(digest) ?? []) abort()
   }
 
-  private spread (from: Vm, news: QuarantineUpdate): void {
+  private broadcast (from: Vm, update: QuarantineUpdate): void {
     for (const vm of this.vms) {
-      if (vm !== from) this.time.after(this.shape.newsMs * this.random(), () => { this.take(vm, news) })
+      if (vm !== from) this.time.after(this.shape.maxUpdateDelayMs * this.random(), () => { this.applyUpdate(vm, update) })
     }
   }
 }
