--- a/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { fitLine, fitRows, roundSignificant } from './capacityFit.js'
-import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { plannedVmLoad, plannedScale } from './plannedScale.js'
 
 const points = (...pairs: ReadonlyArray<readonly [size: number, value: number]>): ReadonlyArray<{ size: number, value: number }> =>
   pairs.map(([size, value]) => ({ size, value }))
--- a/packages/stand-ins/src/measure/capacity/configProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/configProbe.ts
@@ -12,7 +12,7 @@
 import { measureTraffic } from '../config/trafficCounts.js'
 import { measureWire } from '../config/wireCost.js'
 import { CountingTable } from './countingTable.js'
-import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { plannedVmLoad, plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { measureHeap, median, processorUs } from './processMeter.js'
 
--- a/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/hotBudgetProbe.ts
@@ -5,7 +5,7 @@
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
 import { BudgetDriver } from 'rosemaryspread/budget/budgetDriver.js'
 import { BudgetHarness } from '../budget/budgetHarness.js'
-import { plannedScale } from './capacityTarget.js'
+import { plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 
 const DOMAINS = ['quito-centro', 'cumbaya', 'tababela', 'thu-duc', 'tan-binh', 'binh-thanh']
--- a/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/ledgerProbe.ts
@@ -12,7 +12,7 @@
 import { TableState } from '../../table/tableState.js'
 import { MemoryTableStore } from '../../table/memoryTableStore.js'
 import { CountingTable } from './countingTable.js'
-import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { plannedVmLoad, plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { measureHeap, usPerCall } from './processMeter.js'
 
--- a/packages/stand-ins/src/measure/capacity/memberProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/memberProbe.ts
@@ -6,7 +6,7 @@
 import { MemberTable } from '@rosemaryspread/decisions/membership/memberTable.js'
 import { defaultMemberLimits, type MemberRow } from '@rosemaryspread/decisions/membership/memberTypes.js'
 import { membershipBench } from '../membershipBench.js'
-import { plannedScale } from './capacityTarget.js'
+import { plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { measureHeap } from './processMeter.js'
 
--- a/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/recoveryProbe.ts
@@ -10,7 +10,7 @@
 import type { RecoveryRunners } from 'rosemaryspread/budget/budgetRecoveryRuns.js'
 import { MemoryTableStore } from '../../table/memoryTableStore.js'
 import { TableState } from '../../table/tableState.js'
-import { plannedScale } from './capacityTarget.js'
+import { plannedScale } from './plannedScale.js'
 import { CountingTable } from './countingTable.js'
 import { createPoint, type CapacityProbe, type ProbePoint } from './probeTypes.js'
 
--- a/packages/stand-ins/src/measure/capacity/routerProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/routerProbe.ts
@@ -7,7 +7,7 @@
 import type { RouteRequest, RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { PlacementPlanner } from '@rosemaryspread/decisions/placement/placementPlanner.js'
 import { fleetConfigSchema } from '@rosemaryspread/decisions/config/configSchema.js'
-import { plannedScale } from './capacityTarget.js'
+import { plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { measureHeap, usPerCall } from './processMeter.js'
 
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -15,7 +15,7 @@
 import { Fleet } from '../../scenario/fleet/fleet.js'
 import { teamKey } from '../../scenario/fleet/fleetConfig.js'
 import { fleetSchema, type FleetHead } from '../../scenario/language/scenarioSchema.js'
-import { plannedVmLoad, plannedScale } from './capacityTarget.js'
+import { plannedVmLoad, plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { findChildProcess, delay, type ProcessMeter } from './processMeter.js'
 
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -15,7 +15,7 @@
 import { takePort } from '../../scenario/fleet/freePorts.js'
 import { StandInProcess } from '../../scenario/fleet/standInProcess.js'
 import { CountingTable } from './countingTable.js'
-import { plannedVmLoad } from './capacityTarget.js'
+import { plannedVmLoad } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { median, delay, processorUs } from './processMeter.js'
 
