--- a/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineBench.ts
@@ -30,12 +30,12 @@
 function memoryRows (suspects: number): readonly MeasureRow[] {
   const requests = new RequestQuarantine()
   const before = heapBytes()
-  const take = usPerCall(Math.max(1, suspects), index => { requests.apply(createEndReport([createDigest(index)], `t${index % TARGETS}`), 0) })
+  const updateUs = usPerCall(Math.max(1, suspects), index => { requests.apply(createEndReport([createDigest(index)], `t${index % TARGETS}`), 0) })
   const heapGrowth = heapBytes() - before
   const lookupUs = usPerCall(CALLS, index => { requests.standing(createDigest(index), 1) })
   return [
     { what: 'heap for each of so many suspects', size: suspects, value: Math.round(heapGrowth / Math.max(1, suspects)), unit: 'bytes' },
-    { what: 'news of one, with so many suspects', size: suspects, value: take, unit: 'us' },
+    { what: 'news of one, with so many suspects', size: suspects, value: updateUs, unit: 'us' },
     { what: 'standing of a request, with so many suspects', size: suspects, value: lookupUs, unit: 'us' }
   ]
 }
