--- a/packages/stand-ins/src/cli/standInMain.ts
+++ b/packages/stand-ins/src/cli/standInMain.ts
@@ -57,59 +57,59 @@
 }
 
 /** Rejects NaN and negative values; the error names every such option. */
-function checkNumbers (args: Readonly<Record<string, unknown>>): true {
-  const wrong = Object.entries(args).filter(([name, value]) => !/[A-Z]/.test(name) && typeof value === 'number' && !(value >= 0))
-  if (wrong.length > 0) throw new Error(`not a number of 0 or more: ${wrong.map(([name]) => `--${name}`).join(', ')}`)
+function requireNonNegative (args: Readonly<Record<string, unknown>>): true {
+  const invalid = Object.entries(args).filter(([name, value]) => !/[A-Z]/.test(name) && typeof value === 'number' && !(value >= 0))
+  if (invalid.length > 0) throw new Error(`not a number of 0 or more: ${invalid.map(([name]) => `--${name}`).join(', ')}`)
   return true
 }
 
-function listOf (text: string): readonly string[] {
+function splitList (text: string): readonly string[] {
   return text.split(',').map(item => item.trim()).filter(item => item !== '')
 }
 
-async function run (kind: string, addresses: StandInAddresses, parts: StandInDefinition, labels: Readonly<Record<string, string>> = {}): Promise<void> {
-  const standIn = new StandIn(addresses, parts)
+async function startStandIn (kind: string, addresses: StandInAddresses, definition: StandInDefinition, labels: Readonly<Record<string, string>> = {}): Promise<void> {
+  const standIn = new StandIn(addresses, definition)
   const { listen, control } = await standIn.start()
-  const show = ({ host, port }: PortAddress): string => `${host}:${port}`
-  for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => stop(standIn))
-  console.log(JSON.stringify({ ready: true, kind, ...labels, listen: show(listen), control: show(control) }))
+  const formatAddress = ({ host, port }: PortAddress): string => `${host}:${port}`
+  for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => stopAndExit(standIn))
+  console.log(JSON.stringify({ ready: true, kind, ...labels, listen: formatAddress(listen), control: formatAddress(control) }))
 }
 
-function stop (standIn: StandIn): void {
+function stopAndExit (standIn: StandIn): void {
   standIn.stop().then(() => process.exit(0), () => process.exit(1))
 }
 
-function weightSourceOf (args: { weights?: string, name: string, perMinute: number, burst: number }): HttpWeightSource | LocalWeightSource {
+function createWeightSource (args: { weights?: string, name: string, perMinute: number, burst: number }): HttpWeightSource | LocalWeightSource {
   if (args.weights !== undefined) return new HttpWeightSource(args.weights, args.name)
   return new LocalWeightSource(args.perMinute, args.burst)
 }
 
-function withStores (argv: Argv): Argv {
+function addStoreCommands (argv: Argv): Argv {
   return argv
-    .command('table', 'the transactional table service', builder => builder.options(addressOptions), async args => await run('table', args, tableDefinition()))
-    .command('objects', 'the object store', builder => builder.options(addressOptions), async args => await run('objects', args, objectStoreDefinition()))
+    .command('table', 'the transactional table service', builder => builder.options(addressOptions), async args => await startStandIn('table', args, tableDefinition()))
+    .command('objects', 'the object store', builder => builder.options(addressOptions), async args => await startStandIn('objects', args, objectStoreDefinition()))
     .command('weights', 'the weight store', builder => builder.options(addressOptions).options(rateOptions)
       .option('sets', { type: 'string', default: '', describe: 'existing weight sets as model@version, comma-separated; all when empty' }),
-    async args => await run('weights', args, weightStoreDefinition({ ...args, sets: listOf(args.sets) })))
+    async args => await startStandIn('weights', args, weightStoreDefinition({ ...args, sets: splitList(args.sets) })))
     .command('vm-list', 'the list of VMs', builder => builder.options(addressOptions)
       .option('lag-ms', { type: 'number', default: 2000, describe: 'delay in milliseconds before a change becomes visible' }),
-    async args => await run('vm-list', args, vmListDefinition(args.lagMs)))
+    async args => await startStandIn('vm-list', args, vmListDefinition(args.lagMs)))
 }
 
-function withRunners (argv: Argv): Argv {
+function addRunnerCommands (argv: Argv): Argv {
   return argv
     .command('engine', 'a model engine', builder => builder.options(addressOptions).options(engineOptions), async args => {
       const cache = { capacity: args.cacheTokens, eventLagMs: args.cacheEventLagMs, eventLoss: args.cacheEventLoss }
-      const parts = engineDefinition({ ...args, models: listOf(args.models), cache }, args.seed, weightSourceOf(args))
-      await run('engine', args, parts, { name: args.name, domain: args.domain })
+      const definition = engineDefinition({ ...args, models: splitList(args.models), cache }, args.seed, createWeightSource(args))
+      await startStandIn('engine', args, definition, { name: args.name, domain: args.domain })
     })
     .command('application', 'an application runner', builder => builder.options(addressOptions).options(applicationOptions), async args => {
-      await run('application', args, applicationDefinition({ name: args.name, service: args.service, delayMs: args.delayMs }), { name: args.name, service: args.service })
+      await startStandIn('application', args, applicationDefinition({ name: args.name, service: args.service, delayMs: args.delayMs }), { name: args.name, service: args.service })
     })
 }
 
-await withRunners(withStores(yargs(hideBin(process.argv)).scriptName('standIn')))
+await addRunnerCommands(addStoreCommands(yargs(hideBin(process.argv)).scriptName('standIn')))
   .demandCommand(1, 'name a stand-in')
-  .check(checkNumbers)
+  .check(requireNonNegative)
   .strict()
   .parseAsync()
--- a/packages/stand-ins/src/demo/demoMain.ts
+++ b/packages/stand-ins/src/demo/demoMain.ts
@@ -29,8 +29,8 @@
   return true
 }
 
-function printInvitation (ctx: DemoContext): void {
-  const { team, model } = ctx.shape.asks[0] as DemoShape['asks'][number]
+function printUsageHints (ctx: DemoContext): void {
+  const { team, model } = ctx.shape.prompts[0] as DemoShape['prompts'][number]
   const { operatorsUrl } = ctx.fleet.vm(ctx.vmName(0))
   console.log(`
 Send your own requests:
@@ -51,19 +51,19 @@
     .parse()
   const shape = demoShapes[args.shape] as DemoShape
   const folder = await mkdtemp(join(tmpdir(), 'rosemaryspread-demo-'))
-  console.log(`${shape.name}: ${Object.keys(shape.head.vms).length} VMs; settings and logs in ${folder}`)
-  const fleet = await Fleet.start({ head: shape.head, folder, links: false, weakness: undefined })
+  console.log(`${shape.name}: ${Object.keys(shape.definition.vms).length} VMs; settings and logs in ${folder}`)
+  const fleet = await Fleet.start({ definition: shape.definition, folder, links: false, faultyPart: undefined })
   const ctx = new DemoContext(shape, fleet, new TestCaller())
-  const stop = (): void => { fleet.end().finally(() => process.exit(0)) }
+  const stop = (): void => { fleet.killAll().finally(() => process.exit(0)) }
   process.once('SIGINT', stop)
   process.once('SIGTERM', stop)
-  const held = await runSteps(ctx)
-  if (held && !args.once) {
-    printInvitation(ctx)
+  const allPassed = await runSteps(ctx)
+  if (allPassed && !args.once) {
+    printUsageHints(ctx)
     return
   }
-  await fleet.end()
-  process.exit(held ? 0 : 1)
+  await fleet.killAll()
+  process.exit(allPassed ? 0 : 1)
 }
 
 await main()
--- a/packages/stand-ins/src/demo/demoShapes.ts
+++ b/packages/stand-ins/src/demo/demoShapes.ts
@@ -2,23 +2,23 @@
  * Sample deployments of the demo: six VMs in three failure domains, a few runners and two teams
  * each.
  */
-import { fleetSchema, type FleetHead } from '../scenario/language/scenarioSchema.js'
+import { fleetSchema, type FleetDefinition } from '../scenario/language/scenarioSchema.js'
 
 /** A deployment and the requests that the demo sends to it. */
 export interface DemoShape {
   readonly name: string
-  readonly head: FleetHead
+  readonly definition: FleetDefinition
   readonly service: string
   readonly order: string
   /** Completion requests, one for each team. */
-  readonly asks: ReadonlyArray<{ readonly team: string, readonly model: string, readonly prompt: string }>
+  readonly prompts: ReadonlyArray<{ readonly team: string, readonly model: string, readonly prompt: string }>
 }
 
 const budgets = { 'budget-a': 100_000, 'budget-b': 20_000 }
 
 const manosAlAnden: DemoShape = {
   name: 'Manos al Andén',
-  head: fleetSchema.parse({
+  definition: fleetSchema.parse({
     vms: {
       'quito-1': 'quito-centro',
       'quito-2': 'quito-centro',
@@ -41,7 +41,7 @@
   }),
   service: 'reservas',
   order: '{"pasajera":"Rosa","terminal":"Quitumbe","anden":7}',
-  asks: [
+  prompts: [
     { team: 'viajeros', model: 'asistente', prompt: 'Necesito ayuda con silla de ruedas en la terminal de Quitumbe' },
     { team: 'agencias', model: 'resumen', prompt: 'Tôi cần tóm tắt cuộc gọi của khách đi xe lăn' }
   ]
@@ -49,7 +49,7 @@
 
 const tuongSach: DemoShape = {
   name: 'Tường Sạch',
-  head: fleetSchema.parse({
+  definition: fleetSchema.parse({
     vms: {
       'thu-duc-1': 'thu-duc',
       'thu-duc-2': 'thu-duc',
@@ -72,7 +72,7 @@
   }),
   service: 'jobs',
   order: '{"wall":"school gate","crew":3}',
-  asks: [
+  prompts: [
     { team: 'wards', model: 'vi-quote', prompt: 'Báo giá xoá hình vẽ trên tường trường học' },
     { team: 'shops', model: 'vi-report', prompt: 'Informe de la limpieza de la pared' }
   ]
--- a/packages/stand-ins/src/docs/tableDocs.ts
+++ b/packages/stand-ins/src/docs/tableDocs.ts
@@ -6,7 +6,7 @@
 import { metricTable } from '@rosemaryspread/decisions/events/metricTable.js'
 import { resultCodes } from '@rosemaryspread/decisions/codes/resultCodes.js'
 
-const WRITTEN = 'Generated from the code by `npm run docs:tables`; a test compares the two.'
+const GENERATED_NOTE = 'Generated from the code by `npm run docs:tables`; a test compares the two.'
 
 /** A generated page; `path` is relative to the repository root. */
 export interface GeneratedPage {
@@ -24,13 +24,13 @@
 }
 
 function codesPage (): string {
-  return pageOf({
+  return renderPage({
     title: 'Result codes',
     intro: [
       'Every refusal and failure carries one of these numbers: in the problem body as `code`, in log lines as `code` by name,',
       'and in the output of `rosemaryspreadctl`. The field `ran` beside it is `no` if nothing was run, `yes` if it was, and',
       '`unknown` if the system cannot determine it. `retryAfterMs` and the header `Retry-After` say when to retry.',
-      WRITTEN
+      GENERATED_NOTE
     ],
     columns: ['number', 'name', 'HTTP status', 'meaning'],
     rows: Object.entries(resultCodes)
@@ -40,11 +40,11 @@
 }
 
 function eventsPage (): string {
-  return pageOf({
+  return renderPage({
     title: 'Log events',
     intro: [
       'Every log line is one JSON object with `number` and `event` of this table, `time`, `vm`, `domain`, `holder` and the',
-      `fields listed here. ${WRITTEN}`
+      `fields listed here. ${GENERATED_NOTE}`
     ],
     columns: ['number', 'event', 'level', 'when it is logged, and its fields'],
     rows: Object.entries(logEvents)
@@ -54,12 +54,12 @@
 }
 
 function metricsPage (): string {
-  return pageOf({
+  return renderPage({
     title: 'Metrics',
     intro: [
       'Metrics that a VM exposes on the metrics address of its settings, in the Prometheus text format. Each name has the prefix',
       '`rosemaryspread_`; counters end in `_total`, histograms are summaries in milliseconds with the quantiles 0.5, 0.95 and 0.99 and `_count`.',
-      WRITTEN
+      GENERATED_NOTE
     ],
     columns: ['name', 'kind', 'meaning'],
     rows: Object.entries(metricTable)
@@ -77,16 +77,16 @@
   readonly rows: ReadonlyArray<readonly string[]>
 }
 
-function pageOf ({ title, intro, columns, rows }: TablePage): string {
-  const lineOf = (cells: readonly string[]): string => `| ${cells.join(' | ')} |`
+function renderPage ({ title, intro, columns, rows }: TablePage): string {
+  const renderRow = (cells: readonly string[]): string => `| ${cells.join(' | ')} |`
   return [
     `# ${title}`,
     '',
     ...intro,
     '',
-    lineOf(columns),
+    renderRow(columns),
     `|${'---|'.repeat(columns.length)}`,
-    ...rows.map(lineOf),
+    ...rows.map(renderRow),
     ''
   ].join('\n')
 }
--- a/packages/stand-ins/src/history/history.ts
+++ b/packages/stand-ins/src/history/history.ts
@@ -4,12 +4,12 @@
 import type { HistoryRecord, RecordOf } from './historyTypes.js'
 
 /** Order of records with equal timestamps: causes before effects; `settled` comes last. */
-const causesFirst: readonly HistoryRecord['kind'][] = ['paid', 'configAccepted', 'vmUp', 'asked', 'claimed', 'ran', 'ended']
+const CAUSAL_ORDER: readonly HistoryRecord['kind'][] = ['paid', 'configAccepted', 'vmUp', 'asked', 'claimed', 'ran', 'ended']
 
-function rank (record: HistoryRecord): number {
-  const index = causesFirst.indexOf(record.kind)
+function causalRank (record: HistoryRecord): number {
+  const index = CAUSAL_ORDER.indexOf(record.kind)
   if (index >= 0) return index
-  return record.kind === 'settled' ? causesFirst.length + 1 : causesFirst.length
+  return record.kind === 'settled' ? CAUSAL_ORDER.length + 1 : CAUSAL_ORDER.length
 }
 
 /** Outcome of one request attempt; an attempt without one is still open, or its caller was terminated. */
@@ -20,7 +20,7 @@
 
   /** @param records - records in any order */
   constructor (records: readonly HistoryRecord[]) {
-    this.records = [...records].sort((a, b) => a.at - b.at || rank(a) - rank(b))
+    this.records = [...records].sort((a, b) => a.at - b.at || causalRank(a) - causalRank(b))
   }
 
   /** All records of one kind, by time. */
@@ -34,13 +34,13 @@
   }
 
   /** Outcomes by the `ask` id of their attempt. */
-  outcomes (): ReadonlyMap<string, readonly Outcome[]> {
+  outcomesByAttempt (): ReadonlyMap<string, readonly Outcome[]> {
     const all = this.records.filter((record): record is Outcome => ['answered', 'refused', 'lost'].includes(record.kind))
     return groupBy(all, record => record.ask)
   }
 
   /** Wall-clock milliseconds of the last record; 0 when there is none. */
-  get end (): number {
+  get lastAt (): number {
     return this.records.at(-1)?.at ?? 0
   }
 
--- a/packages/stand-ins/src/history/historyChecker.ts
+++ b/packages/stand-ins/src/history/historyChecker.ts
@@ -28,16 +28,16 @@
 ]
 
 /** 5 s are three seconds of grace and two of tolerance for a leaving runner; 12 s bound the propagation of a version. */
-export const defaultLimits: CheckLimits = { leavingGraceMs: 5_000, configSpreadMs: 12_000 }
+export const DEFAULT_LIMITS: CheckLimits = { leavingGraceMs: 5_000, configPropagationMs: 12_000 }
 
 /** Records shown before and after the one at which a promise broke. */
-const RECORDS_AROUND = 6
+const CONTEXT_RECORDS = 6
 
 /** A broken promise with the neighbouring records. */
 export interface Violation extends Finding {
   readonly rule: string
   readonly promise: string
-  readonly around: readonly HistoryRecord[]
+  readonly context: readonly HistoryRecord[]
 }
 
 /**
@@ -45,10 +45,10 @@
  * @param records - records in any order
  * @returns violations, the earliest first
  */
-export function checkHistory (records: readonly HistoryRecord[], limits: CheckLimits = defaultLimits): readonly Violation[] {
+export function checkHistory (records: readonly HistoryRecord[], limits: CheckLimits = DEFAULT_LIMITS): readonly Violation[] {
   const history = new History(records)
   const violations = historyRules.flatMap(rule => rule.check(history, limits)
-    .map(finding => ({ ...finding, rule: rule.name, promise: rule.promise, around: recordsAround(history, finding) })))
+    .map(finding => ({ ...finding, rule: rule.name, promise: rule.promise, context: recordsAround(history, finding) })))
   return violations.sort((a, b) => brokenAt(a) - brokenAt(b))
 }
 
@@ -59,11 +59,11 @@
 function recordsAround (history: History, finding: Finding): readonly HistoryRecord[] {
   const last = finding.records.at(-1)
   const index = last === undefined ? 0 : history.records.indexOf(last)
-  return history.records.slice(Math.max(0, index - RECORDS_AROUND), index + RECORDS_AROUND + 1)
+  return history.records.slice(Math.max(0, index - CONTEXT_RECORDS), index + CONTEXT_RECORDS + 1)
 }
 
 /** Renders a violation as text: the promise, what broke it and the neighbouring records. */
 export function renderViolation (violation: Violation): string {
-  const lines = violation.around.map(record => `  ${violation.records.includes(record) ? '>' : ' '} ${JSON.stringify(record)}`)
+  const lines = violation.context.map(record => `  ${violation.records.includes(record) ? '>' : ' '} ${JSON.stringify(record)}`)
   return [`broken promise: ${violation.promise} (${violation.rule})`, `  ${violation.text}`, ...lines].join('\n')
 }
--- a/packages/stand-ins/src/history/historyMain.ts
+++ b/packages/stand-ins/src/history/historyMain.ts
@@ -6,7 +6,7 @@
 import { checkHistory, renderViolation } from './historyChecker.js'
 import { parseHistory } from './historyFile.js'
 
-const EXIT_BROKEN = 1
+const EXIT_VIOLATIONS = 1
 const EXIT_USAGE = 2
 
 async function checkFile (file: string): Promise<boolean> {
@@ -32,7 +32,7 @@
     process.exit(EXIT_USAGE)
   }
   const verdicts = await Promise.all(files.map(checkFile))
-  process.exit(verdicts.every(Boolean) ? 0 : EXIT_BROKEN)
+  process.exit(verdicts.every(Boolean) ? 0 : EXIT_VIOLATIONS)
 }
 
 await main()
--- a/packages/stand-ins/src/history/ruleTypes.ts
+++ b/packages/stand-ins/src/history/ruleTypes.ts
@@ -10,7 +10,7 @@
   /** A leaving runner receives no new run after this. */
   readonly leavingGraceMs: number
   /** An accepted configuration version is in force on every reachable VM within this time. */
-  readonly configSpreadMs: number
+  readonly configPropagationMs: number
 }
 
 /** One violation of a promise. */
--- a/packages/stand-ins/src/history/rules/atMostOnceRule.ts
+++ b/packages/stand-ins/src/history/rules/atMostOnceRule.ts
@@ -9,9 +9,9 @@
   readonly promise = 'A request marked as not repeatable runs at most once'
 
   check (history: History): readonly Finding[] {
-    const marked = new Set(history.of('asked').filter(ask => !ask.repeatable).map(ask => ask.requestId))
+    const nonRepeatable = new Set(history.of('asked').filter(ask => !ask.repeatable).map(ask => ask.requestId))
     return [...history.byRequest('ran')]
-      .filter(([requestId, runs]) => marked.has(requestId) && runs.length > 1)
+      .filter(([requestId, runs]) => nonRepeatable.has(requestId) && runs.length > 1)
       .map(([requestId, runs]) => ({ text: `request ${requestId} is not repeatable and ran ${runs.length} times`, records: runs }))
   }
 }
--- a/packages/stand-ins/src/history/rules/configRule.ts
+++ b/packages/stand-ins/src/history/rules/configRule.ts
@@ -11,7 +11,7 @@
   readonly promise = 'An accepted configuration version is in force on every VM within seconds and never reverts'
 
   check (history: History, limits: CheckLimits): readonly Finding[] {
-    return [...this.forks(history), ...this.invented(history), ...this.reverts(history), ...this.late(history, limits)]
+    return [...this.forks(history), ...this.unaccepted(history), ...this.reverts(history), ...this.late(history, limits)]
   }
 
   private forks (history: History): Finding[] {
@@ -20,7 +20,7 @@
       .map(([version, all]) => ({ text: `two patches were accepted as version ${version}`, records: all }))
   }
 
-  private invented (history: History): Finding[] {
+  private unaccepted (history: History): Finding[] {
     const accepted = new Map(history.of('configAccepted').map(record => [record.version, record]))
     const lowest = Math.min(...accepted.keys())
     return history.of('configInForce')
@@ -43,43 +43,43 @@
 
   private late (history: History, limits: CheckLimits): Finding[] {
     const vms = new Set(history.of('vmUp').map(record => record.vm))
-    return [...vms].flatMap(vm => history.of('configAccepted').flatMap(accepted => this.judgeVm(history, vm, accepted, limits)))
+    return [...vms].flatMap(vm => history.of('configAccepted').flatMap(accepted => this.checkVm(history, vm, accepted, limits)))
   }
 
-  private judgeVm (history: History, vm: string, accepted: RecordOf<'configAccepted'>, limits: CheckLimits): Finding[] {
-    const missed = reachableSpans(history, vm)
+  private checkVm (history: History, vm: string, accepted: RecordOf<'configAccepted'>, limits: CheckLimits): Finding[] {
+    const missedSpan = reachableSpans(history, vm)
       .map(span => ({ ...span, from: Math.max(span.from, accepted.at) }))
-      .find(span => span.to - span.from > limits.configSpreadMs && !heldBy(history, vm, accepted.version, span.from + limits.configSpreadMs))
-    if (missed === undefined) return []
-    return [{ text: `version ${accepted.version} is not in force on VM ${vm} after ${limits.configSpreadMs} ms`, records: [accepted] }]
+      .find(span => span.to - span.from > limits.configPropagationMs && !hadVersionBy(history, vm, accepted.version, span.from + limits.configPropagationMs))
+    if (missedSpan === undefined) return []
+    return [{ text: `version ${accepted.version} is not in force on VM ${vm} after ${limits.configPropagationMs} ms`, records: [accepted] }]
   }
 }
 
-function heldBy (history: History, vm: string, version: number, at: number): boolean {
+function hadVersionBy (history: History, vm: string, version: number, at: number): boolean {
   return history.of('configInForce').some(record => record.vm === vm && record.version >= version && record.at <= at)
 }
 
-interface Span { readonly from: number, readonly to: number }
+interface TimeSpan { readonly from: number, readonly to: number }
 
 /** Time spans in which a VM was running and could reach a working table. */
-function reachableSpans (history: History, vm: string): readonly Span[] {
-  const spans: Span[] = []
+function reachableSpans (history: History, vm: string): readonly TimeSpan[] {
+  const spans: TimeSpan[] = []
   let vmUp = false
   let tableUp = true
   let from: number | undefined
-  const note = (record: HistoryRecord): void => {
+  const applyRecord = (record: HistoryRecord): void => {
     if (record.kind === 'tableUp') tableUp = true
     else if (record.kind === 'tableDown') tableUp = false
     else if (record.kind === 'vmUp' && record.vm === vm) vmUp = true
     else if ((record.kind === 'vmDown' || record.kind === 'vmStopping') && record.vm === vm) vmUp = false
   }
   for (const record of history.records) {
-    note(record)
+    applyRecord(record)
     if (vmUp && tableUp) from ??= record.at
     else if (from !== undefined) {
       spans.push({ from, to: record.at })
       from = undefined
     }
   }
-  return from === undefined ? spans : [...spans, { from, to: history.end }]
+  return from === undefined ? spans : [...spans, { from, to: history.lastAt }]
 }
--- a/packages/stand-ins/src/history/rules/leaseRule.ts
+++ b/packages/stand-ins/src/history/rules/leaseRule.ts
@@ -14,24 +14,24 @@
 
   check (history: History): readonly Finding[] {
     const records = history.records.filter((record): record is LeaseRecord => record.kind === 'leaseTaken' || record.kind === 'leaseWrite')
-    return [...groupBy(records, record => record.role)].flatMap(([role, all]) => [...this.shared(role, all), ...this.stale(role, all)])
+    return [...groupBy(records, record => record.role)].flatMap(([role, all]) => [...this.sharedNumbers(role, all), ...this.staleWrites(role, all)])
   }
 
-  private shared (role: string, records: readonly LeaseRecord[]): Finding[] {
+  private sharedNumbers (role: string, records: readonly LeaseRecord[]): Finding[] {
     return [...groupBy(records, record => String(record.fencing))]
       .filter(([, all]) => new Set(all.map(record => record.holder)).size > 1)
       .map(([fencing, all]) => ({ text: `lease ${role} has two holders under fencing number ${fencing}`, records: all }))
   }
 
-  private stale (role: string, records: readonly LeaseRecord[]): Finding[] {
+  private staleWrites (role: string, records: readonly LeaseRecord[]): Finding[] {
     const findings: Finding[] = []
     let newest: LeaseRecord | undefined
     for (const record of records) {
       if (record.kind === 'leaseWrite' && newest !== undefined && record.fencing < newest.fencing) {
         findings.push({ text: `lease ${role} was used under fencing number ${record.fencing} after ${newest.fencing}`, records: [newest, record] })
       }
-      const used = record.kind === 'leaseWrite'
-      if (used && (newest === undefined || record.fencing > newest.fencing)) newest = record
+      const isWrite = record.kind === 'leaseWrite'
+      if (isWrite && (newest === undefined || record.fencing > newest.fencing)) newest = record
     }
     return findings
   }
--- a/packages/stand-ins/src/history/rules/overspendRule.ts
+++ b/packages/stand-ins/src/history/rules/overspendRule.ts
@@ -15,15 +15,15 @@
   }
 
   private bills (history: History): Finding[] {
-    const left = new Map<string, number>()
+    const balances = new Map<string, number>()
     const findings: Finding[] = []
     for (const record of history.records) {
       if (record.kind !== 'paid' && record.kind !== 'billed') continue
       const change = record.kind === 'paid' ? record.tokens : -record.tokens
-      const now = (left.get(record.budget) ?? 0) + change
-      left.set(record.budget, now)
-      if (record.kind === 'billed' && now < 0) {
-        findings.push({ text: `budget ${record.budget} is billed ${-now} tokens more than was paid`, records: [record] })
+      const balance = (balances.get(record.budget) ?? 0) + change
+      balances.set(record.budget, balance)
+      if (record.kind === 'billed' && balance < 0) {
+        findings.push({ text: `budget ${record.budget} is billed ${-balance} tokens more than was paid`, records: [record] })
       }
     }
     return findings
@@ -31,23 +31,23 @@
 
   /** Adds the cost of finished but unbilled runs to the total of all bills. */
   private runs (history: History): Finding[] {
-    const left = new Map<string, number>()
-    const spend = (budget: string, tokens: number): number => {
-      const now = (left.get(budget) ?? 0) - tokens
-      left.set(budget, now)
+    const balances = new Map<string, number>()
+    const deduct = (budget: string, tokens: number): number => {
+      const now = (balances.get(budget) ?? 0) - tokens
+      balances.set(budget, now)
       return now
     }
-    for (const paid of history.of('paid')) spend(paid.budget, -paid.tokens)
-    for (const bill of history.of('billed')) spend(bill.budget, bill.tokens)
-    return this.unbilled(history).flatMap(({ budget, ended }) => {
-      const now = spend(budget, ended.tokens)
+    for (const paid of history.of('paid')) deduct(paid.budget, -paid.tokens)
+    for (const bill of history.of('billed')) deduct(bill.budget, bill.tokens)
+    return this.unbilledRuns(history).flatMap(({ budget, ended }) => {
+      const now = deduct(budget, ended.tokens)
       return now < 0 ? [{ text: `bills and unbilled runs cost budget ${budget} ${-now} tokens more than was paid in total`, records: [ended] }] : []
     })
   }
 
-  private unbilled (history: History): Array<{ readonly budget: string, readonly ended: RecordOf<'ended'> }> {
+  private unbilledRuns (history: History): Array<{ readonly budget: string, readonly ended: RecordOf<'ended'> }> {
     const billed = history.byRequest('billed')
-    const budgets = runBudgets(history.of('ran'))
+    const budgets = budgetsByRun(history.of('ran'))
     return [...history.byRequest('ended')].filter(([requestId]) => !billed.has(requestId)).flatMap(([, ends]) => {
       const ended = ends.find(end => end.state === 'finished')
       const budget = ended === undefined ? undefined : budgets.get(runKey(ended))
@@ -60,6 +60,6 @@
   return `${record.requestId}@${record.runner}`
 }
 
-function runBudgets (runs: readonly RecordOf<'ran'>[]): Map<string, string> {
+function budgetsByRun (runs: readonly RecordOf<'ran'>[]): Map<string, string> {
   return new Map(runs.flatMap(run => run.budget === undefined ? [] : [[runKey(run), run.budget] as const]))
 }
--- a/packages/stand-ins/src/history/rules/refusalRule.ts
+++ b/packages/stand-ins/src/history/rules/refusalRule.ts
@@ -13,29 +13,29 @@
   readonly promise = 'A request that is refused as not run was not run'
 
   check (history: History): readonly Finding[] {
-    const asks = history.byRequest('asked')
-    const outcomes = history.outcomes()
-    return history.of('ran').flatMap(run => this.judgeRun(run, asks.get(run.requestId) ?? [], outcomes))
+    const attempts = history.byRequest('asked')
+    const outcomes = history.outcomesByAttempt()
+    return history.of('ran').flatMap(run => this.checkRun(run, attempts.get(run.requestId) ?? [], outcomes))
   }
 
-  private judgeRun (run: RecordOf<'ran'>, asks: readonly RecordOf<'asked'>[], outcomes: ReadonlyMap<string, readonly Outcome[]>): Finding[] {
-    const causes = possibleCauses(run, asks)
-    const refusals = causes.map(ask => (outcomes.get(ask.ask) ?? []).find(saidNotRun))
-    const dishonest = refusals.filter(refusal => refusal !== undefined)
-    if (dishonest.length === 0 || dishonest.length < causes.length) return []
-    return [{ text: `request ${run.requestId} ran at ${run.runner} though its attempt was refused as not run`, records: [...causes, run, ...dishonest] }]
+  private checkRun (run: RecordOf<'ran'>, attempts: readonly RecordOf<'asked'>[], outcomes: ReadonlyMap<string, readonly Outcome[]>): Finding[] {
+    const candidates = candidateAttempts(run, attempts)
+    const refusals = candidates.map(ask => (outcomes.get(ask.ask) ?? []).find(isRefusedAsNotRun))
+    const contradicted = refusals.filter(refusal => refusal !== undefined)
+    if (contradicted.length === 0 || contradicted.length < candidates.length) return []
+    return [{ text: `request ${run.requestId} ran at ${run.runner} though its attempt was refused as not run`, records: [...candidates, run, ...contradicted] }]
   }
 }
 
-function saidNotRun (outcome: Outcome): outcome is RecordOf<'refused'> {
+function isRefusedAsNotRun (outcome: Outcome): outcome is RecordOf<'refused'> {
   return outcome.kind === 'refused' && outcome.ran === 'no'
 }
 
 /** Attempts sent before the run; only those at the VM that dispatched it, if recorded. */
-function possibleCauses (run: RecordOf<'ran'>, asks: readonly RecordOf<'asked'>[]): readonly RecordOf<'asked'>[] {
-  const earlier = asks.filter(ask => ask.at <= run.at)
+function candidateAttempts (run: RecordOf<'ran'>, attempts: readonly RecordOf<'asked'>[]): readonly RecordOf<'asked'>[] {
+  const earlier = attempts.filter(attempt => attempt.at <= run.at)
   if (run.holder === undefined) return earlier
   const vm = vmOf(run.holder)
-  const there = earlier.filter(ask => ask.vm === vm)
-  return there.length > 0 ? there : earlier
+  const atSameVm = earlier.filter(attempt => attempt.vm === vm)
+  return atSameVm.length > 0 ? atSameVm : earlier
 }
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -14,7 +14,7 @@
 import type { RequestSpec } from '../../scenario/callers/callerTypes.js'
 import { Fleet } from '../../scenario/fleet/fleet.js'
 import { teamKey } from '../../scenario/fleet/fleetConfig.js'
-import { fleetSchema, type FleetHead } from '../../scenario/language/scenarioSchema.js'
+import { fleetSchema, type FleetDefinition } from '../../scenario/language/scenarioSchema.js'
 import { plannedVmLoad, plannedScale } from './plannedScale.js'
 import { createPoint, type CapacityProbe, type ProbePoint, type ProbeSeries } from './probeTypes.js'
 import { findChildProcess, delay, type ProcessMeter } from './processMeter.js'
@@ -46,7 +46,7 @@
 
 const series = (role: string, driver: string, quantity: string, unit: string, at: number): ProbeSeries => ({ role, driver, quantity, unit, at })
 
-function createFleetHead (vms: number, msPerToken: number): FleetHead {
+function createFleetHead (vms: number, msPerToken: number): FleetDefinition {
   const teams = Object.fromEntries(Array.from({ length: TEAMS }, (_, index) => [`team-${index}`, { budget: `budget-${index}`, models: [MODEL] }]))
   return fleetSchema.parse({
     vms: Object.fromEntries(Array.from({ length: vms }, (_, index) => [`vm${index}`, DOMAINS[index % DOMAINS.length]])),
@@ -62,7 +62,7 @@
 
   static async start (vms: number, msPerToken: number): Promise<MeasuredFleet> {
     const folder = await mkdtemp(join(tmpdir(), 'rosemaryspread-capacity-'))
-    const fleet = await Fleet.start({ head: createFleetHead(vms, msPerToken), folder, links: false, weakness: undefined })
+    const fleet = await Fleet.start({ definition: createFleetHead(vms, msPerToken), folder, links: false, faultyPart: undefined })
     const vm = await findChildProcess(`${folder}/vm0.yaml`)
     await delay(SETTLE_MS)
     return new MeasuredFleet(fleet, vm)
@@ -89,7 +89,7 @@
   }
 
   async end (): Promise<void> {
-    await this.fleet.end()
+    await this.fleet.killAll()
   }
 }
 
@@ -111,9 +111,9 @@
   }
   await Promise.all(pending)
   await delay(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
-  const unanswered = caller.asks.filter(ask => ask.outcome?.kind !== 'answered').length
+  const unanswered = caller.attempts.filter(ask => ask.outcome?.kind !== 'answered').length
   if (unanswered > 0) throw new Error(`${unanswered} of ${requests} requests got no answer`)
-  return caller.asks.reduce((sum, ask) => sum + ask.pieces, 0)
+  return caller.attempts.reduce((sum, ask) => sum + ask.pieces, 0)
 }
 
 /** Cost of an idle VM by fleet size. */
@@ -175,12 +175,12 @@
     const caller = new TestCaller()
     const points: ProbePoint[] = []
     for (const streams of STREAM_COUNTS) {
-      while (caller.asks.length < streams) {
-        caller.ask(createSpec(caller.asks.length, STREAM_TOKENS), 'vm0', measured.fleet.vm('vm0').callersUrl).catch(() => {})
+      while (caller.attempts.length < streams) {
+        caller.ask(createSpec(caller.attempts.length, STREAM_TOKENS), 'vm0', measured.fleet.vm('vm0').callersUrl).catch(() => {})
         await delay(5)
       }
       await delay(SETTLE_MS)
-      const open = caller.asks.filter(ask => ask.outcome === undefined && ask.pieces > 0).length
+      const open = caller.attempts.filter(ask => ask.outcome === undefined && ask.pieces > 0).length
       points.push(createPoint(series('entry VM', 'open streams', 'resident memory of a real VM', 'MB', plannedVmLoad.openStreams), open, await measured.vm.residentMb()))
     }
     await measured.end()
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -12,7 +12,7 @@
 import { tmpdir } from 'node:os'
 import { mkdtemp } from 'node:fs/promises'
 import { join } from 'node:path'
-import { takePort } from '../../scenario/fleet/freePorts.js'
+import { allocatePort } from '../../scenario/fleet/freePorts.js'
 import { StandInProcess } from '../../scenario/fleet/standInProcess.js'
 import { CountingTable } from './countingTable.js'
 import { plannedVmLoad } from './plannedScale.js'
@@ -87,7 +87,7 @@
   isTimeSensitive: true,
   run: async () => {
     const folder = await mkdtemp(join(tmpdir(), 'rosemaryspread-capacity-'))
-    const ports = { listen: await takePort(), control: await takePort() }
+    const ports = { listen: await allocatePort(), control: await allocatePort() }
     const standIn = new StandInProcess('table', ['table'], ports, join(folder, 'table.log'))
     await standIn.ready()
     const table = new CountingTable(new HttpTableStore(standIn.url, 'quito-centro-a', TIMEOUT_MS))
@@ -111,7 +111,7 @@
       points.push(createPoint(flushSeries('processor time of a flush', 'us'), size, median(rounds)))
       points.push(createPoint(flushSeries('bytes of a flush, JSON texts', 'bytes'), size, table.counts.bytes / FLUSHES / (ROUNDS + 1)))
     }
-    await standIn.end()
+    await standIn.kill()
     return points.slice(POINTS_PER_SIZE)
   }
 }
--- a/packages/stand-ins/src/scenario/callers/callerTypes.ts
+++ b/packages/stand-ins/src/scenario/callers/callerTypes.ts
@@ -30,7 +30,7 @@
 }
 
 /** One attempt and its progress. */
-export interface Ask {
+export interface Attempt {
   readonly asked: RecordOf<'asked'>
   requestId: string
   pieces: number
--- a/packages/stand-ins/src/scenario/callers/testOperator.ts
+++ b/packages/stand-ins/src/scenario/callers/testOperator.ts
@@ -9,7 +9,7 @@
 /** API key of the operator in scenarios and the demo. */
 export const OPERATOR_KEY = 'scenario-operator-key'
 const AUTHOR = 'scenario'
-const CALL_LIMIT_MS = 20_000
+const CALL_TIMEOUT_MS = 20_000
 
 /** Hash of the operator's key, for the settings of VMs. */
 export const operatorKeyHash = createHash('sha256').update(OPERATOR_KEY).digest('hex')
@@ -55,16 +55,16 @@
    * @param baseUrl - address of a VM for operators
    */
   async version (baseUrl: string): Promise<number | undefined> {
-    const answer = await got.get(`${baseUrl}/admin/v1/config`, this.options()).catch(() => undefined)
-    if (answer?.statusCode !== 200) return undefined
-    return configAnswerSchema.parse(JSON.parse(answer.body)).version
+    const response = await got.get(`${baseUrl}/admin/v1/config`, this.options()).catch(() => undefined)
+    if (response?.statusCode !== 200) return undefined
+    return configAnswerSchema.parse(JSON.parse(response.body)).version
   }
 
   private async post (url: string, json: object): Promise<OperatorOutcome> {
-    const answer = await got.post(url, { ...this.options(), json }).catch(() => undefined)
-    if (answer === undefined) return { status: 0, name: undefined }
-    if (answer.statusCode < 400) return { status: answer.statusCode, name: undefined }
-    return { status: answer.statusCode, name: nameOf(answer.body) }
+    const response = await got.post(url, { ...this.options(), json }).catch(() => undefined)
+    if (response === undefined) return { status: 0, name: undefined }
+    if (response.statusCode < 400) return { status: response.statusCode, name: undefined }
+    return { status: response.statusCode, name: problemName(response.body) }
   }
 
   private options () {
@@ -72,12 +72,12 @@
       headers: { authorization: `Bearer ${OPERATOR_KEY}` },
       throwHttpErrors: false,
       retry: { limit: 0 },
-      timeout: { request: CALL_LIMIT_MS }
+      timeout: { request: CALL_TIMEOUT_MS }
     }
   }
 }
 
-function nameOf (body: string): string | undefined {
+function problemName (body: string): string | undefined {
   try {
     return problemSchema.safeParse(JSON.parse(body)).data?.name
   } catch {
--- a/packages/stand-ins/src/scenario/fleet/fakeLink.ts
+++ b/packages/stand-ins/src/scenario/fleet/fakeLink.ts
@@ -7,15 +7,15 @@
 import { once } from 'node:events'
 
 const HOST = '127.0.0.1'
-const HOLDER = /([a-z0-9][a-z0-9-]*)~[0-9a-f]{4}/
+const HOLDER_PATTERN = /([a-z0-9][a-z0-9-]*)~[0-9a-f]{4}/
 
 /** `cut` closes connections, `held` stops reading them. */
 export type LinkState = 'open' | 'cut' | 'held'
 
 /** One relayed connection; `from` is the connecting VM once it is identified. */
 interface Relay {
-  readonly near: Socket
-  readonly far: Socket
+  readonly inbound: Socket
+  readonly outbound: Socket
   from: string | undefined
 }
 
@@ -29,7 +29,7 @@
    * @param target - peer port of the VM
    */
   constructor (private readonly port: number, private readonly target: number) {
-    this.server = createServer(near => this.accept(near))
+    this.server = createServer(socket => this.accept(socket))
   }
 
   async open (): Promise<void> {
@@ -39,50 +39,50 @@
 
   close (): void {
     this.server.close()
-    for (const relay of this.relays) end(relay)
+    for (const relay of this.relays) closeRelay(relay)
   }
 
   /** Sets the state of the link for connections from this VM, existing and new. */
   set (vm: string, state: LinkState): void {
     this.states.set(vm, state)
-    for (const relay of this.relays) if (relay.from === vm) this.apply(relay)
+    for (const relay of this.relays) if (relay.from === vm) this.applyState(relay)
   }
 
-  private accept (near: Socket): void {
-    const far = connect(this.target, HOST)
-    const relay: Relay = { near, far, from: undefined }
+  private accept (inbound: Socket): void {
+    const outbound = connect(this.target, HOST)
+    const relay: Relay = { inbound, outbound, from: undefined }
     this.relays.add(relay)
-    for (const socket of [near, far]) {
+    for (const socket of [inbound, outbound]) {
       socket.setNoDelay(true)
-      socket.on('error', () => end(relay))
+      socket.on('error', () => closeRelay(relay))
       socket.on('close', () => {
-        end(relay)
+        closeRelay(relay)
         this.relays.delete(relay)
       })
     }
-    near.on('data', chunk => this.forward(relay, chunk))
-    far.on('data', chunk => { near.write(chunk) })
+    inbound.on('data', chunk => this.forward(relay, chunk))
+    outbound.on('data', chunk => { inbound.write(chunk) })
   }
 
   private forward (relay: Relay, chunk: Buffer): void {
     if (relay.from === undefined) {
-      relay.from = HOLDER.exec(chunk.toString('latin1'))?.[1]
-      if (relay.from !== undefined) this.apply(relay)
+      relay.from = HOLDER_PATTERN.exec(chunk.toString('latin1'))?.[1]
+      if (relay.from !== undefined) this.applyState(relay)
     }
-    relay.far.write(chunk)
+    relay.outbound.write(chunk)
   }
 
-  private apply (relay: Relay): void {
+  private applyState (relay: Relay): void {
     const state = this.states.get(relay.from ?? '') ?? 'open'
-    if (state === 'cut') end(relay)
-    for (const socket of [relay.near, relay.far]) {
+    if (state === 'cut') closeRelay(relay)
+    for (const socket of [relay.inbound, relay.outbound]) {
       if (state === 'held') socket.pause()
       else socket.resume()
     }
   }
 }
 
-function end (relay: Relay): void {
-  relay.near.destroy()
-  relay.far.destroy()
+function closeRelay (relay: Relay): void {
+  relay.inbound.destroy()
+  relay.outbound.destroy()
 }
--- a/packages/stand-ins/src/scenario/fleet/fleet.ts
+++ b/packages/stand-ins/src/scenario/fleet/fleet.ts
@@ -4,10 +4,10 @@
 import { join } from 'node:path'
 import type { HistoryRecord } from '../../history/historyTypes.js'
 import { TestOperator } from '../callers/testOperator.js'
-import type { FleetHead } from '../language/scenarioSchema.js'
+import type { FleetDefinition } from '../language/scenarioSchema.js'
 import { FakeLink } from './fakeLink.js'
-import { firstPatch, vmSettings, type PlatformUrls } from './fleetConfig.js'
-import { takePort } from './freePorts.js'
+import { initialPatch, vmSettings, type PlatformUrls } from './fleetConfig.js'
+import { allocatePort } from './freePorts.js'
 import { Network } from './network.js'
 import { StandInProcess } from './standInProcess.js'
 import { VmProcess } from './vmProcess.js'
@@ -15,18 +15,18 @@
 
 const PLATFORM = ['table', 'objects', 'weights', 'vm-list'] as const
 const VM_LIST_LAG_MS = 300
-const START_LIMIT_MS = 30_000
-const DRAIN_LIMIT_MS = 60_000
-const FIRST_PATCH = 'scenario-first'
+const START_TIMEOUT_MS = 30_000
+const DRAIN_TIMEOUT_MS = 60_000
+const INITIAL_PATCH_ID = 'scenario-first'
 
 export interface FleetOptions {
-  readonly head: FleetHead
+  readonly definition: FleetDefinition
   /** Folder for the settings and output of all processes. */
   readonly folder: string
   /** Whether VMs connect to each other through links that can be cut. */
   readonly links: boolean
   /** Name of the faulty part to bind in all VMs. */
-  readonly weakness: string | undefined
+  readonly faultyPart: string | undefined
 }
 
 export class Fleet {
@@ -36,14 +36,14 @@
   readonly operator = new TestOperator()
   readonly network: Network
   /** VMs that did not exit cleanly after a graceful stop. */
-  private readonly badStops: string[] = []
+  private readonly failedStops: string[] = []
   private readonly links = new Map<string, FakeLink>()
-  private readonly listed = new Map<string, 'live' | 'leaving' | 'gone'>()
+  private readonly listedStates = new Map<string, 'live' | 'leaving' | 'gone'>()
 
   private constructor (private readonly options: FleetOptions) {
-    this.network = new Network(this.links, this.standIns, name => this.namesIn(name), {
-      lost: vm => { if (this.vm(vm).up) this.note({ kind: 'vmDown', at: Date.now(), vm, cause: 'cut' }) },
-      regained: vm => { this.noteUp(vm) }
+    this.network = new Network(this.links, this.standIns, name => this.resolveName(name), {
+      lost: vm => { if (this.vm(vm).isUp) this.addRecord({ kind: 'vmDown', at: Date.now(), vm, cause: 'cut' }) },
+      regained: vm => { this.recordUp(vm) }
     })
   }
 
@@ -53,12 +53,12 @@
     try {
       await fleet.startStandIns()
       await fleet.prepareVms()
-      const first = Object.keys(options.head.vms).filter(vm => !options.head.later.includes(vm))
-      await Promise.all(first.map(async vm => await fleet.launch(vm)))
-      await fleet.configure(first)
+      const initialVms = Object.keys(options.definition.vms).filter(vm => !options.definition.later.includes(vm))
+      await Promise.all(initialVms.map(async vm => await fleet.launch(vm)))
+      await fleet.configure(initialVms)
       return fleet
     } catch (err) {
-      await fleet.end()
+      await fleet.killAll()
       throw err
     }
   }
@@ -75,7 +75,7 @@
     return standIn
   }
 
-  note (record: HistoryRecord): void {
+  addRecord (record: HistoryRecord): void {
     this.records.push(record)
   }
 
@@ -83,12 +83,12 @@
   async startVm (name: string): Promise<void> {
     await this.launch(name)
     await this.vm(name).ready()
-    this.noteUp(name)
+    this.recordUp(name)
   }
 
   /** Kills a VM with SIGKILL. */
   async killVm (name: string): Promise<void> {
-    this.note({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'killed' })
+    this.addRecord({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'killed' })
     await this.vm(name).kill()
     await this.list(name, 'gone')
   }
@@ -96,20 +96,20 @@
   /** Starts a graceful stop of a VM; does not wait for its exit. */
   async stopVm (name: string): Promise<void> {
     const vm = this.vm(name)
-    if (!vm.running || vm.ending) return
-    this.note({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'stopped' })
-    vm.ending = true
+    if (!vm.running || vm.isStopRequested) return
+    this.addRecord({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'stopped' })
+    vm.isStopRequested = true
     vm.signal('SIGTERM')
     await this.list(name, 'leaving')
-    vm.exited().then(async () => {
-      if (vm.exitCode !== 0 && !vm.killed) this.badStops.push(`${name} (exit ${vm.exitCode})`)
+    vm.waitForExit().then(async () => {
+      if (vm.exitCode !== 0 && !vm.killed) this.failedStops.push(`${name} (exit ${vm.exitCode})`)
       await this.list(name, 'gone')
     }).catch(() => {})
   }
 
   /** Pauses a VM with SIGSTOP. */
   freezeVm (name: string): void {
-    this.note({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'frozen' })
+    this.addRecord({ kind: 'vmDown', at: Date.now(), vm: name, cause: 'frozen' })
     this.vm(name).frozen = true
     this.vm(name).signal('SIGSTOP')
   }
@@ -118,21 +118,21 @@
   thawVm (name: string): void {
     this.vm(name).signal('SIGCONT')
     this.vm(name).frozen = false
-    this.noteUp(name)
+    this.recordUp(name)
   }
 
   /** Starts or ends an outage of a stand-in. */
-  async setOutage (name: string, outage: boolean): Promise<void> {
-    if (name === 'table' && outage) this.note({ kind: 'tableDown', at: Date.now() })
-    await this.standIn(name).control({ outage })
-    if (name === 'table' && !outage) this.note({ kind: 'tableUp', at: Date.now() })
+  async setOutage (name: string, isOut: boolean): Promise<void> {
+    if (name === 'table' && isOut) this.addRecord({ kind: 'tableDown', at: Date.now() })
+    await this.standIn(name).control({ outage: isOut })
+    if (name === 'table' && !isOut) this.addRecord({ kind: 'tableUp', at: Date.now() })
   }
 
   /** Ends all cuts, outages and delays, and resumes all paused VMs. */
   async healAll (): Promise<void> {
     await this.network.healAll()
     await Promise.all([...this.standIns.values()].map(async standIn => await standIn.control({ outage: false, slowMs: 0, loseAnswers: 0, refuse: false })))
-    this.note({ kind: 'tableUp', at: Date.now() })
+    this.addRecord({ kind: 'tableUp', at: Date.now() })
     for (const vm of this.vms.values()) if (vm.frozen && vm.running) this.thawVm(vm.name)
   }
 
@@ -140,46 +140,46 @@
   async stopAll (): Promise<readonly string[]> {
     const running = [...this.vms.values()].filter(vm => vm.running)
     await Promise.all(running.map(async vm => await this.stopVm(vm.name)))
-    await waitFor('all VMs to stop', DRAIN_LIMIT_MS, () => running.every(vm => !vm.running))
-    return this.badStops
+    await waitFor('all VMs to stop', DRAIN_TIMEOUT_MS, () => running.every(vm => !vm.running))
+    return this.failedStops
   }
 
   /** Whether a VM was killed, so that other VMs have to bill its runs. */
-  get hasKilled (): boolean {
+  get hasKilledVms (): boolean {
     return this.records.some(record => record.kind === 'vmDown' && record.cause === 'killed')
   }
 
   /** VMs that exited without being stopped or killed. */
-  crashed (): readonly string[] {
-    return [...this.vms.values()].filter(vm => vm.exitCode !== undefined && !vm.ending).map(vm => `${vm.name} (exit ${vm.exitCode})`)
+  crashedVms (): readonly string[] {
+    return [...this.vms.values()].filter(vm => vm.exitCode !== undefined && !vm.isStopRequested).map(vm => `${vm.name} (exit ${vm.exitCode})`)
   }
 
   /** All records of stand-ins and VMs so far. */
   async history (): Promise<readonly HistoryRecord[]> {
-    const seen = await Promise.all([...this.standIns.values()].map(async standIn => await standIn.history()))
-    return [...this.records, ...seen.flat(), ...[...this.vms.values()].flatMap(vm => vm.records)]
+    const standInRecords = await Promise.all([...this.standIns.values()].map(async standIn => await standIn.history()))
+    return [...this.records, ...standInRecords.flat(), ...[...this.vms.values()].flatMap(vm => vm.records)]
   }
 
   /** Closes all links and kills all processes. */
-  async end (): Promise<void> {
+  async killAll (): Promise<void> {
     for (const link of this.links.values()) link.close()
     await Promise.all([...this.vms.values()].map(async vm => await vm.kill()))
-    await Promise.all([...this.standIns.values()].map(async standIn => await standIn.end()))
+    await Promise.all([...this.standIns.values()].map(async standIn => await standIn.kill()))
   }
 
-  private namesIn (name: string): readonly string[] {
+  private resolveName (name: string): readonly string[] {
     const inDomain = [...this.vms.values()].filter(vm => vm.domain === name).map(vm => vm.name)
-    const engines = Object.entries(this.options.head.engines).filter(([, engine]) => engine.domain === name).map(([engine]) => engine)
-    const services = Object.values(this.options.head.services).flatMap(service => Object.entries(service.runners))
+    const engines = Object.entries(this.options.definition.engines).filter(([, engine]) => engine.domain === name).map(([engine]) => engine)
+    const services = Object.values(this.options.definition.services).flatMap(service => Object.entries(service.runners))
     const applications = services.filter(([, domain]) => domain === name).map(([runner]) => runner)
-    const all = [...inDomain, ...engines, ...applications]
-    if (all.length > 0) return all
+    const members = [...inDomain, ...engines, ...applications]
+    if (members.length > 0) return members
     if (!this.vms.has(name) && !this.standIns.has(name)) throw new Error(`there is no VM, stand-in or failure domain '${name}'`)
     return [name]
   }
 
   private async startStandIns (): Promise<void> {
-    const { engines, services } = this.options.head
+    const { engines, services } = this.options.definition
     const engineArgs = Object.entries(engines).map(([name, engine]) => [name, [
       'engine', '--name', name, '--slots', String(engine.slots), '--models', engine.models.join(','),
       '--ms-per-token', String(engine.msPerToken), ...(engine.checksFencing ? [] : ['--no-checks-fencing'])
@@ -189,19 +189,19 @@
     const platformArgs = PLATFORM.map(name =>
       [name, name === 'vm-list' ? [name, '--lag-ms', String(VM_LIST_LAG_MS)] : [name]] as const)
     for (const [name, args] of [...platformArgs, ...engineArgs, ...applicationArgs]) {
-      const ports = { listen: await takePort(), control: await takePort() }
+      const ports = { listen: await allocatePort(), control: await allocatePort() }
       this.standIns.set(name, new StandInProcess(name, args, ports, join(this.options.folder, `${name}.log`)))
     }
     await Promise.all([...this.standIns.values()].map(async standIn => await standIn.ready()))
   }
 
   private async prepareVms (): Promise<void> {
-    const { head, folder, links, weakness } = this.options
-    for (const [name, domain] of Object.entries(head.vms)) {
-      const [callers, operators, peers] = [await takePort(), await takePort(), await takePort()]
-      const ports = { callers, operators, peers, link: links ? await takePort() : peers }
-      const settings = vmSettings(head, name, ports, this.platformUrls())
-      this.vms.set(name, new VmProcess(name, domain, ports, folder, settings, weakness))
+    const { definition, folder, links, faultyPart } = this.options
+    for (const [name, domain] of Object.entries(definition.vms)) {
+      const [callers, operators, peers] = [await allocatePort(), await allocatePort(), await allocatePort()]
+      const ports = { callers, operators, peers, link: links ? await allocatePort() : peers }
+      const settings = vmSettings(definition, name, ports, this.platformUrls())
+      this.vms.set(name, new VmProcess(name, domain, ports, folder, settings, faultyPart))
       const link = new FakeLink(ports.link, ports.peers)
       this.links.set(name, link)
       if (links) await link.open()
@@ -219,39 +219,39 @@
   }
 
   private async list (name: string, state: 'live' | 'leaving' | 'gone'): Promise<void> {
-    this.listed.set(name, state)
-    const vms = [...this.listed].map(([vm, listed]) => {
+    this.listedStates.set(name, state)
+    const vms = [...this.listedStates].map(([vm, listedState]) => {
       const { domain, ports } = this.vm(vm)
-      return { vm, domain, address: `127.0.0.1:${ports.callers}`, state: listed }
+      return { vm, domain, address: `127.0.0.1:${ports.callers}`, state: listedState }
     })
     await this.standIn('vm-list').post('/control/vms', { vms })
   }
 
   private async configure (started: readonly string[]): Promise<void> {
     const url = this.vm(started[0]!).operatorsUrl
-    const patch = firstPatch(this.options.head, runner => this.standIn(runner).url.replace('http://', ''))
-    await this.insist('the first configuration', async () => await this.operator.patch(url, { base: 0, patchId: FIRST_PATCH, patch }))
-    for (const [budget, tokens] of Object.entries(this.options.head.budgets)) {
-      await this.insist(`the payment of ${budget}`, async () => await this.operator.topUp(url, budget, `first-${budget}`, tokens))
+    const patch = initialPatch(this.options.definition, runner => this.standIn(runner).url.replace('http://', ''))
+    await this.retryUntilAccepted('the first configuration', async () => await this.operator.patch(url, { base: 0, patchId: INITIAL_PATCH_ID, patch }))
+    for (const [budget, tokens] of Object.entries(this.options.definition.budgets)) {
+      await this.retryUntilAccepted(`the payment of ${budget}`, async () => await this.operator.topUp(url, budget, `first-${budget}`, tokens))
     }
     await Promise.all(started.map(async name => {
       await this.vm(name).ready()
-      await waitFor(`the configuration at VM ${name}`, START_LIMIT_MS, () => this.vm(name).versionInForce > 0)
-      this.noteUp(name)
+      await waitFor(`the configuration at VM ${name}`, START_TIMEOUT_MS, () => this.vm(name).versionInForce > 0)
+      this.recordUp(name)
     }))
   }
 
   /** Records `vmUp` if the VM is up and can reach the table. */
-  private noteUp (vm: string): void {
-    if (this.vm(vm).up && !this.network.isCutOff(vm)) this.note({ kind: 'vmUp', at: Date.now(), vm })
+  private recordUp (vm: string): void {
+    if (this.vm(vm).isUp && !this.network.isCutFromTable(vm)) this.addRecord({ kind: 'vmUp', at: Date.now(), vm })
   }
 
-  private async insist (what: string, call: () => Promise<{ readonly status: number, readonly name: string | undefined }>): Promise<void> {
-    let last = ''
-    await waitFor(what, START_LIMIT_MS, async () => {
+  private async retryUntilAccepted (description: string, call: () => Promise<{ readonly status: number, readonly name: string | undefined }>): Promise<void> {
+    let lastResponse = ''
+    await waitFor(description, START_TIMEOUT_MS, async () => {
       const { status, name } = await call()
-      last = `${status} ${name ?? ''}`
+      lastResponse = `${status} ${name ?? ''}`
       return status >= 200 && status < 300
-    }).catch((err: unknown) => { throw new Error(`${String(err)}; last response: ${last}`) })
+    }).catch((err: unknown) => { throw new Error(`${String(err)}; last response: ${lastResponse}`) })
   }
 }
--- a/packages/stand-ins/src/scenario/fleet/fleetConfig.ts
+++ b/packages/stand-ins/src/scenario/fleet/fleetConfig.ts
@@ -5,7 +5,7 @@
 import { createHash } from 'node:crypto'
 import type { PatchOperation } from '../callers/testOperator.js'
 import { operatorKeyHash } from '../callers/testOperator.js'
-import type { FleetHead } from '../language/scenarioSchema.js'
+import type { FleetDefinition } from '../language/scenarioSchema.js'
 import type { VmPorts } from './vmProcess.js'
 
 const PEER_KEY = 'scenario-peer-key-0001'
@@ -24,37 +24,37 @@
 }
 
 /** Patch that turns the empty configuration into that of the scenario. */
-export function firstPatch (head: FleetHead, addressOf: (runner: string) => string): readonly PatchOperation[] {
-  const models = [...new Set(Object.values(head.engines).flatMap(engine => engine.models))]
+export function initialPatch (definition: FleetDefinition, addressOf: (runner: string) => string): readonly PatchOperation[] {
+  const models = [...new Set(Object.values(definition.engines).flatMap(engine => engine.models))]
   const sections = {
-    teams: mapValues(head.teams, (team, name) => ({ displayName: name, keyHashes: [hash(teamKey(name))], ...team })),
+    teams: mapValues(definition.teams, (team, name) => ({ displayName: name, keyHashes: [sha256(teamKey(name))], ...team })),
     models: Object.fromEntries(models.map(model => [model, { maxTokens: 1024 }])),
-    runners: mapValues(head.engines, ({ domain, models, slots, checksFencing }, name) =>
+    runners: mapValues(definition.engines, ({ domain, models, slots, checksFencing }, name) =>
       ({ address: addressOf(name), domain, models, slots, checksFencing })),
-    services: mapValues(head.services, ({ runners, ...rest }) =>
+    services: mapValues(definition.services, ({ runners, ...rest }) =>
       ({ ...rest, runners: mapValues(runners, (domain, name) => ({ address: addressOf(name), domain })) })),
-    limits: head.limits
+    limits: definition.limits
   }
   return Object.entries(sections).map(([section, value]) => ({ op: 'add', path: `/${section}`, value }))
 }
 
 /** Settings of one VM; those of the scenario override the defaults. */
-export function vmSettings (head: FleetHead, vm: string, ports: VmPorts, platform: PlatformUrls): object {
-  const local = (port: number): string => `127.0.0.1:${port}`
+export function vmSettings (definition: FleetDefinition, vm: string, ports: VmPorts, platform: PlatformUrls): object {
+  const loopback = (port: number): string => `127.0.0.1:${port}`
   return {
     vm,
-    domain: head.vms[vm],
+    domain: definition.vms[vm],
     region: 'scenario',
-    listen: { callers: local(ports.callers), operators: local(ports.operators), peers: local(ports.peers) },
-    advertise: { peers: local(ports.link) },
+    listen: { callers: loopback(ports.callers), operators: loopback(ports.operators), peers: loopback(ports.peers) },
+    advertise: { peers: loopback(ports.link) },
     platform,
     peerKeys: [PEER_KEY],
     bootstrapOperatorKeyHash: operatorKeyHash,
-    ...head.settings
+    ...definition.settings
   }
 }
 
-function hash (text: string): string {
+function sha256 (text: string): string {
   return createHash('sha256').update(text).digest('hex')
 }
 
--- a/packages/stand-ins/src/scenario/fleet/freePorts.ts
+++ b/packages/stand-ins/src/scenario/fleet/freePorts.ts
@@ -7,15 +7,15 @@
 
 const FIRST_PORT = 12_000
 const PORT_COUNT = 16_000
-const STEP_BY_PROCESS = 97
+const PID_STRIDE = 97
 
-let next = (process.pid * STEP_BY_PROCESS) % PORT_COUNT
+let nextOffset = (process.pid * PID_STRIDE) % PORT_COUNT
 
 /** Finds a free port on 127.0.0.1; this process does not return one again before the range wraps around. */
-export async function takePort (): Promise<number> {
-  for (let tries = 0; tries < PORT_COUNT; tries++) {
-    const port = FIRST_PORT + next
-    next = (next + 1) % PORT_COUNT
+export async function allocatePort (): Promise<number> {
+  for (let attempt = 0; attempt < PORT_COUNT; attempt++) {
+    const port = FIRST_PORT + nextOffset
+    nextOffset = (nextOffset + 1) % PORT_COUNT
     if (await isFree(port)) return port
   }
   throw new Error('no free port is left in the range for scenarios')
--- a/packages/stand-ins/src/scenario/fleet/managedProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/managedProcess.ts
@@ -7,13 +7,13 @@
 import { once } from 'node:events'
 import { createInterface } from 'node:readline'
 
-const running = new Set<ChildProcess>()
+const children = new Set<ChildProcess>()
 
-function endAll (): void {
-  for (const child of running) child.kill('SIGKILL')
+function killAll (): void {
+  for (const child of children) child.kill('SIGKILL')
 }
 
-process.on('exit', endAll)
+process.on('exit', killAll)
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) process.on(signal, () => process.exit(1))
 
 /** A Node.js child process whose output is written to a log file. */
@@ -30,9 +30,9 @@
   constructor (args: readonly string[], logFile: string, onLine: (line: string) => void = () => {}) {
     this.log = createWriteStream(logFile, { flags: 'a' })
     this.child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'pipe'] })
-    running.add(this.child)
+    children.add(this.child)
     this.ended = once(this.child, 'close').then(([code]) => {
-      running.delete(this.child)
+      children.delete(this.child)
       this.exitCode = code as number | null
       this.log.end()
     })
@@ -43,23 +43,23 @@
     })
   }
 
-  get alive (): boolean {
+  get isAlive (): boolean {
     return this.exitCode === undefined
   }
 
   /** Sends a signal; does nothing if the process has exited. */
   signal (signal: NodeJS.Signals): void {
-    if (this.alive) this.child.kill(signal)
+    if (this.isAlive) this.child.kill(signal)
   }
 
   /** Kills the process and waits for its exit. */
-  async end (): Promise<void> {
+  async kill (): Promise<void> {
     this.signal('SIGKILL')
     await this.ended
   }
 
   /** Resolves when the process has exited and all its output was read. */
-  async exited (): Promise<void> {
+  async waitForExit (): Promise<void> {
     await this.ended
   }
 }
--- a/packages/stand-ins/src/scenario/fleet/network.ts
+++ b/packages/stand-ins/src/scenario/fleet/network.ts
@@ -7,13 +7,13 @@
 import type { StandInProcess } from './standInProcess.js'
 
 /** Notified when a VM loses its connection to the table or regains it. */
-export interface ReachObserver {
+export interface TableReachObserver {
   lost (vm: string): void
   regained (vm: string): void
 }
 
 export class Network {
-  private readonly cutFrom = new Map<string, Set<string>>()
+  private readonly cutVms = new Map<string, Set<string>>()
 
   /**
    * @param links - link in front of each VM, by VM name
@@ -22,27 +22,27 @@
   constructor (
     private readonly links: ReadonlyMap<string, FakeLink>,
     private readonly standIns: ReadonlyMap<string, StandInProcess>,
-    private readonly namesIn: (name: string) => readonly string[],
-    private readonly observer: ReachObserver
+    private readonly resolveName: (name: string) => readonly string[],
+    private readonly observer: TableReachObserver
   ) {}
 
   /** Cuts the connections between the two sides of a step. */
   async cut (step: CutStep): Promise<void> {
-    const [left, right] = step.between.map(side => side.flatMap(this.namesIn)) as [string[], string[]]
+    const [left, right] = step.between.map(side => side.flatMap(this.resolveName)) as [string[], string[]]
     for (const a of left) for (const b of right) this.cutPair(a, b, step.hold ? 'held' : 'cut')
-    await this.send()
+    await this.applyCuts()
   }
 
   async healAll (): Promise<void> {
-    const cutOff = [...this.cutFrom.get('table') ?? []]
-    this.cutFrom.clear()
+    const cutFromTable = [...this.cutVms.get('table') ?? []]
+    this.cutVms.clear()
     for (const link of this.links.values()) for (const vm of this.links.keys()) link.set(vm, 'open')
-    await this.send()
-    for (const vm of cutOff) this.observer.regained(vm)
+    await this.applyCuts()
+    for (const vm of cutFromTable) this.observer.regained(vm)
   }
 
-  isCutOff (vm: string): boolean {
-    return this.cutFrom.get('table')?.has(vm) === true
+  isCutFromTable (vm: string): boolean {
+    return this.cutVms.get('table')?.has(vm) === true
   }
 
   private cutPair (a: string, b: string, state: LinkState): void {
@@ -54,13 +54,13 @@
 
   private cutStandIn (standIn: string, vm: string): void {
     if (!this.standIns.has(standIn) || !this.links.has(vm)) return
-    const vms = this.cutFrom.get(standIn) ?? new Set()
-    this.cutFrom.set(standIn, vms.add(vm))
+    const vms = this.cutVms.get(standIn) ?? new Set()
+    this.cutVms.set(standIn, vms.add(vm))
     if (standIn === 'table') this.observer.lost(vm)
   }
 
-  private async send (): Promise<void> {
+  private async applyCuts (): Promise<void> {
     const all = [...this.standIns.values()]
-    await Promise.all(all.map(async standIn => await standIn.control({ cut: [...this.cutFrom.get(standIn.name) ?? []] })))
+    await Promise.all(all.map(async standIn => await standIn.control({ cut: [...this.cutVms.get(standIn.name) ?? []] })))
   }
 }
--- a/packages/stand-ins/src/scenario/fleet/standInProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/standInProcess.ts
@@ -8,9 +8,9 @@
 import { waitFor } from './waiting.js'
 import { ManagedProcess } from './managedProcess.js'
 
-const CLI = fileURLToPath(new URL('../../cli/standInMain.js', import.meta.url))
-const START_LIMIT_MS = 30_000
-const CALL_LIMIT_MS = 10_000
+const STAND_IN_MAIN = fileURLToPath(new URL('../../cli/standInMain.js', import.meta.url))
+const START_TIMEOUT_MS = 30_000
+const CALL_TIMEOUT_MS = 10_000
 
 export interface StandInPorts {
   readonly listen: number
@@ -23,7 +23,7 @@
   /** @param args - subcommand and options without the ports */
   constructor (readonly name: string, args: readonly string[], readonly ports: StandInPorts, logFile: string) {
     const addresses = ['--listen', `127.0.0.1:${ports.listen}`, '--control', `127.0.0.1:${ports.control}`]
-    this.process = new ManagedProcess([CLI, ...args, ...addresses], logFile)
+    this.process = new ManagedProcess([STAND_IN_MAIN, ...args, ...addresses], logFile)
   }
 
   get url (): string {
@@ -31,8 +31,8 @@
   }
 
   async ready (): Promise<void> {
-    await waitFor(`stand-in ${this.name} to listen`, START_LIMIT_MS, async () => {
-      if (!this.process.alive) throw new Error(`stand-in ${this.name} exited with code ${this.process.exitCode}`)
+    await waitFor(`stand-in ${this.name} to listen`, START_TIMEOUT_MS, async () => {
+      if (!this.process.isAlive) throw new Error(`stand-in ${this.name} exited with code ${this.process.exitCode}`)
       return await got.get(this.controlUrl('/control'), { retry: { limit: 0 } }).then(() => true, () => false)
     })
   }
@@ -44,17 +44,17 @@
 
   /** Posts a message to the control port. */
   async post (path: string, json: object): Promise<void> {
-    await got.post(this.controlUrl(path), { json, retry: { limit: 0 }, timeout: { request: CALL_LIMIT_MS } })
+    await got.post(this.controlUrl(path), { json, retry: { limit: 0 }, timeout: { request: CALL_TIMEOUT_MS } })
   }
 
   /** Fetches the records of the stand-in so far. */
   async history (): Promise<readonly HistoryRecord[]> {
-    const text = await got.get(this.controlUrl('/control/history'), { timeout: { request: CALL_LIMIT_MS } }).text()
+    const text = await got.get(this.controlUrl('/control/history'), { timeout: { request: CALL_TIMEOUT_MS } }).text()
     return parseHistory(text).unsafeCoerce()
   }
 
-  async end (): Promise<void> {
-    await this.process.end()
+  async kill (): Promise<void> {
+    await this.process.kill()
   }
 
   private controlUrl (path: string): string {
--- a/packages/stand-ins/src/scenario/fleet/vmLog.ts
+++ b/packages/stand-ins/src/scenario/fleet/vmLog.ts
@@ -23,7 +23,7 @@
 }
 
 /** The history record of a log line, if its event is part of the history. */
-export function historyOfLine (line: LogLine): HistoryRecord | undefined {
+export function toHistoryRecord (line: LogLine): HistoryRecord | undefined {
   const { event, vm, holder } = line
   const at = Date.parse(line.time)
   if (event === 'configApplied') return { kind: 'configInForce', at, vm, holder, version: Number(line['version']) }
--- a/packages/stand-ins/src/scenario/fleet/vmProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/vmProcess.ts
@@ -9,12 +9,12 @@
 import { stringify } from 'yaml'
 import type { HistoryRecord } from '../../history/historyTypes.js'
 import { ManagedProcess } from './managedProcess.js'
-import { historyOfLine, parseLogLine, type LogLine } from './vmLog.js'
+import { toHistoryRecord, parseLogLine, type LogLine } from './vmLog.js'
 import { waitFor } from './waiting.js'
 
-const PRODUCT = fileURLToPath(import.meta.resolve('rosemaryspread/cli/serveMain.js'))
-const WEAK = fileURLToPath(new URL('../weakVmMain.js', import.meta.url))
-const START_LIMIT_MS = 30_000
+const SERVE_MAIN = fileURLToPath(import.meta.resolve('rosemaryspread/cli/serveMain.js'))
+const FAULTY_VM_MAIN = fileURLToPath(new URL('../faultyVmMain.js', import.meta.url))
+const START_TIMEOUT_MS = 30_000
 
 /** Ports of one VM; other VMs connect to `link`. */
 export interface VmPorts {
@@ -25,11 +25,11 @@
 }
 
 export class VmProcess {
-  readonly lines: LogLine[] = []
+  readonly logLines: LogLine[] = []
   readonly records: HistoryRecord[] = []
   frozen = false
   /** Whether the scenario has stopped or killed this process. */
-  ending = false
+  isStopRequested = false
   killed = false
   private process: ManagedProcess | undefined
   private version = 0
@@ -44,7 +44,7 @@
     readonly ports: VmPorts,
     private readonly folder: string,
     private readonly settings: object,
-    private readonly weakness: string | undefined
+    private readonly faultyPart: string | undefined
   ) {}
 
   get callersUrl (): string {
@@ -57,12 +57,12 @@
 
   /** Whether the process exists, frozen or not. */
   get running (): boolean {
-    return this.process?.alive === true
+    return this.process?.isAlive === true
   }
 
   /** Whether the process runs and was not frozen, stopped or killed. */
-  get up (): boolean {
-    return this.running && !this.frozen && !this.ending
+  get isUp (): boolean {
+    return this.running && !this.frozen && !this.isStopRequested
   }
 
   /** The last configuration version that the current process applied; 0 before the first. */
@@ -79,12 +79,12 @@
     const file = join(this.folder, `${this.name}.yaml`)
     await writeFile(file, stringify(this.settings))
     this.frozen = false
-    this.ending = false
+    this.isStopRequested = false
     this.killed = false
     this.version = 0
-    const main = this.weakness === undefined ? [PRODUCT, 'serve', '--config', file] : [WEAK, this.weakness, file]
-    this.process = new ManagedProcess(main, join(this.folder, `${this.name}.log`), text => this.take(text))
-    await waitFor(`VM ${this.name} to listen`, START_LIMIT_MS, async () => {
+    const args = this.faultyPart === undefined ? [SERVE_MAIN, 'serve', '--config', file] : [FAULTY_VM_MAIN, this.faultyPart, file]
+    this.process = new ManagedProcess(args, join(this.folder, `${this.name}.log`), text => this.handleOutputLine(text))
+    await waitFor(`VM ${this.name} to listen`, START_TIMEOUT_MS, async () => {
       if (!this.running) throw new Error(`VM ${this.name} exited with code ${this.exitCode}; see ${this.folder}`)
       return await this.answers('/healthz')
     })
@@ -92,7 +92,7 @@
 
   /** Resolves when the VM accepts requests. */
   async ready (): Promise<void> {
-    await waitFor(`VM ${this.name} to be ready`, START_LIMIT_MS, async () => await this.answers('/readyz'))
+    await waitFor(`VM ${this.name} to be ready`, START_TIMEOUT_MS, async () => await this.answers('/readyz'))
   }
 
   signal (signal: NodeJS.Signals): void {
@@ -101,25 +101,25 @@
 
   /** Kills the process and waits for its exit. */
   async kill (): Promise<void> {
-    this.ending = true
+    this.isStopRequested = true
     this.killed = true
-    await this.process?.end()
+    await this.process?.kill()
   }
 
   /** Resolves when the process has exited. */
-  async exited (): Promise<void> {
-    await this.process?.exited()
+  async waitForExit (): Promise<void> {
+    await this.process?.waitForExit()
   }
 
   private async answers (path: string): Promise<boolean> {
     return await got.get(`${this.callersUrl}${path}`, { retry: { limit: 0 }, timeout: { request: 2_000 } }).then(() => true, () => false)
   }
 
-  private take (text: string): void {
+  private handleOutputLine (text: string): void {
     const line = parseLogLine(text)
     if (line === undefined) return
-    this.lines.push(line)
-    const record = historyOfLine(line)
+    this.logLines.push(line)
+    const record = toHistoryRecord(line)
     if (record === undefined) return
     this.records.push(record)
     if (record.kind === 'configInForce') this.version = record.version
--- a/packages/stand-ins/src/scenario/fleet/waiting.ts
+++ b/packages/stand-ins/src/scenario/fleet/waiting.ts
@@ -10,10 +10,10 @@
  * Polls until a condition holds; throws after the timeout.
  * @param description - what is awaited, for the error message
  */
-export async function waitFor (what: string, limitMs: number, holds: () => boolean | Promise<boolean>): Promise<void> {
-  const end = Date.now() + limitMs
-  while (!await holds()) {
-    if (Date.now() > end) throw new Error(`timed out after ${limitMs} ms waiting for ${what}`)
+export async function waitFor (description: string, timeoutMs: number, isMet: () => boolean | Promise<boolean>): Promise<void> {
+  const deadline = Date.now() + timeoutMs
+  while (!await isMet()) {
+    if (Date.now() > deadline) throw new Error(`timed out after ${timeoutMs} ms waiting for ${description}`)
     await sleep(POLL_MS)
   }
 }
--- a/packages/stand-ins/src/scenario/language/scenarioParser.ts
+++ b/packages/stand-ins/src/scenario/language/scenarioParser.ts
@@ -7,13 +7,13 @@
 import * as z from 'zod'
 import { Failure } from '@rosemaryspread/decisions/codes/failure.js'
 import { historyRules } from '../../history/historyChecker.js'
-import { fleetSchema, verbSchemas, type FleetHead, type Scenario, type Step, type Verb } from './scenarioSchema.js'
+import { fleetSchema, verbSchemas, type FleetDefinition, type Scenario, type Step, type Verb } from './scenarioSchema.js'
 
 const ruleNames = historyRules.map(rule => rule.name)
 
 const ruleName = z.string().refine(name => ruleNames.includes(name), `use the names of rules: ${ruleNames.join(', ')}`)
 
-const headSchema = z.strictObject({
+const scenarioFileSchema = z.strictObject({
   title: z.string().min(1),
   promises: z.array(ruleName).min(1),
   counterExamples: z.record(z.string(), ruleName).default({}),
@@ -36,17 +36,17 @@
 
   read (): Scenario | undefined {
     if (this.errors.length > 0) return undefined
-    const head = this.check(headSchema, this.document.toJS(), [])
+    const head = this.parseValue(scenarioFileSchema, this.document.toJS(), [])
     if (head === undefined) return undefined
     const steps = this.readSteps(['steps'])
-    this.checkNames(head.fleet)
+    this.checkReferences(head.fleet)
     return { ...head, steps }
   }
 
   private readSteps (path: Path): Step[] {
     const node = this.document.getIn(path, true)
     if (!isSeq(node)) {
-      this.mistake(path, 'use a list of steps')
+      this.addError(path, 'use a list of steps')
       return []
     }
     return node.items.flatMap((_, index) => this.readStep([...path, index]) ?? [])
@@ -54,37 +54,37 @@
 
   private readStep (path: Path): Step | undefined {
     const node = this.document.getIn(path, true)
-    if (!isMap(node) || node.items.length !== 1) return this.mistake(path, 'a step is a map with one verb')
+    if (!isMap(node) || node.items.length !== 1) return this.addError(path, 'a step is a map with one verb')
     const verb = String(node.items[0]?.key)
     const line = this.lineOf(path)
     if (verb === 'race') return { verb, value: this.readSteps([...path, verb]), line }
     if (!Object.hasOwn(verbSchemas, verb)) {
-      return this.mistake(path, `there is no verb '${verb}'; use one of: ${Object.keys(verbSchemas).join(', ')}, race`)
+      return this.addError(path, `there is no verb '${verb}'; use one of: ${Object.keys(verbSchemas).join(', ')}, race`)
     }
-    const value = this.check(verbSchemas[verb as Verb], (node.toJSON() as Record<string, unknown>)[verb], [...path, verb])
+    const value = this.parseValue(verbSchemas[verb as Verb], (node.toJSON() as Record<string, unknown>)[verb], [...path, verb])
     return value === undefined ? undefined : { verb, value, line } as Step
   }
 
-  private checkNames (fleet: FleetHead): void {
+  private checkReferences (fleet: FleetDefinition): void {
     for (const [team, { budget }] of Object.entries(fleet.teams)) {
-      if (fleet.budgets[budget] === undefined) this.mistake(['fleet', 'teams', team], `there is no budget '${budget}'`)
+      if (fleet.budgets[budget] === undefined) this.addError(['fleet', 'teams', team], `there is no budget '${budget}'`)
     }
     for (const [index, vm] of fleet.later.entries()) {
-      if (fleet.vms[vm] === undefined) this.mistake(['fleet', 'later', index], `there is no VM '${vm}'`)
+      if (fleet.vms[vm] === undefined) this.addError(['fleet', 'later', index], `there is no VM '${vm}'`)
     }
   }
 
-  private check<Schema extends z.ZodType> (schema: Schema, value: unknown, path: Path): z.infer<Schema> | undefined {
+  private parseValue<Schema extends z.ZodType> (schema: Schema, value: unknown, path: Path): z.infer<Schema> | undefined {
     const parsed = schema.safeParse(value)
     if (parsed.success) return parsed.data
     for (const issue of parsed.error.issues) {
       const at = [...path, ...issue.path.filter(part => typeof part !== 'symbol')]
-      this.mistake(at, `${at.join('.')}: ${issue.message}`)
+      this.addError(at, `${at.join('.')}: ${issue.message}`)
     }
     return undefined
   }
 
-  private mistake (path: Path, text: string): undefined {
+  private addError (path: Path, text: string): undefined {
     this.errors.push(`line ${this.lineOf(path)}: ${text}`)
   }
 
--- a/packages/stand-ins/src/scenario/language/scenarioSchema.ts
+++ b/packages/stand-ins/src/scenario/language/scenarioSchema.ts
@@ -49,9 +49,9 @@
   /** Merged into the limits of the configuration. */
   limits: z.record(z.string(), z.unknown()).default({})
 })
-export type FleetHead = z.infer<typeof fleetSchema>
+export type FleetDefinition = z.infer<typeof fleetSchema>
 
-const retries = {
+const retryFields = {
   /** Further attempts after a refusal or a lost answer, under the same key, at the VMs in turn. */
   retries: z.number().int().nonnegative().max(100).default(0),
   /** Whether to wait for the Retry-After of a refusal before the next attempt. */
@@ -73,7 +73,7 @@
   tokens: count.default(20),
   prompt: z.string().max(10_000).optional(),
   timeoutMs: milliseconds.optional(),
-  ...retries
+  ...retryFields
 }).refine(value => (value.model === undefined) !== (value.service === undefined), 'specify either a model or a service')
 export type RequestStep = z.infer<typeof request>
 
@@ -83,7 +83,7 @@
   vm: names,
   /** Sends a different body under the same key. */
   otherBody: z.boolean().default(false),
-  ...retries
+  ...retryFields
 })
 export type RepeatStep = z.infer<typeof repeat>
 
@@ -96,7 +96,7 @@
   parallel: count.max(20).default(4),
   tokens: count.default(20),
   pauseMs: milliseconds.default(0),
-  ...retries
+  ...retryFields
 })
 export type LoadStep = z.infer<typeof load>
 
@@ -200,6 +200,6 @@
   readonly promises: readonly string[]
   /** Faulty parts by name, with the rule that each one violates. */
   readonly counterExamples: Readonly<Record<string, string>>
-  readonly fleet: FleetHead
+  readonly fleet: FleetDefinition
   readonly steps: readonly Step[]
 }
--- a/packages/stand-ins/src/scenario/scenarioMain.ts
+++ b/packages/stand-ins/src/scenario/scenarioMain.ts
@@ -14,7 +14,7 @@
 import { soak } from './soak/soak.js'
 
 const DEFAULT_FOLDER = fileURLToPath(new URL('../../../../scenarios', import.meta.url))
-const MOST_FLEETS = 3
+const MAX_FLEETS = 3
 const EXIT_FAILED = 1
 const EXIT_USAGE = 2
 
@@ -27,7 +27,7 @@
   readonly mustBreak?: string
 }
 
-async function filesOf (path: string): Promise<readonly string[]> {
+async function listFiles (path: string): Promise<readonly string[]> {
   if (!(await stat(path)).isDirectory()) return [path]
   const names = await readdir(path)
   return names.filter(name => name.endsWith('.yaml')).sort().map(name => join(path, name))
@@ -44,18 +44,18 @@
   })
 }
 
-function counterExamples ({ name, scenario }: PlannedRun): readonly PlannedRun[] {
+function createCounterExampleRuns ({ name, scenario }: PlannedRun): readonly PlannedRun[] {
   return Object.entries(scenario.counterExamples)
     .map(([weakness, mustBreak]) => ({ name: `${name}-${weakness}`, scenario, weakness, mustBreak }))
 }
 
 async function runOne ({ name, scenario, weakness, mustBreak }: PlannedRun, folder: string): Promise<boolean> {
-  const verdict = await runScenario(scenario, { folder: join(folder, name), weakness })
-  const passed = mustBreak === undefined ? verdict.passed : verdict.broken.includes(mustBreak)
-  const what = mustBreak === undefined ? scenario.title : `breaks ${mustBreak} with the faulty part ${weakness}`
-  console.log(`${passed ? 'ok    ' : 'FAILED'} ${name} (${verdict.ms} ms, ${verdict.records} records): ${what}`)
+  const verdict = await runScenario(scenario, { folder: join(folder, name), faultyPart: weakness })
+  const passed = mustBreak === undefined ? verdict.passed : verdict.brokenRules.includes(mustBreak)
+  const description = mustBreak === undefined ? scenario.title : `breaks ${mustBreak} with the faulty part ${weakness}`
+  console.log(`${passed ? 'ok    ' : 'FAILED'} ${name} (${verdict.durationMs} ms, ${verdict.records} records): ${description}`)
   if (passed) return true
-  console.log(`${verdict.report}\nbroken rules: ${verdict.broken.join(', ') || 'none'}\nhistory: ${join(verdict.folder, 'history.jsonl')}`)
+  console.log(`${verdict.report}\nbroken rules: ${verdict.brokenRules.join(', ') || 'none'}\nhistory: ${join(verdict.folder, 'history.jsonl')}`)
   return false
 }
 
@@ -68,7 +68,7 @@
       if (!await runOne(run, folder)) failed++
     }
   }
-  await Promise.all(Array.from({ length: Math.min(fleets, MOST_FLEETS) }, worker))
+  await Promise.all(Array.from({ length: Math.min(fleets, MAX_FLEETS) }, worker))
   return failed
 }
 
@@ -76,7 +76,7 @@
   const args = await yargs(hideBin(process.argv))
     .scriptName('npm run scenarios --')
     .usage('$0 [FILE|FOLDER...] [options]')
-    .option('fleets', { type: 'number', default: MOST_FLEETS, describe: `fleets in parallel, at most ${MOST_FLEETS}` })
+    .option('fleets', { type: 'number', default: MAX_FLEETS, describe: `fleets in parallel, at most ${MAX_FLEETS}` })
     .option('keep', { type: 'string', describe: 'folder that retains histories and output' })
     .option('weak', { type: 'string', describe: 'bind this faulty part in all VMs (test build)' })
     .option('counter-examples', { type: 'boolean', default: false, describe: 'run each scenario with the faulty parts that it lists; the listed promise must break' })
@@ -89,9 +89,9 @@
   const folder = args.keep ?? await mkdtemp(join(tmpdir(), 'scenarios-'))
   if (args.soak) process.exit(await soak({ seed: args.seed, minutes: args.minutes, folder, round: args.round }) ? 0 : EXIT_FAILED)
   const paths = args._.length > 0 ? args._.map(String) : [DEFAULT_FOLDER]
-  const files = (await Promise.all(paths.map(filesOf))).flat()
+  const files = (await Promise.all(paths.map(listFiles))).flat()
   const scenarios = await Promise.all(files.map(readScenario))
-  const runs = args.counterExamples ? scenarios.flatMap(counterExamples) : scenarios.map(run => ({ ...run, ...(args.weak === undefined ? {} : { weakness: args.weak }) }))
+  const runs = args.counterExamples ? scenarios.flatMap(createCounterExampleRuns) : scenarios.map(run => ({ ...run, ...(args.weak === undefined ? {} : { weakness: args.weak }) }))
   const failed = await runAll(runs, folder, args.fleets)
   if (failed === 0 && args.keep === undefined) await rm(folder, { recursive: true })
   console.log(`${runs.length - failed} passed, ${failed} failed`)
--- a/packages/stand-ins/src/scenario/scenarioRun.ts
+++ b/packages/stand-ins/src/scenario/scenarioRun.ts
@@ -15,7 +15,7 @@
 import { StepRunner } from './steps/stepRunner.js'
 
 /** Time for live VMs to bill the runs of killed ones; their own bills are due when they stop. */
-const REST_LIMIT_MS = 30_000
+const BILLING_TIMEOUT_MS = 30_000
 
 /** Result of a run. */
 export interface ScenarioVerdict {
@@ -23,17 +23,17 @@
   /** Human-readable errors and the first violation; empty when the run passed. */
   readonly report: string
   /** Names of the rules whose promise was broken. */
-  readonly broken: readonly string[]
+  readonly brokenRules: readonly string[]
   readonly folder: string
   readonly records: number
-  readonly ms: number
+  readonly durationMs: number
 }
 
 export interface RunOptions {
   /** Folder for settings, process output and the history. */
   readonly folder: string
   /** Name of the faulty part to bind in all VMs. */
-  readonly weakness?: string | undefined
+  readonly faultyPart?: string | undefined
 }
 
 /** Runs a scenario, writes its history to `history.jsonl` and checks it. */
@@ -41,56 +41,56 @@
   const startedAt = Date.now()
   await mkdir(options.folder, { recursive: true })
   const caller = new TestCaller()
-  const faults: string[] = []
+  const errors: string[] = []
   let records: readonly HistoryRecord[] = []
-  const links = cutsVms(scenario.steps)
-  const fleet = await Fleet.start({ head: scenario.fleet, folder: options.folder, links, weakness: options.weakness })
-    .catch((err: unknown) => { faults.push(`the fleet did not start: ${String(err)}`) })
+  const links = hasCutStep(scenario.steps)
+  const fleet = await Fleet.start({ definition: scenario.fleet, folder: options.folder, links, faultyPart: options.faultyPart })
+    .catch((err: unknown) => { errors.push(`the fleet did not start: ${String(err)}`) })
   if (fleet !== undefined) {
     try {
-      await runSteps(fleet, caller, scenario, faults)
+      await runSteps(fleet, caller, scenario, errors)
       records = [...await fleet.history(), ...caller.records]
     } catch (err) {
-      faults.push(String(err))
+      errors.push(String(err))
     } finally {
-      await fleet.end()
+      await fleet.killAll()
     }
   }
   await writeFile(join(options.folder, 'history.jsonl'), renderHistory(new History(records).records))
-  return verdictOf(faults, checkHistory(records), { folder: options.folder, records: records.length, ms: Date.now() - startedAt })
+  return createVerdict(errors, checkHistory(records), { folder: options.folder, records: records.length, durationMs: Date.now() - startedAt })
 }
 
-async function runSteps (fleet: Fleet, caller: TestCaller, scenario: Scenario, faults: string[]): Promise<void> {
+async function runSteps (fleet: Fleet, caller: TestCaller, scenario: Scenario, errors: string[]): Promise<void> {
   const runner = new StepRunner(fleet, caller, scenario.fleet)
-  await runner.run(scenario.steps).catch((err: Error) => { faults.push(err.message) })
+  await runner.run(scenario.steps).catch((err: Error) => { errors.push(err.message) })
   await fleet.healAll()
-  await runner.finish().catch((err: Error) => { faults.push(err.message) })
-  if (fleet.hasKilled) await waitFor('all bills', REST_LIMIT_MS, async () => (await unbilled(fleet)).length === 0).catch(() => {})
-  const crashed = fleet.crashed()
-  if (crashed.length > 0) faults.push(`VMs exited unexpectedly: ${crashed.join(', ')}`)
-  const bad = await fleet.stopAll()
-  if (bad.length > 0) faults.push(`VMs did not stop cleanly: ${bad.join(', ')}`)
-  fleet.note({ kind: 'settled', at: Date.now() })
+  await runner.finish().catch((err: Error) => { errors.push(err.message) })
+  if (fleet.hasKilledVms) await waitFor('all bills', BILLING_TIMEOUT_MS, async () => (await unbilledRequests(fleet)).length === 0).catch(() => {})
+  const crashed = fleet.crashedVms()
+  if (crashed.length > 0) errors.push(`VMs exited unexpectedly: ${crashed.join(', ')}`)
+  const failedStops = await fleet.stopAll()
+  if (failedStops.length > 0) errors.push(`VMs did not stop cleanly: ${failedStops.join(', ')}`)
+  fleet.addRecord({ kind: 'settled', at: Date.now() })
 }
 
 /** Ids of requests with a finished model run and no bill yet. */
-async function unbilled (fleet: Fleet): Promise<readonly string[]> {
+async function unbilledRequests (fleet: Fleet): Promise<readonly string[]> {
   const history = new History(await fleet.history())
   const bills = history.byRequest('billed')
-  const models = new Set(history.of('ran').filter(run => run.budget !== undefined).map(run => run.requestId))
+  const modelRequestIds = new Set(history.of('ran').filter(run => run.budget !== undefined).map(run => run.requestId))
   return [...history.byRequest('ended')]
-    .filter(([id, ends]) => models.has(id) && ends.some(end => end.state === 'finished') && !bills.has(id))
+    .filter(([id, ends]) => modelRequestIds.has(id) && ends.some(end => end.state === 'finished') && !bills.has(id))
     .map(([id]) => id)
 }
 
-function verdictOf (faults: readonly string[], violations: readonly Violation[], run: { readonly folder: string, readonly records: number, readonly ms: number }): ScenarioVerdict {
+function createVerdict (errors: readonly string[], violations: readonly Violation[], run: { readonly folder: string, readonly records: number, readonly durationMs: number }): ScenarioVerdict {
   const [first] = violations
   const more = violations.length > 1 ? [`and ${violations.length - 1} more`] : []
-  const lines = [...faults, ...first === undefined ? [] : [renderViolation(first)], ...more]
-  const broken = [...new Set(violations.map(violation => violation.rule))]
-  return { ...run, passed: lines.length === 0, report: lines.join('\n'), broken }
+  const lines = [...errors, ...first === undefined ? [] : [renderViolation(first)], ...more]
+  const brokenRules = [...new Set(violations.map(violation => violation.rule))]
+  return { ...run, passed: lines.length === 0, report: lines.join('\n'), brokenRules }
 }
 
-function cutsVms (steps: readonly Step[]): boolean {
-  return steps.some(step => step.verb === 'cut' || (step.verb === 'race' && cutsVms(step.value)))
+function hasCutStep (steps: readonly Step[]): boolean {
+  return steps.some(step => step.verb === 'cut' || (step.verb === 'race' && hasCutStep(step.value)))
 }
--- a/packages/stand-ins/src/scenario/soak/soak.ts
+++ b/packages/stand-ins/src/scenario/soak/soak.ts
@@ -20,22 +20,22 @@
  * Runs random scenarios until the time is over; folders of failed rounds are retained.
  * @returns whether all promises held
  */
-export async function soak ({ seed, minutes, folder, round: only }: SoakOptions): Promise<boolean> {
-  const first = only ?? 0
-  const end = only === undefined ? Date.now() + minutes * MS_PER_MINUTE : Date.now()
-  const broken: string[] = []
+export async function soak ({ seed, minutes, folder, round: onlyRound }: SoakOptions): Promise<boolean> {
+  const first = onlyRound ?? 0
+  const endAt = onlyRound === undefined ? Date.now() + minutes * MS_PER_MINUTE : Date.now()
+  const failedRounds: string[] = []
   let rounds = 0
   do {
     const round = `${seed}-${first + rounds}`
     rounds++
     const verdict = await runScenario(randomScenario(round), { folder: join(folder, round) })
-    console.log(`${verdict.passed ? 'ok    ' : 'FAILED'} round ${round} (${verdict.ms} ms, ${verdict.records} records)`)
+    console.log(`${verdict.passed ? 'ok    ' : 'FAILED'} round ${round} (${verdict.durationMs} ms, ${verdict.records} records)`)
     if (verdict.passed) await rm(verdict.folder, { recursive: true })
     else {
-      broken.push(round)
+      failedRounds.push(round)
       console.log(`${verdict.report}\nhistory: ${verdict.folder}`)
     }
-  } while (Date.now() < end)
-  console.log(`soak: seed ${seed}, ${rounds} rounds, ${broken.length} with broken promises${broken.length === 0 ? '' : `: ${broken.join(' ')}`}`)
-  return broken.length === 0
+  } while (Date.now() < endAt)
+  console.log(`soak: seed ${seed}, ${rounds} rounds, ${failedRounds.length} with broken promises${failedRounds.length === 0 ? '' : `: ${failedRounds.join(' ')}`}`)
+  return failedRounds.length === 0
 }
--- a/packages/stand-ins/src/scenario/steps/operatorSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/operatorSteps.ts
@@ -16,19 +16,19 @@
     const base = step.base ?? await this.fleet.operator.version(url)
     if (base === undefined) throw new Error(`VM ${step.vm} returned no configuration version to patch`)
     const call = { base, patchId: step.id, patch: step.ops }
-    await this.insist(`patch ${step.id}`, step, async () => await this.fleet.operator.patch(url, call))
-    for (const runner of step.ops.flatMap(leavingRunner)) this.fleet.note({ kind: 'runnerLeaving', at: Date.now(), runner })
+    await this.sendAndCheck(`patch ${step.id}`, step, async () => await this.fleet.operator.patch(url, call))
+    for (const runner of step.ops.flatMap(leavingRunners)) this.fleet.addRecord({ kind: 'runnerLeaving', at: Date.now(), runner })
   }
 
   async topUp (step: TopUpStep): Promise<void> {
     const url = this.fleet.vm(step.vm).operatorsUrl
-    await this.insist(`top-up ${step.id}`, step, async () => await this.fleet.operator.topUp(url, step.budget, step.id, step.tokens))
+    await this.sendAndCheck(`top-up ${step.id}`, step, async () => await this.fleet.operator.topUp(url, step.budget, step.id, step.tokens))
   }
 
-  private async insist (what: string, step: PatchStep | TopUpStep, call: () => Promise<OperatorOutcome>): Promise<void> {
+  private async sendAndCheck (description: string, step: PatchStep | TopUpStep, call: () => Promise<OperatorOutcome>): Promise<void> {
     const outcomes: OperatorOutcome[] = []
-    for (let number = 0; number <= step.retries; number++) {
-      if (number > 0) await sleep(RETRY_PAUSE_MS)
+    for (let retry = 0; retry <= step.retries; retry++) {
+      if (retry > 0) await sleep(RETRY_PAUSE_MS)
       const outcome = await call()
       outcomes.push(outcome)
       if (isAccepted(outcome) || isFinal(outcome)) break
@@ -36,7 +36,7 @@
     const last = outcomes.at(-1)
     const found = last !== undefined && isAccepted(last) ? 'accepted' : 'refused'
     if (step.expect === 'any' || step.expect === found) return
-    throw new Error(`${what} was expected to be ${step.expect}, but: ${outcomes.map(({ status, name }) => `${status} ${name ?? ''}`).join(', ')}`)
+    throw new Error(`${description} was expected to be ${step.expect}, but: ${outcomes.map(({ status, name }) => `${status} ${name ?? ''}`).join(', ')}`)
   }
 }
 
@@ -50,7 +50,7 @@
 }
 
 /** The runner that an operation sets to leaving. */
-function leavingRunner (op: Readonly<Record<string, unknown>>): readonly string[] {
+function leavingRunners (op: Readonly<Record<string, unknown>>): readonly string[] {
   const runner = /\/runners\/([^/]+)\/state$/.exec(String(op['path']))?.[1]
   return runner === undefined || op['value'] !== 'leaving' ? [] : [runner]
 }
--- a/packages/stand-ins/src/scenario/steps/requestBook.ts
+++ b/packages/stand-ins/src/scenario/steps/requestBook.ts
@@ -2,19 +2,19 @@
  * Requests of a scenario by the names that its steps assign, with all attempts of each.
  */
 import { bodyDigest, keyedRequestId } from '@rosemaryspread/decisions/request/requestIdentity.js'
-import type { Ask, RequestSpec } from '../callers/callerTypes.js'
+import type { Attempt, RequestSpec } from '../callers/callerTypes.js'
 import { teamKey } from '../fleet/fleetConfig.js'
-import type { FleetHead, LoadStep, RequestStep } from '../language/scenarioSchema.js'
+import type { FleetDefinition, LoadStep, RequestStep } from '../language/scenarioSchema.js'
 
 export interface NamedRequest {
   readonly spec: RequestSpec
-  readonly asks: Ask[]
+  readonly attempts: Attempt[]
 }
 
-export class RequestBook {
+export class RequestRegistry {
   private readonly requests = new Map<string, NamedRequest>()
 
-  constructor (private readonly head: FleetHead) {}
+  constructor (private readonly definition: FleetDefinition) {}
 
   /** The request of this name; throws when the scenario has none. */
   get (name: string): NamedRequest {
@@ -25,7 +25,7 @@
 
   /** Registers a request. */
   add (name: string, spec: RequestSpec): NamedRequest {
-    const request = { spec, asks: [] }
+    const request = { spec, attempts: [] }
     this.requests.set(name, request)
     return request
   }
@@ -34,15 +34,15 @@
    * Registers a repeat of a request under the same idempotency key.
    * @param otherBody - whether to send a different body under that key
    */
-  repeat (of: string, as: string, otherBody: boolean): NamedRequest {
-    const { spec } = this.get(of)
-    if (!otherBody) return this.add(as, spec)
+  repeat (originalName: string, repeatName: string, otherBody: boolean): NamedRequest {
+    const { spec } = this.get(originalName)
+    if (!otherBody) return this.add(repeatName, spec)
     const body = spec.body.replace(/^\{/, '{"other":true,')
-    return this.add(as, { ...spec, body, digest: bodyDigest(body) })
+    return this.add(repeatName, { ...spec, body, digest: bodyDigest(body) })
   }
 
   /** Builds the request of a `request` step. */
-  specOf (step: RequestStep): RequestSpec {
+  createSpec (step: RequestStep): RequestSpec {
     if (step.service !== undefined) return this.serviceSpec(step, step.service)
     return this.modelSpec(step.team, step.model ?? '', step.key, step.tokens, step.prompt ?? `request ${step.as}`, step.timeoutMs)
   }
@@ -51,7 +51,7 @@
    * Builds one request of a `load` step.
    * @param index - position within the load
    */
-  loadSpecOf (step: LoadStep, index: number): RequestSpec {
+  createLoadSpec (step: LoadStep, index: number): RequestSpec {
     const name = `${step.as}-${index}`
     return this.modelSpec(step.team, step.model, name, step.tokens, `request ${name}`, undefined)
   }
@@ -63,8 +63,8 @@
 
   private serviceSpec (step: RequestStep, service: string): RequestSpec {
     const body = JSON.stringify({ order: step.prompt ?? step.as })
-    const patterns = this.head.services[service]?.notRepeatable ?? ['/*']
-    const repeatable = !patterns.some(pattern => fits(step.path, pattern))
+    const patterns = this.definition.services[service]?.notRepeatable ?? ['/*']
+    const repeatable = !patterns.some(pattern => matchesPattern(step.path, pattern))
     const common = this.commonSpec(step.team, step.key, body, step.timeoutMs)
     return { ...common, path: `/v1/services/${service}${step.path}`, repeatable, streamed: false }
   }
@@ -82,6 +82,6 @@
   }
 }
 
-function fits (path: string, pattern: string): boolean {
+function matchesPattern (path: string, pattern: string): boolean {
   return pattern.endsWith('*') ? path.startsWith(pattern.slice(0, -1)) : path === pattern
 }
--- a/packages/stand-ins/src/scenario/steps/requestSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/requestSteps.ts
@@ -6,14 +6,14 @@
 import type { TestCaller } from '../callers/testCaller.js'
 import type { Fleet } from '../fleet/fleet.js'
 import type { Expectation, LoadStep, RepeatStep, RequestStep } from '../language/scenarioSchema.js'
-import { describeOutcome, fitsExpectation, mayRetry } from './outcomeText.js'
-import type { NamedRequest, RequestBook } from './requestBook.js'
+import { describeOutcome, meetsExpectation, isRetryable } from './outcomeText.js'
+import type { NamedRequest, RequestRegistry } from './requestBook.js'
 
 const RETRY_PAUSE_MS = 100
-const LONGEST_RETRY_PAUSE_MS = 5_000
+const MAX_RETRY_PAUSE_MS = 5_000
 
 /** How a request is retried and what outcome is expected. */
-interface Tries {
+interface RetryOptions {
   readonly vm: readonly string[]
   readonly retries: number
   readonly followRetryAfter: boolean
@@ -28,14 +28,14 @@
 export class RequestSteps {
   readonly loads = new Map<string, LoadProgress>()
 
-  constructor (private readonly fleet: Fleet, private readonly caller: TestCaller, private readonly book: RequestBook) {}
+  constructor (private readonly fleet: Fleet, private readonly caller: TestCaller, private readonly registry: RequestRegistry) {}
 
   async request (step: RequestStep): Promise<void> {
-    await this.insist(step.as, this.book.add(step.as, this.book.specOf(step)), step)
+    await this.sendAndCheck(step.as, this.registry.add(step.as, this.registry.createSpec(step)), step)
   }
 
   async repeat (step: RepeatStep): Promise<void> {
-    await this.insist(step.as, this.book.repeat(step.of, step.as, step.otherBody), step)
+    await this.sendAndCheck(step.as, this.registry.repeat(step.of, step.as, step.otherBody), step)
   }
 
   /** Sends many requests, `parallel` at a time. */
@@ -46,41 +46,41 @@
     const worker = async (): Promise<void> => {
       while (next < step.count) {
         const index = next++
-        await this.loadOne(step, index, progress)
+        await this.sendOne(step, index, progress)
         if (step.pauseMs > 0) await sleep(step.pauseMs)
       }
     }
     await Promise.all(Array.from({ length: step.parallel }, worker))
   }
 
-  private async loadOne (step: LoadStep, index: number, progress: LoadProgress): Promise<void> {
+  private async sendOne (step: LoadStep, index: number, progress: LoadProgress): Promise<void> {
     const name = `${step.as}-${index}`
-    const request = this.book.add(name, this.book.loadSpecOf(step, index))
-    const vms = step.vm.map((_, place) => step.vm[(index + place) % step.vm.length]!)
-    await this.insist(name, request, { ...step, vm: vms })
+    const request = this.registry.add(name, this.registry.createLoadSpec(step, index))
+    const vms = step.vm.map((_, offset) => step.vm[(index + offset) % step.vm.length]!)
+    await this.sendAndCheck(name, request, { ...step, vm: vms })
     progress.ended++
-    if (fitsExpectation(request.asks.at(-1), 'answered')) progress.answered++
+    if (meetsExpectation(request.attempts.at(-1), 'answered')) progress.answered++
   }
 
-  private async insist (name: string, request: NamedRequest, tries: Tries): Promise<void> {
-    await this.ask(request, tries)
-    const last = request.asks.at(-1)
-    if (fitsExpectation(last, tries.expect)) return
-    const all = request.asks.map(describeOutcome).join(', ')
-    throw new Error(`request ${name} was expected to be ${JSON.stringify(tries.expect)}, but: ${all}`)
+  private async sendAndCheck (name: string, request: NamedRequest, options: RetryOptions): Promise<void> {
+    await this.ask(request, options)
+    const last = request.attempts.at(-1)
+    if (meetsExpectation(last, options.expect)) return
+    const all = request.attempts.map(describeOutcome).join(', ')
+    throw new Error(`request ${name} was expected to be ${JSON.stringify(options.expect)}, but: ${all}`)
   }
 
-  private async ask (request: NamedRequest, tries: Tries): Promise<void> {
-    for (let number = 0; number <= tries.retries; number++) {
-      const vm = tries.vm[number % tries.vm.length]!
-      const ask = await this.once(request, request.spec, vm)
-      if (!mayRetry(ask) || number === tries.retries) return
-      const wanted = tries.followRetryAfter ? ask.refusal?.retryAfterMs ?? RETRY_PAUSE_MS : RETRY_PAUSE_MS
-      await sleep(Math.min(wanted, LONGEST_RETRY_PAUSE_MS))
+  private async ask (request: NamedRequest, options: RetryOptions): Promise<void> {
+    for (let retry = 0; retry <= options.retries; retry++) {
+      const vm = options.vm[retry % options.vm.length]!
+      const attempt = await this.once(request, request.spec, vm)
+      if (!isRetryable(attempt) || retry === options.retries) return
+      const pauseMs = options.followRetryAfter ? attempt.refusal?.retryAfterMs ?? RETRY_PAUSE_MS : RETRY_PAUSE_MS
+      await sleep(Math.min(pauseMs, MAX_RETRY_PAUSE_MS))
     }
   }
 
   private async once (request: NamedRequest, spec: RequestSpec, vm: string) {
-    return await this.caller.ask(spec, vm, this.fleet.vm(vm).callersUrl, ask => { request.asks.push(ask) })
+    return await this.caller.ask(spec, vm, this.fleet.vm(vm).callersUrl, ask => { request.attempts.push(ask) })
   }
 }
--- a/packages/stand-ins/src/scenario/weak/weakConfig.ts
+++ b/packages/stand-ins/src/scenario/weak/weakConfig.ts
@@ -7,23 +7,23 @@
 import { initialConfig } from '@rosemaryspread/decisions/config/configPatch.js'
 
 /** Starts with version 0 whatever was in force before a restart. */
-export class ForgetfulConfigHolder extends MonotonicConfigDecider implements ConfigDecider {
-  private begun = false
+export class ForgetfulConfigDecider extends MonotonicConfigDecider implements ConfigDecider {
+  private hasStarted = false
 
   constructor () {
     super(initialConfig())
   }
 
   override decide (event: ConfigEvent, now: Instant): readonly ConfigAction[] {
-    if (this.begun) return super.decide(event, now)
-    this.begun = true
+    if (this.hasStarted) return super.decide(event, now)
+    this.hasStarted = true
     const first = super.decide({ kind: 'accepted', source: 'snapshot', held: initialConfig() }, now)
     return [...first, ...super.decide(event, now)]
   }
 }
 
 /** Ignores versions from other VMs and the table once one is in force. */
-export class StuckConfigHolder extends MonotonicConfigDecider implements ConfigDecider {
+export class StuckConfigDecider extends MonotonicConfigDecider implements ConfigDecider {
   constructor () {
     super(initialConfig())
   }
--- a/packages/stand-ins/src/scenario/weak/weakEngines.ts
+++ b/packages/stand-ins/src/scenario/weak/weakEngines.ts
@@ -11,11 +11,11 @@
 /** Reports a cut stream as one that ended normally. */
 export function cutIsWhole (engines: EngineClient): Partial<EngineClient> {
   return {
-    submit: async (address, req) => withEvents(await engines.submit(address, req), events => untilCut(events, req.requestId))
+    submit: async (address, req) => mapEvents(await engines.submit(address, req), events => endAtCut(events, req.requestId))
   }
 }
 
-async function * untilCut (events: AsyncIterable<EngineEvent>, requestId: string): AsyncIterable<EngineEvent> {
+async function * endAtCut (events: AsyncIterable<EngineEvent>, requestId: string): AsyncIterable<EngineEvent> {
   try {
     for await (const event of events) yield event
   } catch {}
@@ -34,6 +34,6 @@
   }
 }
 
-function withEvents (opened: Either<Failure, EngineStream>, change: (events: AsyncIterable<EngineEvent>) => AsyncIterable<EngineEvent>): Either<Failure, EngineStream> {
-  return opened.map(stream => ({ holder: stream.holder, events: change(stream.events), close: () => { stream.close() } }))
+function mapEvents (result: Either<Failure, EngineStream>, change: (events: AsyncIterable<EngineEvent>) => AsyncIterable<EngineEvent>): Either<Failure, EngineStream> {
+  return result.map(stream => ({ holder: stream.holder, events: change(stream.events), close: () => { stream.close() } }))
 }
--- a/packages/stand-ins/src/scenario/weak/weaken.ts
+++ b/packages/stand-ins/src/scenario/weak/weaken.ts
@@ -8,10 +8,10 @@
  * @param container - the container of one VM, before anything is started
  * @param createMembers - creates the replacements from the bound service
  */
-export function weaken<Part extends object> (container: Container, id: ServiceIdentifier<Part>, change: (part: Part) => Partial<Part>): void {
-  const part = container.get(id)
-  const replaced = change(part)
-  const weak = new Proxy(part, {
+export function overrideMembers<Part extends object> (container: Container, id: ServiceIdentifier<Part>, createMembers: (service: Part) => Partial<Part>): void {
+  const service = container.get(id)
+  const replaced = createMembers(service)
+  const overridden = new Proxy(service, {
     get: (target, name) => {
       if (Object.hasOwn(replaced, name)) return Reflect.get(replaced, name) as unknown
       const member: unknown = Reflect.get(target, name, target)
@@ -19,5 +19,5 @@
     },
     set: (target, name, value) => Reflect.set(target, name, value, target)
   })
-  container.rebind(id).toConstantValue(weak)
+  container.rebind(id).toConstantValue(overridden)
 }
--- a/packages/stand-ins/src/scenario/weak/weaknesses.ts
+++ b/packages/stand-ins/src/scenario/weak/weaknesses.ts
@@ -12,23 +12,23 @@
 import type { Reservation } from 'rosemaryspread/budget/budgetPort.js'
 import { ids } from 'rosemaryspread/compose/serviceIds.js'
 import { ConfigStore } from 'rosemaryspread/config/configStore.js'
-import { ForgetfulConfigHolder, StuckConfigHolder } from './weakConfig.js'
+import { ForgetfulConfigDecider, StuckConfigDecider } from './weakConfig.js'
 import { allRunsAreOurs, cutIsWhole } from './weakEngines.js'
-import { weaken } from './weaken.js'
+import { overrideMembers } from './weaken.js'
 
 /** Binds a faulty part in the container of one VM. */
-export type Weakness = (container: Container) => void
+export type FaultyPart = (container: Container) => void
 
 /** Drops the checks of transactions on the given tables. */
-function uncheckedTables (tables: readonly string[]): Weakness {
-  return container => weaken(container, ids.table, (table): Partial<TableStore> => ({
+function dropChecksOf (tables: readonly string[]): FaultyPart {
+  return container => overrideMembers(container, ids.table, (table): Partial<TableStore> => ({
     transact: async tx => await table.transact({ ...tx, checks: tx.checks.filter(check => !tables.includes(check.table)) })
   }))
 }
 
 /** Admits requests that the budget refuses. */
 function admitsAll (container: Container): void {
-  weaken(container, ids.budgets, budgets => {
+  overrideMembers(container, ids.budgets, budgets => {
     const invented = new Set<string>()
     return {
       reserve: async (budget, tokens, giveUpAfterMs) => {
@@ -46,7 +46,7 @@
 
 /** Reports a call whose answer was lost as not run. */
 function lostIsNotRun (container: Container): void {
-  weaken(container, ids.applications, applications => ({
+  overrideMembers(container, ids.applications, applications => ({
     call: async (address, call) => (await applications.call(address, call))
       .chainLeft(({ code, message }) => Left(new Failure(code, message, { ran: 'no' })))
   }))
@@ -54,7 +54,7 @@
 
 /** Continues to use runners that the configuration marks as leaving. */
 function ignoresLeaving (container: Container): void {
-  weaken(container, ids.routing, routing => ({ configure: config => { routing.configure(allActive(config)) } }))
+  overrideMembers(container, ids.routing, routing => ({ configure: config => { routing.configure(allActive(config)) } }))
 }
 
 function allActive (config: FleetConfig): FleetConfig {
@@ -63,7 +63,7 @@
 }
 
 /** Replaces the decider of the configuration version in force. */
-function versionsBy (container: Container, decider: ConfigDecider): void {
+function useConfigDecider (container: Container, decider: ConfigDecider): void {
   const parts = {
     table: container.get(ids.table),
     objects: container.get(ids.objects),
@@ -82,30 +82,30 @@
 
 /** Continues to act in a role under the first fencing number it acquired. */
 function staleLease (container: Container): void {
-  weaken(container, ids.placementLease, lease => {
-    let last: number | undefined
+  overrideMembers(container, ids.placementLease, lease => {
+    let firstFencing: number | undefined
     return {
-      mayAct: () => last !== undefined,
+      mayAct: () => firstFencing !== undefined,
       fencing: () => {
-        const held = lease.fencing().ifRight(fencing => { last ??= fencing })
-        return last === undefined ? held : Right(last)
+        const current = lease.fencing().ifRight(fencing => { firstFencing ??= fencing })
+        return firstFencing === undefined ? current : Right(firstFencing)
       }
     }
   })
 }
 
 /** Faulty parts by name; `abruptStop` is implemented by the entry point. */
-export const weaknesses: Readonly<Record<string, Weakness>> = {
-  uncheckedClaims: uncheckedTables(['claims']),
-  uncheckedVersions: uncheckedTables([CURRENT_TABLE, VERSION_TABLE, PATCH_TABLE]),
+export const faultyParts: Readonly<Record<string, FaultyPart>> = {
+  uncheckedClaims: dropChecksOf(['claims']),
+  uncheckedVersions: dropChecksOf([CURRENT_TABLE, VERSION_TABLE, PATCH_TABLE]),
   admitsAll,
   lostIsNotRun,
   ignoresLeaving,
   staleLease,
-  forgetsVersion: container => versionsBy(container, new ForgetfulConfigHolder()),
-  stuckVersion: container => versionsBy(container, new StuckConfigHolder()),
-  cutIsWhole: container => weaken(container, ids.engines, cutIsWhole),
-  allRunsAreOurs: container => weaken(container, ids.engines, allRunsAreOurs),
-  noRecovery: container => weaken(container, ids.budgets, () => ({ recoverTerminated: async () => {} })),
+  forgetsVersion: container => useConfigDecider(container, new ForgetfulConfigDecider()),
+  stuckVersion: container => useConfigDecider(container, new StuckConfigDecider()),
+  cutIsWhole: container => overrideMembers(container, ids.engines, cutIsWhole),
+  allRunsAreOurs: container => overrideMembers(container, ids.engines, allRunsAreOurs),
+  noRecovery: container => overrideMembers(container, ids.budgets, () => ({ recoverTerminated: async () => {} })),
   abruptStop: () => {}
 }
--- a/packages/stand-ins/src/scenario/weakVmMain.ts
+++ b/packages/stand-ins/src/scenario/weakVmMain.ts
@@ -5,25 +5,25 @@
 import { ids } from 'rosemaryspread/compose/serviceIds.js'
 import { loadSettings } from 'rosemaryspread/settings/settingsLoader.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { weaknesses } from './weak/weaknesses.js'
+import { faultyParts } from './weak/weaknesses.js'
 
 const EXIT_USAGE = 2
 
 async function main (): Promise<void> {
-  const [name = '', file = ''] = process.argv.slice(2)
-  const weakness = weaknesses[name]
-  if (weakness === undefined) {
-    console.error(`unknown faulty part '${name}'; use one of: ${Object.keys(weaknesses).join(', ')}`)
+  const [faultyPart = '', settingsFile = ''] = process.argv.slice(2)
+  const bindFaultyPart = faultyParts[faultyPart]
+  if (bindFaultyPart === undefined) {
+    console.error(`unknown faulty part '${faultyPart}'; use one of: ${Object.keys(faultyParts).join(', ')}`)
     process.exit(EXIT_USAGE)
   }
-  const settings = (await loadSettings(file)).unsafeCoerce()
+  const settings = (await loadSettings(settingsFile)).unsafeCoerce()
   let log: EventLog | undefined
   const vm = composeVm(settings, container => {
     log = container.get(ids.log)
-    weakness(container)
+    bindFaultyPart(container)
   })
   const stop = (): void => {
-    if (name === 'abruptStop') {
+    if (faultyPart === 'abruptStop') {
       log?.write('draining', { open: 0 })
       process.exit(0)
     }
