--- a/packages/stand-ins/src/demo/demoSteps.ts
+++ b/packages/stand-ins/src/demo/demoSteps.ts
@@ -6,7 +6,7 @@
 import { checkHistory, renderViolation } from '../history/historyChecker.js'
 import { History } from '../history/history.js'
 import type { Attempt } from '../scenario/callers/callerTypes.js'
-import { waitFor } from '../scenario/fleet/waiting.js'
+import { waitFor } from '../scenario/fleet/waitFor.js'
 import type { DemoContext } from './demoContext.js'
 
 const SHORT_ANSWER_TOKENS = 24
--- a/packages/stand-ins/src/scenario/weakVmMain.ts
+++ b/packages/stand-ins/src/scenario/faultyVmMain.ts
@@ -5,7 +5,7 @@
 import { ids } from 'rosemaryspread/compose/serviceIds.js'
 import { loadSettings } from 'rosemaryspread/settings/settingsLoader.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
-import { faultyParts } from './weak/weaknesses.js'
+import { faultyParts } from './weak/faultyParts.js'
 
 const EXIT_USAGE = 2
 
--- a/packages/stand-ins/src/scenario/fleet/fakeLink.spec.ts
+++ b/packages/stand-ins/src/scenario/fleet/fakeLink.spec.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai'
 import { FakeLink, type LinkState } from './fakeLink.js'
 import { allocatePort } from './freePorts.js'
-import { waitFor } from './waiting.js'
+import { waitFor } from './waitFor.js'
 
 const WAIT_TIMEOUT_MS = 10_000
 
--- a/packages/stand-ins/src/scenario/fleet/fleet.ts
+++ b/packages/stand-ins/src/scenario/fleet/fleet.ts
@@ -11,7 +11,7 @@
 import { Network } from './network.js'
 import { StandInProcess } from './standInProcess.js'
 import { VmProcess } from './vmProcess.js'
-import { waitFor } from './waiting.js'
+import { waitFor } from './waitFor.js'
 
 const PLATFORM = ['table', 'objects', 'weights', 'vm-list'] as const
 const VM_LIST_LAG_MS = 300
--- a/packages/stand-ins/src/scenario/fleet/standInProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/standInProcess.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from 'node:url'
 import { parseHistory } from '../../history/historyFile.js'
 import type { HistoryRecord } from '../../history/historyTypes.js'
-import { waitFor } from './waiting.js'
+import { waitFor } from './waitFor.js'
 import { ManagedProcess } from './managedProcess.js'
 
 const STAND_IN_MAIN = fileURLToPath(new URL('../../cli/standInMain.js', import.meta.url))
--- a/packages/stand-ins/src/scenario/fleet/vmProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/vmProcess.ts
@@ -10,7 +10,7 @@
 import type { HistoryRecord } from '../../history/historyTypes.js'
 import { ManagedProcess } from './managedProcess.js'
 import { toHistoryRecord, parseLogLine, type LogLine } from './vmLog.js'
-import { waitFor } from './waiting.js'
+import { waitFor } from './waitFor.js'
 
 const SERVE_MAIN = fileURLToPath(import.meta.resolve('rosemaryspread/cli/serveMain.js'))
 const FAULTY_VM_MAIN = fileURLToPath(new URL('../faultyVmMain.js', import.meta.url))
--- a/packages/stand-ins/src/scenario/scenarioRun.ts
+++ b/packages/stand-ins/src/scenario/scenarioRun.ts
@@ -10,7 +10,7 @@
 import type { HistoryRecord } from '../history/historyTypes.js'
 import { TestCaller } from './callers/testCaller.js'
 import { Fleet } from './fleet/fleet.js'
-import { waitFor } from './fleet/waiting.js'
+import { waitFor } from './fleet/waitFor.js'
 import type { Scenario, Step } from './language/scenarioSchema.js'
 import { StepRunner } from './steps/stepRunner.js'
 
--- a/packages/stand-ins/src/scenario/steps/conditions.ts
+++ b/packages/stand-ins/src/scenario/steps/conditions.ts
@@ -5,7 +5,7 @@
 import type { Fleet } from '../fleet/fleet.js'
 import type { Condition } from '../language/scenarioSchema.js'
 import { describeOutcome, meetsExpectation } from './outcomeText.js'
-import type { RequestRegistry } from './requestBook.js'
+import type { RequestRegistry } from './requestRegistry.js'
 import type { RequestSteps } from './requestSteps.js'
 
 export class Conditions {
--- a/packages/stand-ins/src/scenario/steps/requestSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/requestSteps.ts
@@ -7,7 +7,7 @@
 import type { Fleet } from '../fleet/fleet.js'
 import type { Expectation, LoadStep, RepeatStep, RequestStep } from '../language/scenarioSchema.js'
 import { describeOutcome, meetsExpectation, isRetryable } from './outcomeText.js'
-import type { NamedRequest, RequestRegistry } from './requestBook.js'
+import type { NamedRequest, RequestRegistry } from './requestRegistry.js'
 
 const RETRY_PAUSE_MS = 100
 const MAX_RETRY_PAUSE_MS = 5_000
--- a/packages/stand-ins/src/scenario/steps/stepRunner.ts
+++ b/packages/stand-ins/src/scenario/steps/stepRunner.ts
@@ -4,11 +4,11 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { TestCaller } from '../callers/testCaller.js'
 import type { Fleet } from '../fleet/fleet.js'
-import { waitFor } from '../fleet/waiting.js'
+import { waitFor } from '../fleet/waitFor.js'
 import type { FleetDefinition, Step } from '../language/scenarioSchema.js'
 import { Conditions } from './conditions.js'
 import { OperatorSteps } from './operatorSteps.js'
-import { RequestRegistry } from './requestBook.js'
+import { RequestRegistry } from './requestRegistry.js'
 import { RequestSteps } from './requestSteps.js'
 
 /** Failure of a step, with its line in the scenario file. */
--- a/packages/stand-ins/src/scenario/weak/weaknesses.ts
+++ b/packages/stand-ins/src/scenario/weak/faultyParts.ts
@@ -12,9 +12,9 @@
 import type { Reservation } from 'rosemaryspread/budget/budgetPort.js'
 import { ids } from 'rosemaryspread/compose/serviceIds.js'
 import { ConfigStore } from 'rosemaryspread/config/configStore.js'
-import { ForgetfulConfigDecider, StuckConfigDecider } from './weakConfig.js'
-import { allRunsAreOurs, cutIsWhole } from './weakEngines.js'
-import { overrideMembers } from './weaken.js'
+import { ForgetfulConfigDecider, StuckConfigDecider } from './faultyConfig.js'
+import { allRunsAreOurs, cutIsWhole } from './faultyEngines.js'
+import { overrideMembers } from './overrideMembers.js'
 
 /** Binds a faulty part in the container of one VM. */
 export type FaultyPart = (container: Container) => void
