--- a/packages/stand-ins/src/measure/capacityBench.ts
+++ b/packages/stand-ins/src/measure/capacityBench.ts
@@ -1,7 +1,6 @@
 /**
- * `npm run bench -- capacity`: slopes of what one VM, the table service, the object store and
- * placement spend, by the sizes that grow towards the target. Each probe runs in a fresh process;
- * those that measure processor time run alone, the others a few at once.
+ * `npm run bench -- capacity`: how the resource use of a VM, the table service, the object store and placement grows with the
+ * size of the fleet. Each probe runs in a fresh process; probes that measure processor time run alone, others concurrently.
  */
 import { execFile } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
@@ -14,12 +13,11 @@
 const PROBE_MAIN = fileURLToPath(new URL('./capacity/probeMain.js', import.meta.url))
 const LIMIT_MS = 120_000
 const MAX_BYTES = 4 * 1024 * 1024
-/** Probes of counts and heap that run at once. */
+/** Applies to probes that measure only counts and heap. */
 const AT_ONCE = 3
 
 const run = promisify(execFile)
 
-/** Slopes of all roles. */
 export const capacityBench: Measurement = {
   group: 'bench',
   name: 'capacity',
--- a/packages/stand-ins/src/measure/configMeasure.ts
+++ b/packages/stand-ins/src/measure/configMeasure.ts
@@ -1,5 +1,5 @@
 /**
- * Measurements of the configuration: how soon a version is in force, and what it costs.
+ * Measurements of configuration propagation: time until a version is in force, messages, bytes and processor time.
  */
 import { measureSizes } from './config/sizeCost.js'
 import { measureSpreadTimes } from './config/spreadTimes.js'
@@ -7,7 +7,6 @@
 import { measureWire } from './config/wireCost.js'
 import type { Measurement } from './measureTypes.js'
 
-/** Time until a version is in force on all six VMs. */
 export const configMeasure: Measurement = {
   group: 'measure',
   name: 'config',
@@ -15,7 +14,6 @@
   run: async ({ seed }) => await measureSpreadTimes(seed)
 }
 
-/** Messages and bytes by the number of VMs. */
 export const configTrafficMeasure: Measurement = {
   group: 'measure',
   name: 'config-traffic',
@@ -23,7 +21,6 @@
   run: async ({ seed }) => await measureTraffic(seed)
 }
 
-/** One poll and one push on the wire. */
 export const configWireMeasure: Measurement = {
   group: 'measure',
   name: 'config-wire',
@@ -31,7 +28,6 @@
   run: async () => await measureWire()
 }
 
-/** Size and processor time by the number of teams. */
 export const configSizeMeasure: Measurement = {
   group: 'measure',
   name: 'config-size',
--- a/packages/stand-ins/src/measure/gateway/fleetMeasure.ts
+++ b/packages/stand-ins/src/measure/gateway/fleetMeasure.ts
@@ -1,13 +1,13 @@
 /**
- * `npm run measure -- fleet`: refusals for tokens that were paid for, in a fleet that serves until its budgets are used: on a calm
- * day, and where it is cut off from the store for seven seconds and then ends whole.
+ * `npm run measure -- fleet`: requests refused although their budget has prepaid tokens left, in a fleet that serves until its
+ * budgets are used up: without faults, and with a store outage of seven seconds followed by a restart of all VMs.
  */
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 import { GatewayFleet, type FleetCounts, type FleetShape } from './gatewayFleet.js'
 
 const SEEDS = ['s1', 's2', 's3']
 const SETTLE_MS = 8_000
-/** Traffic is counted in spans of so much; a day is some before the cut, some until the end, and the rest. */
+/** Traffic is counted in spans of this length: before the store outage, from its start to the restart, and after the restart. */
 const SPAN_MS = 2_000
 const CALM_SPANS = 3
 const CUT_SPANS = 5
@@ -24,11 +24,10 @@
 const large: Omit<FleetShape, 'seed'> = { vms: 79, teams: 24, readsPerS: 6_000, writesPerS: 1_500, requestsPerS: 232, paidPart: 1, paidForMs: 30_000, kinds }
 const shapes = [large, { ...large, vms: 6, teams: 10, readsPerS: 2_000, writesPerS: 600, requestsPerS: 85 }]
 
-/** Refusals for tokens of whole fleets. */
 export const fleetMeasure: Measurement = {
   group: 'measure',
   name: 'fleet',
-  title: 'refusals for tokens that were paid for, of a fleet on a calm day, and cut off and then ended',
+  title: 'requests refused despite prepaid tokens, in a stable fleet and in one with a store outage and restart',
   run: async () => {
     const rows: MeasureRow[] = []
     for (const shape of shapes) for (const isEnded of [false, true]) for (const seed of SEEDS) rows.push(await rowOf({ ...shape, seed }, isEnded))
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
@@ -1,12 +1,7 @@
 /**
- * Users of a fleet of 60 VMs with 24 prepaid teams saw a third of all requests refused for tokens in the first
- * ten seconds of a calm day, and up to half in the two seconds after all open connections went silent; a fleet of
- * six never did. Order of events: callers spread over all VMs, so each VM holds a sixtieth of each budget and may
- * use a tenth of that before it reports; that is less than one large request, so nearly every request waits for a
- * report, a draw or a gift; those crowd the store with draws that conflict, and whatever holds up the store for a
- * moment refuses what waits. Evidence: in this play, where processor time costs nothing, 443 of 1,563 requests of
- * six calm seconds are refused, 405 of 526 in two seconds of silence, with `budgetPending` and `budgetUnreported`
- * alone while three quarters of what was paid are unused; six VMs with the same traffic each refuse none when calm.
+ * Guards against refusals with `budgetPending` and `budgetUnreported` in a fleet of 60 VMs while prepaid tokens are left. Each VM
+ * holds a sixtieth of a budget and may use a tenth of that before it reports, which is less than one large request. If requests
+ * therefore wait for a report, a draw or a grant, the conflicting draws overload the store, and any store delay refuses the waiters.
  */
 import { expect } from 'chai'
 import { GatewayFleet, type FleetCounts, type FleetShape } from './gatewayFleet.js'
@@ -32,7 +27,7 @@
 const refusedPart = ({ asked, refused }: FleetCounts): number => refused / asked
 
 describe('GatewayFleet', () => {
-  it('has few VMs look for ended holders, however many there are', async () => {
+  it('lets only a few VMs look for terminated holders, whatever the fleet size', async () => {
     const calls: number[] = []
     for (const vms of [6, 60]) {
       const fleet = new GatewayFleet({ ...shape, vms })
@@ -45,14 +40,12 @@
   })
 
   /*
-   * Story: all VMs of a fleet of 79 lost power and were back after a second, and service did not come back: two seconds windows earned 0.1 to 0.3 of
-   * their worth to the end of the day. Order of events: nobody holds tokens, every request waits for some, and each VM at which one
-   * waits draws from the table though it owns none of the budget; 24 rows are drawn on by 20 VMs each, transactions queue for a second in
-   * the store, and the row has changed by the time that they are carried out. Evidence: in this play, 1,175 conflicts against 291 writes in
-   * five seconds, 87 of 100 requests refused as `budgetPending` from then on, with two thirds of what was paid unused and 2,100 calls of the store a second.
+   * After a restart of all VMs nobody holds tokens and every request waits. If each VM with a waiting request draws from the table,
+   * also for budgets that it does not own, each of the 24 rows is drawn on by about 20 VMs. Transactions then queue for a second in
+   * the store and conflict, and the fleet keeps refusing with `budgetPending` while most prepaid tokens are unused.
    */
   for (const [name, restMs] of [['at once', 0], ['after two seconds', 2_000]] as const) {
-    it(`serves again when all VMs ended and callers come back ${name}`, async () => {
+    it(`recovers from a restart of all VMs when callers return ${name}`, async () => {
       const fleet = new GatewayFleet({ ...shape, vms: 79 })
       await fleet.time.run(SETTLE_MS)
       await fleet.serve(6_000)
@@ -70,10 +63,10 @@
   const cases: ReadonlyArray<{ readonly name: string, readonly over: Partial<FleetShape> }> = [
     { name: 'six VMs', over: { vms: 6, readsPerS: 2_000, writesPerS: 600, requestsPerS: 60 } },
     { name: 'sixty VMs', over: {} },
-    { name: 'sixty VMs, where the callers of the largest team keep to one', over: { isLargestKept: true } }
+    { name: 'sixty VMs, where the callers of the largest team all use one of them', over: { isLargestKept: true } }
   ]
   for (const { name, over } of cases) {
-    it(`refuses next to nobody for tokens that were paid for, with ${name}, also once all connections went silent`, async () => {
+    it(`refuses almost no request that prepaid tokens cover, with ${name}, also after all connections stop responding`, async () => {
       const fleet = new GatewayFleet({ ...shape, ...over })
       await fleet.time.run(SETTLE_MS)
       const calm = await fleet.serve(6_000)
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -1,7 +1,6 @@
 /**
- * Budgets of a whole fleet of gateways in virtual time, over a table with the rates of the users'
- * store and links between the VMs. Connections can go silent: what is sent on one gets no answer
- * until its caller gives it up, and the next call opens another.
+ * Simulates the budgets of a fleet of gateways in virtual time, with a rate-limited table store and links between the VMs.
+ * Connections can stall: a call on a stalled connection times out, and the next call opens a new one.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import seedrandom from 'seedrandom'
@@ -15,54 +14,52 @@
 import { TableState } from '../../table/tableState.js'
 import { VirtualTime } from '../../time/virtualTime.js'
 
-/** Milliseconds between two ticks of a gateway. */
 const TICK_MS = 50
-/** Milliseconds before a VM tries again to take back what it held. */
+/** Delay before a VM retries the recovery of its earlier process's allotments. */
 const TAKE_OVER_RETRY_MS = 300
-/** Milliseconds, one way, between two VMs. */
+/** One-way latency between two VMs. */
 const LINK_MS = 1
-/** Milliseconds of a call of the store, both ways. */
+/** Round-trip time of a store call. */
 const STORE_MS = 4
-/** Milliseconds of a transaction; those of one part are carried out one after another. */
+/** Transactions of one store partition run one after another. */
 const TRANSACTION_MS = 1_000 / 300
-/** Milliseconds of transactions that may wait in a part before it refuses more. */
+/** A partition refuses transactions beyond this queueing time. */
 const MOST_QUEUED_MS = 1_000
-/** Milliseconds after which a call of the store without an answer is given up. */
 const STORE_TIMEOUT_MS = 1_000
 const MS_PER_SECOND = 1_000
-/** Part of what was paid that users count on: what is left of it may be in use at the same moment. */
+/** Share of the prepaid tokens that requests can rely on; the rest may be reserved by concurrent requests. */
 const OWED_PART = 0.97
 
-/** Size and traffic of a fleet. */
+/** Size, traffic and store limits of a fleet. */
 export interface FleetShape {
   readonly seed: string
   readonly vms: number
   readonly teams: number
-  /** Calls that the store takes from all VMs in a second. */
+  /** Calls per second that the store accepts from all VMs together. */
   readonly readsPerS: number
   readonly writesPerS: number
   readonly requestsPerS: number
-  /** Prepaid tokens, as a multiple of what the requests of `paidForMs` use. */
+  /** Prepaid tokens, as a multiple of the tokens that `prepaidTrafficMs` of traffic uses. */
   readonly paidPart: number
   readonly paidForMs: number
-  /** Whether the callers of the largest team all keep to the first VM. */
+  /** Whether all callers of the largest team use the first VM. */
   readonly isLargestKept?: boolean
-  /** Kinds of request: part of the traffic, worst case and use in tokens, milliseconds of a run. */
+  /** Kinds of request: share of the traffic, reserved and used tokens, execution time and reservation timeout. */
   readonly kinds: ReadonlyArray<{ readonly part: number, readonly tokens: number, readonly used: number, readonly runMs: number, readonly waitMs: number }>
 }
 
-/** What became of the requests that began in one span of time. */
+/** Outcomes of the requests that arrived in one time span. */
 export interface FleetCounts {
   readonly asked: number
   readonly refused: number
-  /** Refusals of requests that fit into what was paid: with all that was used and their worst case, into {@link OWED_PART} of it. */
+  /** Refusals of requests whose reservation, on top of all used tokens, fits into {@link GUARANTEED_SHARE} of the prepaid tokens. */
   readonly owed: number
   /** Refusals by result code. */
   readonly codes: Readonly<Record<string, number>>
   readonly storeCalls: number
 }
 
-/** Counts while they are made. */
+/** Counts of a time span in progress. */
 interface OpenCounts {
   asked: number
   refused: number
@@ -70,13 +67,12 @@
   readonly codes: Record<string, number>
 }
 
-/** A call over a link. */
+/** A call from one VM to another. */
 interface LinkCall {
   readonly method: string
   readonly params: unknown
 }
 
-/** One VM. */
 interface FleetVm {
   readonly holder: string
   readonly address: string
@@ -84,19 +80,18 @@
   readonly preparation: BudgetPreparation
 }
 
-/** A fleet. */
 export class GatewayFleet {
   readonly time = new VirtualTime()
   private readonly random: () => number
   private readonly state = new TableState(() => this.time.mono)
   private vms: FleetVm[] = []
-  /** Holders that ended: what they had under way comes to nothing. */
+  /** Terminated holders: their pending store calls never complete. */
   private readonly ended = new Set<string>()
   private life = 1
   private readonly config: GatewayConfig
-  /** Connections that went silent: who has them, and to whom. */
+  /** Stalled connections, as `caller callee`. */
   private readonly silent = new Set<string>()
-  /** Links on which a call got no answer. */
+  /** Links whose last call timed out, as `caller callee`. */
   private readonly unanswered = new Set<string>()
   private readonly used = new Map<string, number>()
   private partFreeAt = 0
@@ -115,7 +110,7 @@
   }
 
   /**
-   * Plays a span of time with traffic, and counts what begins in it.
+   * Runs traffic for a time span and counts the requests that arrive in it.
    * @param ms - virtual milliseconds
    */
   async serve (ms: number): Promise<FleetCounts> {
@@ -127,14 +122,14 @@
     return { ...counts, storeCalls: this.storeCalls - callsBefore }
   }
 
-  /** Has each VM look for ended holders once; answers the calls of the store that it took. */
+  /** Lets each VM look for terminated holders once; resolves to the number of store calls made. */
   async recover (): Promise<number> {
     const before = this.storeCalls
     await this.time.until(Promise.all(this.vms.map(async ({ budgets }) => { await budgets.recoverDead() })))
     return this.storeCalls - before
   }
 
-  /** Silences all connections that are open now. */
+  /** Stalls all connections that are open now. */
   silence (): void {
     for (const { holder } of this.vms) {
       this.silent.add(`${holder} store`)
@@ -143,7 +138,7 @@
   }
 
   /**
-   * Cuts all VMs off from the store, and not from each other.
+   * Cuts all VMs off from the store; the links between them keep working.
    * @param ms - virtual milliseconds
    */
   cutOff (ms: number): void {
@@ -151,8 +146,8 @@
   }
 
   /**
-   * Ends all VMs at once; they begin again some time later and take back what their earlier processes held.
-   * @param downMs - virtual milliseconds until they are back
+   * Terminates all VMs at once and restarts them later; the new processes recover the allotments of the earlier ones.
+   * @param downMs - virtual milliseconds until the restart
    */
   async endAll (downMs: number): Promise<void> {
     const names = this.vms.map(({ address }) => address)
@@ -164,13 +159,13 @@
     for (const { budgets } of this.vms) this.takeOver(budgets)
   }
 
-  /** Part of what was paid that is used. */
+  /** Used tokens as a share of all prepaid tokens. */
   get usedPart (): number {
     const paid = Object.values(this.config.teams).reduce((sum, { prepaidTokens }) => sum + (prepaidTokens ?? 0), 0)
     return [...this.used.values()].reduce((sum, tokens) => sum + tokens, 0) / paid
   }
 
-  /** Tokens used beyond what was paid, over all budgets. */
+  /** Sum over all budgets of the tokens used beyond the prepaid ones. */
   get overspent (): number {
     return Object.entries(this.config.teams).reduce((sum, [team, { prepaidTokens }]) =>
       sum + Math.max(0, (this.used.get(team) ?? 0) - (prepaidTokens ?? 0)), 0)
@@ -201,7 +196,7 @@
       domain: `domain${this.vms.length % 3}`,
       place: name,
       store: this.storeOf(holder),
-      // As in a process, whose monotonic clock begins with it.
+      // The monotonic clock of a process starts at 0.
       clock: { now: () => ({ mono: this.time.mono - bornAt, wall: this.time.mono }) },
       log: { write: () => {} },
       fleet: {
@@ -264,7 +259,7 @@
     if (this.silent.delete(`${from} ${address}`)) {
       this.unanswered.add(`${from} ${address}`)
       await this.time.sleep(timeoutMs)
-      return Left(new Failure('peerUnreachable', 'no answer', { ran: 'unknown' }))
+      return Left(new Failure('peerUnreachable', 'peer call timed out', { ran: 'unknown' }))
     }
     await this.time.sleep(LINK_MS)
     if (this.unanswered.delete(`${from} ${address}`)) this.dropSilent(from)
@@ -281,18 +276,18 @@
     return null
   }
 
-  /** As the client of the links does: a new link was answered, so links that were silent since are not used again. */
+  /** Mirrors the peer client: a response on a new link makes it replace its other stalled links. */
   private dropSilent (from: string): void {
     for (const { address } of this.vms) this.silent.delete(`${from} ${address}`)
   }
 
   private storeOf (holder: string): TableStore {
     return {
-      // A row is read with a call of its own, as the users' store is.
+      // The modelled store reads one row per call.
       read: async (keys: readonly RowKey[]) => await this.callStore<ReadAnswer>(holder, keys.length, 0, () => Right(this.state.read(keys))),
       scan: async (req: ScanRequest) => await this.callStore<ScanAnswer>(holder, 1, 0, () => Right(this.state.scan(req))),
       transact: async (tx: Transaction) => await this.callStore<TransactAnswer>(holder, 0, 1, () =>
-        this.state.transact(structuredClone(tx)).mapLeft(() => new Failure('platformConflict', 'a row changed')))
+        this.state.transact(structuredClone(tx)).mapLeft(() => new Failure('platformConflict', 'transaction condition failed: a row has changed')))
     }
   }
 
@@ -301,14 +296,14 @@
     this.storeCalls += reads + writes
     if (this.silent.delete(`${holder} store`) || this.time.mono < this.cutUntil) {
       await this.time.sleep(STORE_TIMEOUT_MS)
-      return Left(new Failure(writes > 0 ? 'platformOutcomeUnknown' : 'platformUnavailable', 'no answer', { ran: 'unknown' }))
+      return Left(new Failure(writes > 0 ? 'platformOutcomeUnknown' : 'platformUnavailable', 'store call timed out', { ran: 'unknown' }))
     }
     await this.time.sleep(STORE_MS / 2)
     const isTaken = this.takeRate(reads, writes)
     const queuedMs = writes === 0 ? 0 : Math.max(0, this.partFreeAt - this.time.mono)
     if (!isTaken || queuedMs > MOST_QUEUED_MS) {
       await this.time.sleep(STORE_MS / 2)
-      return Left(new Failure('platformUnavailable', 'too many calls', { ran: 'no' }))
+      return Left(new Failure('platformUnavailable', 'store rate or queue limit exceeded', { ran: 'no' }))
     }
     if (writes > 0) {
       this.partFreeAt = this.time.mono + queuedMs + TRANSACTION_MS
@@ -328,12 +323,12 @@
   }
 }
 
-/** Teams differ in size: the first sends most. */
+/** Traffic weight of a team; the first team sends most. */
 function weightOf (index: number): number {
   return 1 / (index + 1)
 }
 
-/** Index drawn by weight. */
+/** Maps a random number in [0, 1) to an index by weight. */
 function chosen (weights: readonly number[], at: number): number {
   let left = at * weights.reduce((sum, weight) => sum + weight, 0)
   const index = weights.findIndex(weight => {
--- a/packages/stand-ins/src/measure/measureMain.ts
+++ b/packages/stand-ins/src/measure/measureMain.ts
@@ -1,6 +1,6 @@
 /**
- * Entry point of `npm run measure -- NAME` and `npm run bench -- NAME`: a table for people, or
- * with `--json` one object a row.
+ * Entry point of `npm run measure -- NAME` and `npm run bench -- NAME`. Prints a Markdown table, or with `--json` one JSON
+ * object per row.
  */
 import yargs from 'yargs'
 import { measurements } from './measureRegistry.js'
@@ -9,8 +9,8 @@
 const EXIT_USAGE = 2
 
 /**
- * Lays rows out as a Markdown table.
- * @param rows - rows with the same fields
+ * Renders rows as a Markdown table.
+ * @param rows - rows that all have the fields of the first
  */
 export function renderTable (rows: readonly MeasureRow[]): string {
   const fields = Object.keys(rows[0] ?? {})
@@ -28,8 +28,8 @@
   const args = await yargs(rest)
     .scriptName(`npm run ${group} --`)
     .usage('$0 NAME [options]')
-    .option('json', { type: 'boolean', default: false, describe: 'one JSON object a row' })
-    .option('seed', { type: 'string', default: '1', describe: 'seed of all random decisions' })
+    .option('json', { type: 'boolean', default: false, describe: 'print one JSON object per row' })
+    .option('seed', { type: 'string', default: '1', describe: 'seed of the random number generator' })
     .epilogue(measurements.filter(item => item.group === group).map(item => `${item.name}: ${item.title}`).join('\n'))
     .strictOptions()
     .parse()
--- a/packages/stand-ins/src/measure/measureRegistry.ts
+++ b/packages/stand-ins/src/measure/measureRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * The list of measurements. A new one adds its import and its line here.
+ * Registry of all measurements; a new measurement must be added here.
  */
 import { capacityBench } from './capacityBench.js'
 import { configMeasure, configSizeMeasure, configTrafficMeasure, configWireMeasure } from './configMeasure.js'
@@ -16,7 +16,6 @@
 import { streamBench } from './streamBench.js'
 import { warmUpMeasure } from './warmUp/warmUpMeasure.js'
 
-/** All measurements by group and name. */
 export const measurements: readonly Measurement[] = [
   capacityBench,
   configMeasure,
--- a/packages/stand-ins/src/measure/measureTypes.ts
+++ b/packages/stand-ins/src/measure/measureTypes.ts
@@ -1,5 +1,5 @@
 /**
- * Measurements plug in here: `measure` for decisions under load and faults, `bench` for cost.
+ * Interface of a measurement: group `measure` covers decisions under load and faults, group `bench` their cost.
  */
 
 /** Options common to all measurements. */
@@ -7,14 +7,13 @@
   readonly seed: string
 }
 
-/** One row of a result; field names carry their units. */
+/** One row of a result table; field names carry their units. */
 export type MeasureRow = Readonly<Record<string, string | number>>
 
-/** One measurement. */
 export interface Measurement {
   readonly group: 'measure' | 'bench'
   readonly name: string
-  /** One line for the list of names. */
+  /** One-line description in the usage text. */
   readonly title: string
   run (options: MeasureOptions): Promise<readonly MeasureRow[]>
 }
--- a/packages/stand-ins/src/measure/membershipBench.ts
+++ b/packages/stand-ins/src/measure/membershipBench.ts
@@ -1,7 +1,6 @@
 /**
- * `npm run bench -- membership`: what membership costs one VM, by size of the fleet. The deciders
- * of all VMs run in this process without sockets; every message of the observed VMs is encoded
- * as the link encodes it, and each new connection is charged with the bytes of a handshake.
+ * `npm run bench -- membership`: cost of the membership protocol for one VM, by fleet size. The protocol logic of all VMs runs in
+ * this process without sockets; messages are encoded as on a peer link, and each new connection adds the bytes of a handshake.
  */
 import { createJSONRPCNotification } from 'json-rpc-2.0'
 import { Packr } from 'msgpackr'
@@ -12,16 +11,16 @@
 const PER_DOMAIN = [1, 10, 60]
 const WARM_UP_PERIODS = 30
 const PERIODS = 60
-/** As long as that of a real holder. */
+/** Has the length of a real holder token. */
 const HOLDER_TOKEN = '0123456789ab'
-/** Bytes of both ends together; as measured by `npm run bench -- peers`. */
+/** Bytes in both directions, measured by `npm run bench -- peers`. */
 const HANDSHAKE_BYTES = 377
-/** Probes of a link that carries one notification a second and nothing back, for each message; measured likewise. */
+/** Link probe bytes per message on a link that carries one notification per second and no responses; measured by the same bench. */
 const PROBE_BYTES = 9
-/** A link on which nothing moved for so many periods is closed by the client. */
+/** The client closes a link after this many periods without traffic. */
 const IDLE_PERIODS = 30
 
-/** Traffic of one VM. */
+/** Traffic counters of one VM. */
 interface Traffic {
   bytesOut: number
   bytesIn: number
@@ -30,17 +29,15 @@
   handshakes: number
 }
 
-/** An open link from one VM to another. */
 interface Link {
   readonly packr: Packr
   usedAt: number
 }
 
-/** Cost of membership by size of the fleet. */
 export const membershipBench: Measurement = {
   group: 'bench',
   name: 'membership',
-  title: 'messages, bytes and decision time of membership for one VM, by size of the fleet',
+  title: 'messages, bytes and decision time of the membership protocol for one VM, by fleet size',
   run: async () => PER_DOMAIN.map(measureFleet)
 }
 
@@ -70,13 +67,13 @@
   }
 }
 
-/** Pairs of VMs of which one does not see the other as live. */
+/** Number of (observer, member) pairs whose observer does not consider the member live. */
 function falseSuspicions (fleet: Fleet): number {
   const views = fleet.vms.flatMap(vm => vm.table.members(vm.now()))
   return views.filter(view => view.state !== 'live').length
 }
 
-/** Counts what each VM sends and receives. */
+/** Counts the messages, bytes and handshakes of each VM. */
 class TrafficMeter {
   private readonly traffic = new Map<string, Traffic>()
   private readonly links = new Map<string, Link>()
@@ -85,7 +82,7 @@
     fleet.onMessage = (from, to, heartbeat) => this.count(from.row.peers, to, heartbeat)
   }
 
-  /** Forgets the counts; links stay open. */
+  /** Clears the counters; links stay open. */
   reset (): void {
     this.traffic.clear()
   }
--- a/packages/stand-ins/src/measure/peersBench.ts
+++ b/packages/stand-ins/src/measure/peersBench.ts
@@ -1,7 +1,6 @@
 /**
- * `npm run bench -- peers`: processor time and bytes of heartbeats between VMs over loopback.
- * Both ends run in this process, so the time is that of sender and receiver together. The
- * links are open before the count begins; the handshake is counted apart.
+ * `npm run bench -- peers`: processor time and bytes of heartbeats between VMs over loopback. Both ends run in this process,
+ * so the time covers sender and receiver. Links are opened before the measurement; handshake bytes are counted separately.
  */
 import { connect, type Socket } from 'node:net'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
@@ -13,7 +12,7 @@
 
 const KEY = 'key of the bench, never used elsewhere'
 const PEERS = [2, 8, 32]
-/** Heartbeats to each peer in a second. */
+/** Heartbeats per second to each peer. */
 const RATES = [1, 10, 100]
 const PERIODS_MS = 3_000
 const TIMEOUT_MS = 10_000
@@ -21,7 +20,7 @@
 
 type Kind = 'notification' | 'call'
 
-/** One sender and its receivers. */
+/** One client connected to several servers. */
 interface Links {
   readonly client: JsonRpcPeerClient
   readonly servers: readonly JsonRpcPeerServer[]
@@ -29,7 +28,7 @@
   readonly receipts: Receipts
 }
 
-/** Counts heartbeats that arrived. */
+/** Counts received heartbeats. */
 class Receipts {
   count = 0
   private target = Infinity
@@ -40,14 +39,13 @@
     if (this.count >= this.target) this.reached()
   }
 
-  /** Resolves when so many more have arrived. */
+  /** Resolves once the given number of further heartbeats has arrived. */
   async more (wanted: number): Promise<void> {
     this.target = this.count + wanted
     await new Promise<void>(resolve => { this.reached = resolve })
   }
 }
 
-/** Cost of links between VMs, measured. */
 export const peersBench: Measurement = {
   group: 'bench',
   name: 'peers',
@@ -124,7 +122,7 @@
   }
 }
 
-/** One heartbeat to each peer; resolves when all have arrived. */
+/** Sends one heartbeat to each peer; resolves when all have arrived. */
 async function sendRound (links: Links, kind: Kind, round: number): Promise<void> {
   const heartbeat = heartbeatOf(round)
   if (kind === 'call') {
@@ -136,7 +134,7 @@
   await arrived
 }
 
-/** A heartbeat as it is in a steady fleet: nothing to pass on. */
+/** A heartbeat of a stable fleet, without gossip updates. */
 function heartbeatOf (beat: number): Heartbeat {
   const self = { holder: 'quito-centro-a~0123456789ab', beat: 100_000 + beat, state: 'live', config: 1_234, open: 7, age: 0 } as const
   return { self, news: [], ask: false }
--- a/packages/stand-ins/src/measure/routingBench.ts
+++ b/packages/stand-ins/src/measure/routingBench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- routing`: microseconds and bytes of one routing decision by number of runners,
- * with 27 models that all runners serve, and how the cost grows.
+ * `npm run bench -- routing`: microseconds and bytes of one routing decision, and how they grow with the number of runners.
+ * All runners serve 27 models.
  */
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
@@ -26,7 +26,6 @@
   readonly bytes: number
 }
 
-/** Cost of routing decisions. */
 export const routingBench: Measurement = {
   group: 'bench',
   name: 'routing',
@@ -48,7 +47,7 @@
   }))
 }
 
-/** Names how a cost grows with the number of runners. */
+/** Classifies how a cost grows with the number of runners. */
 function growth (size: number, cost: number): string {
   if (size === 1) return 'base'
   const exponent = Math.log(Math.max(1, cost)) / Math.log(size)
@@ -81,7 +80,7 @@
   return { micros, bytes: (process.memoryUsage().heapUsed - heap) / DECISIONS_A_ROUND }
 }
 
-/** A router that knows all runners and has measured and reported figures of each. */
+/** A router with latency measurements, load reports and cache reports for every runner. */
 function prepare (count: number, kind: Kind): RunnerRouter {
   const router = new RunnerRouter('vm0', 'a')
   const runners = Array.from({ length: count }, (_, i) => viewOf(i))
--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -1,31 +1,29 @@
 /**
- * Simulated model engine: continuous batching in steps. A step gives each decoding request one
- * token and computes a chunk of prompts; it takes longer the larger the batch. Prompt prefixes
- * stay in a small cache. Requests beyond the slots wait, higher priority first.
+ * Simulated model engine with continuous batching. A step decodes one token per request and prefills a chunk of prompt tokens;
+ * its duration grows with the batch. Prompt prefixes are kept in a small LRU cache. Requests beyond the slots wait by priority.
  */
 import type { SimRequest } from './routingWorkload.js'
 
-/** Fixed part of a step, part for each request in the batch, part for each prompt token; in milliseconds. */
+/** Duration of a step: a fixed cost, plus a cost per request in the batch and per prompt token. */
 const STEP_MS = 12
 const STEP_REQUEST_MS = 1
 const PROMPT_TOKEN_MS = 0.15
 
-/** Prompt tokens computed in one step at most. */
+/** Maximum prompt tokens prefilled in one step. */
 const CHUNK_TOKENS = 512
 
-/** Prefixes that fit into the cache. */
 const CACHED_PREFIXES = 16
 
-/** Requests decoded at once. */
+/** Maximum requests in a batch. */
 export const ENGINE_SLOTS = 16
 
-/** Where an engine tells what it produced. */
+/** Receives the tokens and completions of an engine. */
 export interface EngineOutput {
   token (attempt: Attempt, at: number): void
   ended (attempt: Attempt, at: number): void
 }
 
-/** One request at one engine. */
+/** One execution of a request on one engine. */
 export interface Attempt {
   readonly req: SimRequest
   readonly engine: SimEngine
@@ -37,16 +35,15 @@
   open: boolean
 }
 
-/** Change of an engine's prefix cache. */
+/** A change of an engine's prefix cache. */
 export interface CacheChange {
   readonly at: number
   readonly kind: 'stored' | 'evicted'
   readonly prefix: number
 }
 
-/** One simulated engine. */
 export class SimEngine {
-  /** Times slower than usual. */
+  /** Multiplies the duration of each step. */
   slowness = 1
   state: 'up' | 'silent' | 'down' = 'up'
   readonly changes: CacheChange[] = []
@@ -56,9 +53,7 @@
   private stepping = false
 
   /**
-   * @param name - name of the runner
-   * @param output - told of tokens and ends
-   * @param schedule - runs a function at a time
+   * @param schedule - runs a function at the given virtual time
    */
   constructor (
     readonly name: string,
@@ -85,7 +80,7 @@
     this.batch = this.batch.filter(item => item !== attempt)
   }
 
-  /** Forgets all work and the cache, as a restarted process does. */
+  /** Drops all requests and the cache, like a process restart; returns the lost attempts. */
   crash (): readonly Attempt[] {
     const lost = [...this.batch, ...this.waiting]
     this.batch = []
@@ -94,7 +89,7 @@
     return lost
   }
 
-  /** Milliseconds that the request would take here from now on, with what is here already and no more. */
+  /** Milliseconds to complete the request with the current load and no further arrivals; Infinity without a free slot. */
   trueTimeMs (req: SimRequest): number {
     if (this.state !== 'up' || this.running + this.queued >= ENGINE_SLOTS) return Infinity
     const stepMs = (STEP_MS + STEP_REQUEST_MS * (this.running + 1)) * this.slowness
--- a/packages/stand-ins/src/measure/routingEvents.ts
+++ b/packages/stand-ins/src/measure/routingEvents.ts
@@ -1,5 +1,5 @@
 /**
- * Virtual time for simulations: a binary heap of functions by time, then by order of scheduling.
+ * Event queue for simulations: a binary heap of callbacks, ordered by virtual time and then by insertion order.
  */
 
 interface Entry {
@@ -8,7 +8,6 @@
   readonly run: (at: number) => void
 }
 
-/** Runs scheduled functions in order of time. */
 export class VirtualTime {
   private readonly heap: Entry[] = []
   private order = 0
@@ -27,8 +26,8 @@
   }
 
   /**
-   * Runs everything up to a time.
-   * @param untilMs - last time to run
+   * Runs all events up to and including a time, also those scheduled meanwhile.
+   * @param untilMs - virtual time
    */
   run (untilMs: number): void {
     for (let next = this.heap[0]; next !== undefined && next.at <= untilMs; next = this.heap[0]) {
--- a/packages/stand-ins/src/measure/routingMeasure.ts
+++ b/packages/stand-ins/src/measure/routingMeasure.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure -- routing`: the product's routing against simpler policies, by load and fault,
- * in a seeded simulation.
+ * `npm run measure -- routing`: compares the product's routing with simpler policies under load and faults, in a seeded
+ * simulation.
  */
 import seedrandom from 'seedrandom'
 import type { Measurement, MeasureOptions, MeasureRow } from './measureTypes.js'
@@ -8,18 +8,18 @@
 import { RoutingSimulation, type RoutingFault } from './routingSimulation.js'
 import type { RoutingStatistics } from './routingStatistics.js'
 
-/** Requests a second that twelve simulated engines answer when all their slots are always busy. */
+/** Requests per second that the twelve simulated engines complete with all slots busy. */
 export const CAPACITY_PER_SECOND = 36
 
 const LOADS = [0.5, 0.9, 1.2, 3]
 
-/** Highest load whose goodput counts for the plateau. */
+/** The plateau is the highest goodput at loads up to this one. */
 const PLATEAU_LOAD = 1.2
 
 const faults: readonly RoutingFault[] = ['none', 'stale reports', 'slow runner', 'dying runner', 'cache events lost', 'burst']
 const policies: readonly PolicyName[] = ['product', 'round robin', 'random', 'least in flight']
 
-/** The fault with which the product is also run as if every request were keyed. */
+/** With this fault the product also runs with all requests keyed. */
 const KEYED_FAULT: RoutingFault = 'none'
 
 interface Run {
@@ -29,7 +29,6 @@
   readonly statistics: RoutingStatistics
 }
 
-/** Routing under load and faults. */
 export const routingMeasurement: Measurement = {
   group: 'measure',
   name: 'routing',
@@ -37,7 +36,7 @@
   run: async options => withoutStacks(() => faults.flatMap(fault => rowsOf(runsOf(fault, options))))
 }
 
-/** Refusals are counted here, never shown, so their stack traces would be a third of the time. */
+/** Disables stack traces: refusals are only counted here, and creating their traces is a large share of the run time. */
 function withoutStacks<T> (run: () => T): T {
   const limit = Error.stackTraceLimit
   Error.stackTraceLimit = 0
--- a/packages/stand-ins/src/measure/routingPolicies.ts
+++ b/packages/stand-ins/src/measure/routingPolicies.ts
@@ -1,7 +1,6 @@
 /**
- * Routing policies compared in the simulation, one instance for each VM. The product is
- * {@link FairQueue} before {@link RunnerRouter}; the baselines choose a runner at once and
- * leave queueing to the engines.
+ * Routing policies compared in the simulation, one instance per VM. The product combines {@link FairQueue} and
+ * {@link RunnerRouter}; the baselines choose a runner immediately and leave queueing to the engines.
  */
 import { FairQueue } from '@rosemaryspread/decisions/routing/fairQueue.js'
 import { RunnerRouter } from '@rosemaryspread/decisions/routing/runnerRouter.js'
@@ -10,26 +9,24 @@
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { SimRequest } from './routingWorkload.js'
 
-/** What a VM does with a request. */
+/** Decision of a policy on a request. */
 export type PolicyAnswer =
   | { readonly kind: 'start', readonly req: SimRequest, readonly runner: string, readonly sealed: number }
   | { readonly kind: 'refuse', readonly req: SimRequest }
 
-/** Names of the policies. */
 export type PolicyName = 'product' | 'product keyed' | 'round robin' | 'random' | 'least in flight'
 
-/** Routing of one VM. */
+/** Routing policy of one VM. */
 export interface VmPolicy {
-  /** Takes a new request, or one whose attempt failed. */
+  /** Accepts a new request, or one whose attempt failed. */
   arrive (req: SimRequest, exclude: readonly string[], at: number): readonly PolicyAnswer[]
-  /** Looks at what waits. */
+  /** Expires or routes waiting requests. */
   tick (at: number): readonly PolicyAnswer[]
   observe (event: RouteEvent, at: number): void
-  /** An answer ended or failed for good. */
+  /** Handles the final outcome of a request: answered, refused or given up. */
   done (req: SimRequest, tokens: number, at: number): void
 }
 
-/** What a policy is made from. */
 export interface PolicyParts {
   readonly vm: string
   readonly domain: string
@@ -38,16 +35,15 @@
   readonly random: () => number
 }
 
-/** Times its even share of the slots that one VM may use: callers are not spread evenly. */
+/** Slots that one VM may use, as a multiple of its fair share: callers are not distributed evenly. */
 const CONCURRENCY_HEADROOM = 3
 
 const TEAM_IN_FLIGHT = 64
 const MODEL = 'llm'
 
-/** Prompt tokens covered by one more prefix hash. */
+/** Prompt tokens per prefix hash. */
 const HASH_TOKENS = 150
 
-/** Instant of a virtual time. */
 export const instantOf = (at: number): Instant => ({ mono: at, wall: at })
 
 interface Waiting {
@@ -113,7 +109,7 @@
     return this.start(req, decision, at)
   }
 
-  /** A retry goes first in its team's queue, so that it waits for room as any other. */
+  /** Puts a retry at the head of its team's queue, so that it still waits for a free slot. */
   private retry (item: QueueItem<Waiting>, exclude: readonly string[], at: number): readonly PolicyAnswer[] {
     item.value.exclude = exclude
     this.started.delete(item.id)
@@ -121,7 +117,7 @@
     return this.tick(at)
   }
 
-  /** Tells the dispatch before the next decision, or all that wait would go where the first one went. */
+  /** Reports the dispatch before the next decision; otherwise all waiting requests would go to the same runner. */
   private start (req: SimRequest, decision: Extract<RouteDecision, { kind: 'routed' }>, at: number): PolicyAnswer {
     const { runner } = decision.choice
     this.observe({ kind: 'dispatched', runner, requestId: req.id, tokens: req.promptTokens + req.maxTokens }, at)
@@ -159,20 +155,20 @@
 
 /**
  * Hashes of a shared prefix, longest last.
- * @param prefix - number of the prefix
- * @param tokens - its length
+ * @param prefix - index of the prefix
+ * @param tokens - length of the prefix
  */
 export function prefixHashes (prefix: number, tokens: number): readonly string[] {
   return Array.from({ length: Math.floor(tokens / HASH_TOKENS) }, (_, i) => `p${prefix}.${i}`)
 }
 
-/** Hashes of the shared prefix and of the part that is the request's own. */
+/** Hashes of the shared prefix and of the rest of the prompt, which is unique to the request. */
 function hashesOf (req: SimRequest): readonly string[] {
   const own = Array.from({ length: Math.floor((req.promptTokens - req.prefixTokens) / HASH_TOKENS) }, (_, i) => `${req.id}.${i}`)
   return [...prefixHashes(req.prefix, req.prefixTokens), ...own]
 }
 
-/** Chooses among all runners not tried yet, by a given rule. */
+/** Chooses a runner that was not tried yet, by a given rule and without queueing. */
 class PlainPolicy implements VmPolicy {
   private readonly inFlight = new Map<string, number>()
 
@@ -200,11 +196,6 @@
   done (): void {}
 }
 
-/**
- * Makes the policy of one VM.
- * @param name - which policy
- * @param parts - what it is made from
- */
 export function makePolicy (name: PolicyName, parts: PolicyParts): VmPolicy {
   switch (name) {
     case 'product': return new ProductPolicy(parts, false)
@@ -220,7 +211,7 @@
   return new PlainPolicy(parts, names => names[turn++ % names.length])
 }
 
-/** The name with the fewest in flight; ties are broken at random, or all VMs would begin alike. */
+/** The runner with the fewest requests in flight; ties are broken at random, as all VMs start with the same state. */
 function leastOf (names: readonly string[], inFlight: (name: string) => number, random: () => number): string | undefined {
   const least = Math.min(...names.map(inFlight))
   const tied = names.filter(name => inFlight(name) === least)
--- a/packages/stand-ins/src/measure/routingSimulation.spec.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Overload in the simulation: the product sheds before collapse, a policy without admission does not.
+ * Guards against goodput collapse under overload: the product's admission must shed load early enough that accepted requests
+ * meet their deadlines. A policy without admission, as a comparison, answers most requests late.
  */
 import { expect } from 'chai'
 import seedrandom from 'seedrandom'
@@ -9,7 +10,7 @@
 
 const OVERLOAD_PER_SECOND = 108
 
-/** With reports ten seconds old the VMs need about 35 s from a cold start to find their parts; docs/design/routing.md says so. */
+/** With load reports that are ten seconds old, VMs need about 35 s from a cold start to find their shares of the runners. */
 const lengths: readonly { readonly fault: RoutingFault, readonly runMs: number, readonly warmUpMs: number }[] = [
   { fault: 'none', runMs: 45_000, warmUpMs: 20_000 },
   { fault: 'stale reports', runMs: 75_000, warmUpMs: 45_000 }
@@ -27,7 +28,7 @@
 
 describe('routing at three times capacity', () => {
   for (const length of lengths) {
-    it(`${length.fault}: hardly an accepted answer is late and the worth served is higher; least in flight answers most late`, () => {
+    it(`${length.fault}: meets the deadlines of accepted requests and has a higher goodput than least in flight, which answers most late`, () => {
       const product = simulate('product', length)
       const weaker = simulate('least in flight', length)
       expect(product.share('late')).to.be.below(1)
--- a/packages/stand-ins/src/measure/routingSimulation.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Virtual-time simulation of VMs that route to engines: arrivals, dispatch, timeouts and retries,
- * lagging load reports, late cache events with gaps, and faults. Everything is seeded.
+ * Seeded virtual-time simulation of VMs that route requests to engines: arrivals, dispatch, timeouts, retries, delayed load
+ * reports, delayed and lossy cache events, and faults.
  */
 import { RetryBudget } from '@rosemaryspread/decisions/routing/retryBudget.js'
 import type { RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
@@ -10,19 +10,17 @@
 import { RoutingStatistics } from './routingStatistics.js'
 import { makeWorkload, PREFIX_TOKENS, type SimRequest } from './routingWorkload.js'
 
-/** Faults of the simulation. */
 export type RoutingFault = 'none' | 'stale reports' | 'slow runner' | 'dying runner' | 'cache events lost' | 'burst'
 
-/** One run. */
 export interface SimulationSetup {
   readonly policy: PolicyName
   readonly fault: RoutingFault
   readonly perSecond: number
-  /** Random numbers of the requests, the same for every policy. */
+  /** Random numbers of the workload, seeded alike for every policy. */
   readonly workloadRandom: () => number
-  /** Random numbers of everything else. */
+  /** Random numbers for everything else. */
   readonly random: () => number
-  /** Milliseconds of arrivals, and of those at the beginning that are not counted. */
+  /** Duration of arrivals, and of the warm-up at its start that is not counted. */
   readonly runMs?: number
   readonly warmUpMs?: number
 }
@@ -31,11 +29,11 @@
 const RUNNERS = 12
 const DOMAINS = ['a', 'b', 'c']
 
-/** Length of a run and the part at its beginning that is not counted, in milliseconds. */
+/** Default duration of arrivals, and of the warm-up at its start that is not counted. */
 const RUN_MS = 115_000
 const WARM_UP_MS = 45_000
 
-/** Time after the last arrival in which answers still come. */
+/** Continues after the last arrival until all deadlines have passed. */
 const DRAIN_MS = 61_000
 
 const TICK_MS = 200
@@ -64,7 +62,6 @@
   attempt?: Attempt
 }
 
-/** One simulated fleet. */
 export class RoutingSimulation {
   readonly statistics: RoutingStatistics
   private readonly runMs: number
@@ -123,7 +120,7 @@
     this.policies[req.vm]?.done(req, 0, at)
   }
 
-  /** Whether more slots were free, at engines quick enough, than requests waited for one. */
+  /** Whether engines that would meet the deadline have more free slots than there are undispatched requests. */
   private isServable (req: SimRequest, at: number): boolean {
     const quick = this.engines.filter(engine => at + engine.trueTimeMs(req) <= req.deadline)
     const free = quick.reduce((sum, engine) => sum + ENGINE_SLOTS - engine.running - engine.queued, 0)
--- a/packages/stand-ins/src/measure/routingStatistics.ts
+++ b/packages/stand-ins/src/measure/routingStatistics.ts
@@ -1,10 +1,9 @@
 /**
- * Counts of one simulated run. Requests that arrive during the warm-up are left out.
+ * Statistics of one simulated run, without the requests that arrive during the warm-up.
  */
 import { build, type Histogram } from 'hdr-histogram-js'
 import type { SimRequest } from './routingWorkload.js'
 
-/** Counts of one run. */
 export class RoutingStatistics {
   private offeredCount = 0
   private lateCount = 0
@@ -23,9 +22,9 @@
   }
 
   /**
-   * Counts a whole answer; its worth counts when it is given, so that work left over does not flatter.
-   * @param req - the request
-   * @param at - when its last token came
+   * Counts a complete answer. Its value counts at the time of completion, so that answers after the end of arrivals don't add to
+   * the goodput.
+   * @param at - time of the last token
    */
   answered (req: SimRequest, at: number): void {
     if (at >= this.fromMs && at < this.toMs) this.worth += req.worth
@@ -37,8 +36,7 @@
 
   /**
    * Counts a refusal.
-   * @param req - the request
-   * @param servable - whether some engine had a free slot and would have answered in time
+   * @param servable - whether an engine had a free slot and would have met the deadline
    */
   refused (req: SimRequest, servable: boolean): void {
     if (!this.counts(req)) return
@@ -59,7 +57,7 @@
     if (this.counts(req)) this.gaps.recordValue(Math.round(gapMs))
   }
 
-  /** Worth of answers in time for each second. */
+  /** Total value per second of the answers that met their deadline. */
   get goodput (): number {
     return this.worth * 1_000 / (this.toMs - this.fromMs)
   }
--- a/packages/stand-ins/src/measure/routingWorkload.ts
+++ b/packages/stand-ins/src/measure/routingWorkload.ts
@@ -1,9 +1,9 @@
 /**
- * Requests of the routing simulation: classes with a worth and a deadline, teams of unequal size,
- * shared prompt prefixes, VMs of unequal traffic; Poisson arrivals, with bursts if asked.
+ * Workload of the routing simulation: Poisson arrivals with optional bursts, request classes with a value and a deadline, teams
+ * of unequal size, shared prompt prefixes and unequal traffic per VM.
  */
 
-/** One simulated request. Times in milliseconds. */
+/** A simulated request; times are virtual milliseconds. */
 export interface SimRequest {
   readonly id: string
   readonly at: number
@@ -13,7 +13,7 @@
   readonly prefixTokens: number
   readonly promptTokens: number
   readonly maxTokens: number
-  /** Tokens it generates in fact; no policy is told. */
+  /** Tokens that the engine will generate; unknown to the policies. */
   readonly answerTokens: number
   readonly deadline: number
   readonly priority: number
@@ -29,7 +29,7 @@
   readonly worth: number
 }
 
-/** Chats, urgent notes, summaries and long drafts. */
+/** Chats, urgent notes, summaries and long drafts, in this order. */
 const classes: readonly RequestClass[] = [
   { share: 0.55, freshTokens: 150, maxTokens: 200, patienceMs: 15_000, priority: 1, worth: 2 },
   { share: 0.15, freshTokens: 100, maxTokens: 100, patienceMs: 8_000, priority: 2, worth: 5 },
@@ -37,28 +37,27 @@
   { share: 0.1, freshTokens: 400, maxTokens: 600, patienceMs: 60_000, priority: 0, worth: 1 }
 ]
 
-/** Traffic of the VMs: callers keep an address for a while, so one VM has twice the others'. */
+/** Relative traffic per VM: callers reuse a resolved address for a while, so one VM receives twice as much as the others. */
 const vmTraffic: readonly number[] = [2, 1, 1, 1, 1, 1]
 
 const TEAMS = 10
 const PREFIXES = 80
 
-/** Tokens of a shared prefix. */
 export const PREFIX_TOKENS = 600
 const SHORTEST_ANSWER = 0.2
 const BURST_FACTOR = 3
 const BURST_EVERY_MS = 30_000
 const BURST_MS = 5_000
 
-/** Mean tokens and worth of a request, to express load. */
+/** Mean value of a request. */
 export const meanWorth = classes.reduce((sum, item) => sum + item.share * item.worth, 0)
 
 /**
- * All requests of one run, by arrival.
- * @param perSecond - mean arrivals a second outside bursts
- * @param untilMs - end of arrivals
- * @param burst - whether arrivals triple for five seconds in every thirty
- * @param random - seeded source of numbers in [0, 1)
+ * All requests of one run, in order of arrival.
+ * @param perSecond - mean arrival rate outside bursts
+ * @param untilMs - end of arrivals, virtual milliseconds
+ * @param hasBursts - whether the rate triples for five seconds in every thirty
+ * @param random - source of numbers in [0, 1)
  */
 export function makeWorkload (perSecond: number, untilMs: number, burst: boolean, random: () => number): readonly SimRequest[] {
   const requests: SimRequest[] = []
@@ -91,7 +90,7 @@
   }
 }
 
-/** Index drawn by weights. */
+/** Maps a number in [0, 1) to an index by weight. */
 function pick (weights: readonly number[], value: number): number {
   let rest = value * weights.reduce((sum, weight) => sum + weight, 0)
   for (let i = 0; i < weights.length; i++) {
@@ -101,7 +100,7 @@
   return weights.length - 1
 }
 
-/** Index from 0 to count - 1; low ones are drawn far more often. */
+/** Maps a number in [0, 1) to an index below `count`, favouring low ones. */
 function skewed (count: number, value: number): number {
   return Math.floor(count * value * value)
 }
--- a/packages/stand-ins/src/measure/streamBench.ts
+++ b/packages/stand-ins/src/measure/streamBench.ts
@@ -1,7 +1,6 @@
 /**
- * `npm run bench -- stream`: processor time for one event of an engine's stream through
- * HttpEngineClient. Server and reader share the process, so the same streams are also read by a
- * plain node:http reader that discards them; the difference is what the client's checks cost.
+ * `npm run bench -- stream`: processor time per event of an engine stream read through HttpEngineClient. Server and reader share
+ * the process, so a plain node:http reader that discards the same streams gives the baseline; the difference is the client's cost.
  */
 import { Agent, request } from 'node:http'
 import { HttpEngineClient } from '@rosemaryspread/runners/engine/httpEngineClient.js'
@@ -9,7 +8,7 @@
 import type { Measurement, MeasureRow } from './measureTypes.js'
 import { STREAM_REQUEST_ID, StreamSource } from './streamSource.js'
 
-/** Streams at once, and pieces of each. */
+/** Concurrent streams, and pieces per stream. */
 const sizes: readonly { readonly streams: number, readonly pieces: number }[] = [
   { streams: 1, pieces: 1000 },
   { streams: 20, pieces: 500 },
@@ -30,14 +29,13 @@
   priority: 0
 }
 
-/** Reads one whole stream; answers the number of pieces it saw, if it looks at them. */
+/** Reads a stream to its end; resolves to the number of pieces, or undefined if the reader doesn't parse them. */
 type Reader = (address: string) => Promise<number | undefined>
 
-/** Cost of streams, measured. */
 export const streamBench: Measurement = {
   group: 'bench',
   name: 'stream',
-  title: 'processor time for one event of an engine stream through HttpEngineClient, by streams at once',
+  title: 'processor time per event of an engine stream through HttpEngineClient, by concurrent streams',
   run: async () => {
     const rows: MeasureRow[] = []
     for (const { streams, pieces } of sizes) rows.push(await measureSize(streams, pieces))
@@ -82,12 +80,12 @@
   }
 }
 
-/** Processor microseconds for one event, of server and reader together. */
+/** Microseconds of processor time per event, server and reader together. */
 async function costOf (streams: number, pieces: number, reader: Reader, address: string): Promise<number> {
   const before = process.cpuUsage()
   const seen = await Promise.all(Array.from({ length: streams }, () => reader(address)))
   const { user, system } = process.cpuUsage(before)
-  if (seen.some(count => count !== undefined && count !== pieces)) throw new Error('a stream was not read whole')
+  if (seen.some(count => count !== undefined && count !== pieces)) throw new Error('a reader did not see all pieces of its stream')
   return (user + system) / (streams * pieces)
 }
 
@@ -105,7 +103,7 @@
   })
 }
 
-/** The first round warms up and does not count. */
+/** Median without the first round, which warms up code and connections. */
 function medianAfterFirst (values: readonly number[]): number {
   const sorted = values.slice(1).sort((a, b) => a - b)
   return sorted[Math.floor(sorted.length / 2)] ?? NaN
--- a/packages/stand-ins/src/measure/streamSource.ts
+++ b/packages/stand-ins/src/measure/streamSource.ts
@@ -1,6 +1,6 @@
 /**
- * A loopback server of engine streams for `streamBench.ts`: it sends one event for each open
- * stream every millisecond, so that events mostly arrive one by one as from a real engine.
+ * Loopback server of engine streams for `streamBench.ts`. Sends one event per open stream every millisecond, so that events
+ * mostly arrive one per read, as from a real engine.
  */
 import { createServer, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -8,10 +8,9 @@
 const TICK_MS = 1
 const DONE = 'data: [DONE]\n\n'
 
-/** Request id of every stream. */
+/** All streams share this request id. */
 export const STREAM_REQUEST_ID = '0123456789abcdef0123456789abcdef'
 
-/** One server; its cost lies in the same process as the readers'. */
 export class StreamSource {
   private readonly open = new Map<ServerResponse, number>()
   private readonly server = createServer((req, res) => {
@@ -22,12 +21,12 @@
 
   private timer: NodeJS.Timeout | undefined
 
-  /** @param pieces - pieces of each answer ahead of its last event */
+  /** @param pieces - pieces per stream, excluding the final event with the usage */
   constructor (private readonly pieces: number) {}
 
   /**
-   * Listens on loopback and begins to send.
-   * @returns IPv4:port
+   * Listens on a free loopback port and starts to send.
+   * @returns address as IPv4:port
    */
   async start (): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(0, '127.0.0.1', resolve))
--- a/packages/stand-ins/src/measure/warmUp/warmUpFleet.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpFleet.ts
@@ -1,49 +1,48 @@
 /**
- * Plays, in virtual time, a failure domain whose targets come back together and warm up while the rest serves: how many requests reach
- * one of them in its worst second, and how many requests had to leave the target that keeps their prompt.
+ * Simulates in virtual time a failure domain whose targets return together and warm up while the others serve. Counts the requests
+ * that reach one target in its worst second, and how many requests reach the warming target that has their prompt cached.
  */
 import seedrandom from 'seedrandom'
 import { warmUpWays, type WarmUpWay, type WarmUpWayName } from './warmUpWays.js'
 
-/** What is played. */
+/** Size, traffic and visibility of a simulated fleet. */
 export interface WarmUpShape {
   readonly seed: string
   readonly vms: number
   readonly targets: number
-  /** Targets that warm up. */
+  /** Number of targets that warm up. */
   readonly warming: number
   readonly requestsPerS: number
-  /** Part of the requests that all have one prompt, kept by a target that warms up. */
+  /** Share of the requests that have the same prompt, cached by one warming target. */
   readonly hotPart: number
-  /** Whether every request goes to the first warming target that may have it, as where all VMs see the emptiest one. */
+  /** Whether every request goes to the first warming target that accepts it, as if all VMs preferred the least loaded one. */
   readonly isHerd: boolean
-  /** Part of the other VMs that each VM knows. */
+  /** Share of the other VMs that each VM knows. */
   readonly knownPart: number
 }
 
-/** What the targets bear, and for how long; the users' rule allows half as many again and five. */
+/** Requests per second that a warming target can serve. */
 export const BORNE_PER_S = 11
 const WARM_UP_MS = 3_000
 const WINDOW_MS = 1_000
 const MS_PER_S = 1_000
-/** Longest time until a VM learns of a target from the feed, in milliseconds. */
+/** Maximum delay until a VM learns of a target from the feed. */
 const FEED_MS = 400
 
-/** What came of a play. */
 export interface WarmUpCounts {
-  /** Requests that reached one warming target in its worst second. */
+  /** Maximum requests that reached one warming target in any second. */
   readonly worstSecond: number
-  /** Requests that reached warming targets. */
+  /** Requests that reached any warming target. */
   readonly arrived: number
-  /** Requests whose prompt is kept by a warming target, and those of them that it got. */
+  /** Requests whose prompt is cached by a warming target, and how many of them reached it. */
   readonly homeless: number
   readonly atHome: number
 }
 
 /**
- * Plays one warm-up.
- * @param shape - what is played
- * @param way - who may send
+ * Simulates one warm-up.
+ * @param shape - size and traffic
+ * @param strategy - bounds what each VM sends
  */
 export function playWarmUp (shape: WarmUpShape, way: WarmUpWayName): WarmUpCounts {
   const random = seedrandom(shape.seed)
@@ -79,7 +78,7 @@
   return undefined
 }
 
-/** The most of ascending times that lie within one window. */
+/** Largest number of the ascending times that lie within one window. */
 function worstWindow (times: readonly number[]): number {
   let from = 0
   return times.reduce((worst, time, index) => {
--- a/packages/stand-ins/src/measure/warmUp/warmUpMeasure.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpMeasure.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run measure -- warm-up`: what reaches targets that warm up, by the way in which VMs share what they bear.
+ * `npm run measure -- warm-up`: requests that reach warming targets, by the strategy with which VMs share a target's rate.
  */
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 import { playWarmUp, type WarmUpShape } from './warmUpFleet.js'
@@ -7,7 +7,7 @@
 
 const SEEDS = 200
 
-/** A third of 60 targets comes back; 5.2 requests a second for each VM. */
+/** A third of the 60 targets returns; traffic is 5.2 requests per second per VM. */
 const usual: Omit<WarmUpShape, 'seed'> = { vms: 79, targets: 60, warming: 20, requestsPerS: 412, hotPart: 0, isHerd: false, knownPart: 1 }
 
 const shapes: Readonly<Record<string, Omit<WarmUpShape, 'seed'>>> = {
@@ -19,11 +19,10 @@
   'the same, 6 VMs': { ...usual, isHerd: true, vms: 6, requestsPerS: 120, targets: 13, warming: 5 }
 }
 
-/** What reaches targets that warm up. */
 export const warmUpMeasure: Measurement = {
   group: 'measure',
   name: 'warm-up',
-  title: 'requests that reach a target which warms up in its worst second, by the way in which VMs share its rate',
+  title: 'requests that reach a warming target in its worst second, by the strategy with which VMs share its rate',
   run: async ({ seed }) => Object.entries(shapes).flatMap(([what, shape]) =>
     (Object.keys(warmUpWays) as WarmUpWayName[]).map(way => rowOf(what, shape, way, seed)))
 }
--- a/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpWays.ts
@@ -1,41 +1,39 @@
 /**
- * Ways of bounding what all VMs together send to a target that warms up: the product's, and those it was weighed against.
+ * Strategies that bound what all VMs together send to a warming target: the product's, and the alternatives it is compared with.
  */
 import { WarmUpPart, type WarmUpRate } from '@rosemaryspread/decisions/gateway/warmUpPart.js'
 
-/** What one VM may send to one target. */
+/** Bounds what one VM sends to one target. */
 export interface WarmUpWay {
-  /** Whether a request may be sent now. */
   maySend (mono: number): boolean
-  /** A request was sent. */
+  /** Records a sent request. */
   sent (mono: number): void
 }
 
-/** One VM before one target, as its way sees them. */
+/** One pair of VM and target. */
 export interface WarmUpPlace {
   readonly vm: string
   readonly target: string
-  /** The VMs that this one knows, itself included. */
+  /** VMs that this one knows, including itself. */
   readonly vms: readonly string[]
   readonly perS: number
-  /** When the VM learned of the target, and when the target is warm, in milliseconds. */
+  /** Monotonic milliseconds at which the VM learns of the target, and at which the target is warm. */
   readonly knownAt: number
   readonly warmAt: number
   readonly random: () => number
 }
 
 const MS_PER_S = 1_000
-/** Part of the rate that equal parts use: random moments exceed their mean in some seconds. */
+/** Share of the rate that the equal shares use: with random start times some seconds exceed the mean. */
 const EQUAL_PART = 0.7
 
-/** Nothing is bounded. */
 class Unbounded implements WarmUpWay {
   maySend (): boolean { return true }
 
   sent (): void {}
 }
 
-/** An equal part of the rate for each VM, its first request at a random moment. */
+/** An equal share of the rate for each VM; the first request is sent at a random time. */
 class EqualPart implements WarmUpWay {
   private readonly intervalMs: number
   private nextAt: number
@@ -50,7 +48,7 @@
   sent (mono: number): void { this.nextAt = mono + this.intervalMs }
 }
 
-/** A few VMs named for each target: the product's way. */
+/** The product's strategy: a few designated VMs per target. */
 class NamedVms implements WarmUpWay {
   private readonly part: WarmUpPart
   private readonly rate: WarmUpRate
@@ -65,7 +63,7 @@
   sent (mono: number): void { this.part.sent(mono) }
 }
 
-/** Nothing is sent until the target is warm. */
+/** Sends nothing until the target is warm. */
 class LeftOut implements WarmUpWay {
   constructor (private readonly place: WarmUpPlace) {}
 
@@ -74,7 +72,7 @@
   sent (): void {}
 }
 
-/** Each request is sent with a chance that grows from none to one over the warm-up. */
+/** Sends each request with a probability that grows from 0 to 1 over the warm-up. */
 class Ramp implements WarmUpWay {
   constructor (private readonly place: WarmUpPlace) {}
 
@@ -86,7 +84,6 @@
   sent (): void {}
 }
 
-/** The ways by name. */
 export const warmUpWays = {
   unbounded: () => new Unbounded(),
   equalPart: place => new EqualPart(place),
@@ -95,5 +92,4 @@
   ramp: place => new Ramp(place)
 } as const satisfies Record<string, (place: WarmUpPlace) => WarmUpWay>
 
-/** Name of a way. */
 export type WarmUpWayName = keyof typeof warmUpWays
