--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -9,7 +9,6 @@
 const STEP_REQUEST_MS = 1
 const PROMPT_TOKEN_MS = 0.15
 
-/** Maximum prompt tokens prefilled in one step. */
 const CHUNK_TOKENS = 512
 
 const CACHED_PREFIXES = 16
