--- a/packages/stand-ins/src/measure/capacityBench.ts
+++ b/packages/stand-ins/src/measure/capacityBench.ts
@@ -10,31 +10,31 @@
 import type { CapacityProbe, ProbePoint } from './capacity/probeTypes.js'
 import type { Measurement, MeasureOptions } from './measureTypes.js'
 
-const PROBE_MAIN = fileURLToPath(new URL('./capacity/probeMain.js', import.meta.url))
-const LIMIT_MS = 120_000
-const MAX_BYTES = 4 * 1024 * 1024
+const PROBE_MAIN_PATH = fileURLToPath(new URL('./capacity/probeMain.js', import.meta.url))
+const PROBE_TIMEOUT_MS = 120_000
+const MAX_OUTPUT_BYTES = 4 * 1024 * 1024
 /** Applies to probes that measure only counts and heap. */
-const AT_ONCE = 3
+const CONCURRENT_PROBES = 3
 
-const run = promisify(execFile)
+const execFileAsync = promisify(execFile)
 
 export const capacityBench: Measurement = {
   group: 'bench',
   name: 'capacity',
   title: 'slopes of state, messages, processor time and memory of each role, and their value at the target',
   run: async options => {
-    const found = new Map<CapacityProbe, readonly ProbePoint[]>()
-    const waiting = capacityProbes.filter(probe => !probe.isTimeSensitive)
-    const lane = async (): Promise<void> => {
-      for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) found.set(next, await pointsOf(next, options))
+    const pointsByProbe = new Map<CapacityProbe, readonly ProbePoint[]>()
+    const pending = capacityProbes.filter(probe => !probe.isTimeSensitive)
+    const runPending = async (): Promise<void> => {
+      for (let next = pending.shift(); next !== undefined; next = pending.shift()) pointsByProbe.set(next, await runProbe(next, options))
     }
-    await Promise.all(Array.from({ length: AT_ONCE }, lane))
-    for (const probe of capacityProbes.filter(item => item.isTimeSensitive)) found.set(probe, await pointsOf(probe, options))
-    return fitRows(capacityProbes.flatMap(probe => found.get(probe) ?? []))
+    await Promise.all(Array.from({ length: CONCURRENT_PROBES }, runPending))
+    for (const probe of capacityProbes.filter(item => item.isTimeSensitive)) pointsByProbe.set(probe, await runProbe(probe, options))
+    return fitRows(capacityProbes.flatMap(probe => pointsByProbe.get(probe) ?? []))
   }
 }
 
-async function pointsOf (probe: CapacityProbe, { seed }: MeasureOptions): Promise<readonly ProbePoint[]> {
-  const { stdout } = await run(process.execPath, ['--expose-gc', PROBE_MAIN, probe.name, seed], { timeout: LIMIT_MS, maxBuffer: MAX_BYTES })
+async function runProbe (probe: CapacityProbe, { seed }: MeasureOptions): Promise<readonly ProbePoint[]> {
+  const { stdout } = await execFileAsync(process.execPath, ['--expose-gc', PROBE_MAIN_PATH, probe.name, seed], { timeout: PROBE_TIMEOUT_MS, maxBuffer: MAX_OUTPUT_BYTES })
   return stdout.trim().split('\n').map(line => JSON.parse(line) as ProbePoint)
 }
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
@@ -15,8 +15,8 @@
   readsPerS: 6_000,
   writesPerS: 1_200,
   requestsPerS: 260,
-  paidPart: 1.3,
-  paidForMs: 34_000,
+  prepaidRatio: 1.3,
+  prepaidTrafficMs: 34_000,
   kinds: [
     { part: 0.36, tokens: 9_300, used: 9_240, runMs: 700, waitMs: 300 },
     { part: 0.43, tokens: 2_420, used: 2_390, runMs: 400, waitMs: 200 },
@@ -24,7 +24,7 @@
   ]
 }
 
-const refusedPart = ({ asked, refused }: FleetCounts): number => refused / asked
+const refusedShare = ({ asked, refused }: FleetCounts): number => refused / asked
 
 describe('GatewayFleet', () => {
   it('lets only a few VMs look for terminated holders, whatever the fleet size', async () => {
@@ -32,7 +32,7 @@
     for (const vms of [6, 60]) {
       const fleet = new GatewayFleet({ ...shape, vms })
       await fleet.time.run(SETTLE_MS)
-      calls.push(await fleet.recover())
+      calls.push(await fleet.recoverTerminated())
     }
     const [small = 0, large = 0] = calls
     expect(small, String(calls)).to.be.greaterThan(0)
@@ -44,41 +44,41 @@
    * also for budgets that it does not own, each of the 24 rows is drawn on by about 20 VMs. Transactions then queue for a second in
    * the store and conflict, and the fleet keeps refusing with `budgetPending` while most prepaid tokens are unused.
    */
-  for (const [name, restMs] of [['at once', 0], ['after two seconds', 2_000]] as const) {
+  for (const [name, idleMs] of [['at once', 0], ['after two seconds', 2_000]] as const) {
     it(`recovers from a restart of all VMs when callers return ${name}`, async () => {
       const fleet = new GatewayFleet({ ...shape, vms: 79 })
       await fleet.time.run(SETTLE_MS)
       await fleet.serve(6_000)
-      await fleet.endAll(1_200)
-      await fleet.time.run(restMs)
+      await fleet.restartAll(1_200)
+      await fleet.time.run(idleMs)
       const first = await fleet.serve(4_000)
       const after = await fleet.serve(4_000)
-      const told = JSON.stringify({ first, after })
-      expect(fleet.overspent, told).to.equal(0)
-      expect(refusedPart(after), told).to.be.below(0.05)
-      expect(after.storeCalls / after.asked, told).to.be.below(4)
+      const details = JSON.stringify({ first, after })
+      expect(fleet.overspent, details).to.equal(0)
+      expect(refusedShare(after), details).to.be.below(0.05)
+      expect(after.storeCalls / after.asked, details).to.be.below(4)
     })
   }
 
-  const cases: ReadonlyArray<{ readonly name: string, readonly over: Partial<FleetShape> }> = [
-    { name: 'six VMs', over: { vms: 6, readsPerS: 2_000, writesPerS: 600, requestsPerS: 60 } },
-    { name: 'sixty VMs', over: {} },
-    { name: 'sixty VMs, where the callers of the largest team all use one of them', over: { isLargestKept: true } }
+  const cases: ReadonlyArray<{ readonly name: string, readonly overrides: Partial<FleetShape> }> = [
+    { name: 'six VMs', overrides: { vms: 6, readsPerS: 2_000, writesPerS: 600, requestsPerS: 60 } },
+    { name: 'sixty VMs', overrides: {} },
+    { name: 'sixty VMs, where the callers of the largest team all use one of them', overrides: { isLargestTeamPinned: true } }
   ]
-  for (const { name, over } of cases) {
+  for (const { name, overrides } of cases) {
     it(`refuses almost no request that prepaid tokens cover, with ${name}, also after all connections stop responding`, async () => {
-      const fleet = new GatewayFleet({ ...shape, ...over })
+      const fleet = new GatewayFleet({ ...shape, ...overrides })
       await fleet.time.run(SETTLE_MS)
-      const calm = await fleet.serve(6_000)
-      fleet.silence()
-      const silent = await fleet.serve(2_000)
+      const stable = await fleet.serve(6_000)
+      fleet.stallConnections()
+      const stalled = await fleet.serve(2_000)
       const after = await fleet.serve(2_000)
-      const told = JSON.stringify({ calm, silent, after })
-      expect(fleet.overspent, told).to.equal(0)
-      expect(refusedPart(calm), told).to.be.below(0.01)
-      expect(refusedPart(silent), told).to.be.below(0.05)
-      expect(refusedPart(after), told).to.be.below(0.01)
-      expect(calm.storeCalls / calm.asked, told).to.be.below(4)
+      const details = JSON.stringify({ stable, stalled, after })
+      expect(fleet.overspent, details).to.equal(0)
+      expect(refusedShare(stable), details).to.be.below(0.01)
+      expect(refusedShare(stalled), details).to.be.below(0.05)
+      expect(refusedShare(after), details).to.be.below(0.01)
+      expect(stable.storeCalls / stable.asked, details).to.be.below(4)
     })
   }
 })
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -16,19 +16,19 @@
 
 const TICK_MS = 50
 /** Delay before a VM retries the recovery of its earlier process's allotments. */
-const TAKE_OVER_RETRY_MS = 300
+const RECOVERY_RETRY_MS = 300
 /** One-way latency between two VMs. */
-const LINK_MS = 1
+const LINK_LATENCY_MS = 1
 /** Round-trip time of a store call. */
-const STORE_MS = 4
+const STORE_ROUND_TRIP_MS = 4
 /** Transactions of one store partition run one after another. */
 const TRANSACTION_MS = 1_000 / 300
 /** A partition refuses transactions beyond this queueing time. */
-const MOST_QUEUED_MS = 1_000
+const MAX_QUEUED_MS = 1_000
 const STORE_TIMEOUT_MS = 1_000
 const MS_PER_SECOND = 1_000
 /** Share of the prepaid tokens that requests can rely on; the rest may be reserved by concurrent requests. */
-const OWED_PART = 0.97
+const GUARANTEED_SHARE = 0.97
 
 /** Size, traffic and store limits of a fleet. */
 export interface FleetShape {
@@ -40,10 +40,10 @@
   readonly writesPerS: number
   readonly requestsPerS: number
   /** Prepaid tokens, as a multiple of the tokens that `prepaidTrafficMs` of traffic uses. */
-  readonly paidPart: number
-  readonly paidForMs: number
+  readonly prepaidRatio: number
+  readonly prepaidTrafficMs: number
   /** Whether all callers of the largest team use the first VM. */
-  readonly isLargestKept?: boolean
+  readonly isLargestTeamPinned?: boolean
   /** Kinds of request: share of the traffic, reserved and used tokens, execution time and reservation timeout. */
   readonly kinds: ReadonlyArray<{ readonly part: number, readonly tokens: number, readonly used: number, readonly runMs: number, readonly waitMs: number }>
 }
@@ -53,7 +53,7 @@
   readonly asked: number
   readonly refused: number
   /** Refusals of requests whose reservation, on top of all used tokens, fits into {@link GUARANTEED_SHARE} of the prepaid tokens. */
-  readonly owed: number
+  readonly wrongfullyRefused: number
   /** Refusals by result code. */
   readonly codes: Readonly<Record<string, number>>
   readonly storeCalls: number
@@ -63,7 +63,7 @@
 interface OpenCounts {
   asked: number
   refused: number
-  owed: number
+  wrongfullyRefused: number
   readonly codes: Record<string, number>
 }
 
@@ -87,15 +87,15 @@
   private vms: FleetVm[] = []
   /** Terminated holders: their pending store calls never complete. */
   private readonly ended = new Set<string>()
-  private life = 1
+  private generation = 1
   private readonly config: GatewayConfig
   /** Stalled connections, as `caller callee`. */
-  private readonly silent = new Set<string>()
+  private readonly stalledLinks = new Set<string>()
   /** Links whose last call timed out, as `caller callee`. */
-  private readonly unanswered = new Set<string>()
+  private readonly timedOutLinks = new Set<string>()
   private readonly used = new Map<string, number>()
-  private partFreeAt = 0
-  private cutUntil = 0
+  private partitionFreeAt = 0
+  private storeOutageUntil = 0
   private second = 0
   private reads = 0
   private writes = 0
@@ -104,7 +104,7 @@
 
   constructor (private readonly shape: FleetShape) {
     this.random = seedrandom(shape.seed)
-    this.config = this.configOf()
+    this.config = this.createConfig()
     for (let index = 0; index < shape.vms; index += 1) this.vms.push(this.startVm(`vm${index}`))
     this.tick()
   }
@@ -116,24 +116,24 @@
   async serve (ms: number): Promise<FleetCounts> {
     const end = this.time.mono + ms
     const callsBefore = this.storeCalls
-    const counts: OpenCounts = { asked: 0, refused: 0, owed: 0, codes: {} }
-    for (let at = this.gap(); at < ms; at += this.gap()) this.time.after(at, () => { this.begin(counts) })
+    const counts: OpenCounts = { asked: 0, refused: 0, wrongfullyRefused: 0, codes: {} }
+    for (let at = this.nextArrivalMs(); at < ms; at += this.nextArrivalMs()) this.time.after(at, () => { this.startRequest(counts) })
     await this.time.runUntil(end)
     return { ...counts, storeCalls: this.storeCalls - callsBefore }
   }
 
   /** Lets each VM look for terminated holders once; resolves to the number of store calls made. */
-  async recover (): Promise<number> {
+  async recoverTerminated (): Promise<number> {
     const before = this.storeCalls
     await this.time.until(Promise.all(this.vms.map(async ({ budgets }) => { await budgets.recoverTerminated() })))
     return this.storeCalls - before
   }
 
   /** Stalls all connections that are open now. */
-  silence (): void {
+  stallConnections (): void {
     for (const { holder } of this.vms) {
-      this.silent.add(`${holder} store`)
-      for (const { address } of this.vms) this.silent.add(`${holder} ${address}`)
+      this.stalledLinks.add(`${holder} store`)
+      for (const { address } of this.vms) this.stalledLinks.add(`${holder} ${address}`)
     }
   }
 
@@ -141,26 +141,26 @@
    * Cuts all VMs off from the store; the links between them keep working.
    * @param ms - virtual milliseconds
    */
-  cutOff (ms: number): void {
-    this.cutUntil = this.time.mono + ms
+  cutOffStore (ms: number): void {
+    this.storeOutageUntil = this.time.mono + ms
   }
 
   /**
    * Terminates all VMs at once and restarts them later; the new processes recover the allotments of the earlier ones.
    * @param downMs - virtual milliseconds until the restart
    */
-  async endAll (downMs: number): Promise<void> {
+  async restartAll (downMs: number): Promise<void> {
     const names = this.vms.map(({ address }) => address)
     for (const { holder } of this.vms) this.ended.add(holder)
     this.vms = []
-    this.life += 1
+    this.generation += 1
     await this.time.run(downMs)
     for (const name of names) this.vms.push(this.startVm(name))
-    for (const { budgets } of this.vms) this.takeOver(budgets)
+    for (const { budgets } of this.vms) this.recoverPredecessors(budgets)
   }
 
   /** Used tokens as a share of all prepaid tokens. */
-  get usedPart (): number {
+  get usedShare (): number {
     const paid = Object.values(this.config.teams).reduce((sum, { prepaidTokens }) => sum + (prepaidTokens ?? 0), 0)
     return [...this.used.values()].reduce((sum, tokens) => sum + tokens, 0) / paid
   }
@@ -171,33 +171,33 @@
       sum + Math.max(0, (this.used.get(team) ?? 0) - (prepaidTokens ?? 0)), 0)
   }
 
-  private configOf (): GatewayConfig {
-    const { teams, kinds, requestsPerS, paidForMs, paidPart } = this.shape
-    const mean = kinds.reduce((sum, { part, used }) => sum + part * used, 0)
-    const inAll = mean * requestsPerS * paidForMs / MS_PER_SECOND * paidPart
+  private createConfig (): GatewayConfig {
+    const { teams, kinds, requestsPerS, prepaidTrafficMs, prepaidRatio } = this.shape
+    const meanTokens = kinds.reduce((sum, { part, used }) => sum + part * used, 0)
+    const totalTokens = meanTokens * requestsPerS * prepaidTrafficMs / MS_PER_SECOND * prepaidRatio
     const names = Array.from({ length: teams }, (_, index) => `team${index}`)
     const weights = names.map((_, index) => weightOf(index))
-    const sum = weights.reduce((total, weight) => total + weight, 0)
+    const weightSum = weights.reduce((total, weight) => total + weight, 0)
     return gatewayConfigSchema.parse({
       version: 1,
       routes: [],
       services: {},
-      teams: Object.fromEntries(names.map((name, index) => [name, { keyHashes: [], prepaidTokens: Math.floor(inAll * (weights[index] ?? 0) / sum) }])),
+      teams: Object.fromEntries(names.map((name, index) => [name, { keyHashes: [], prepaidTokens: Math.floor(totalTokens * (weights[index] ?? 0) / weightSum) }])),
       limits: {}
     })
   }
 
   private startVm (name: string): FleetVm {
-    const holder = `${name}~${this.life}`
-    const bornAt = this.time.mono
+    const holder = `${name}~${this.generation}`
+    const startedAt = this.time.mono
     const others = (): readonly FleetVm[] => this.vms.filter(vm => vm.holder !== holder)
     const budgets = createBudgetDriver({
       holder,
       domain: `domain${this.vms.length % 3}`,
       place: name,
-      store: this.storeOf(holder),
+      store: this.createStore(holder),
       // The monotonic clock of a process starts at 0.
-      clock: { now: () => ({ mono: this.time.mono - bornAt, wall: this.time.mono }) },
+      clock: { now: () => ({ mono: this.time.mono - startedAt, wall: this.time.mono }) },
       log: { write: () => {} },
       fleet: {
         members: () => others().map(vm => ({ holder: vm.holder, domain: '' })),
@@ -210,9 +210,9 @@
     return { holder, address: name, budgets, preparation: new BudgetPreparation(name, budgets) }
   }
 
-  private takeOver (budgets: BudgetDriver): void {
+  private recoverPredecessors (budgets: BudgetDriver): void {
     budgets.recoverPredecessors().then(isDone => {
-      if (!isDone) this.time.after(TAKE_OVER_RETRY_MS, () => { this.takeOver(budgets) })
+      if (!isDone) this.time.after(RECOVERY_RETRY_MS, () => { this.recoverPredecessors(budgets) })
     }, err => { throw err })
   }
 
@@ -224,12 +224,12 @@
     this.time.after(TICK_MS, () => { this.tick() })
   }
 
-  private begin (counts: OpenCounts): void {
+  private startRequest (counts: OpenCounts): void {
     const { kinds } = this.shape
-    const kind = kinds[chosen(kinds.map(({ part }) => part), this.random())]
-    const index = chosen(Object.keys(this.config.teams).map((_, index) => weightOf(index)), this.random())
+    const kind = kinds[pickWeighted(kinds.map(({ part }) => part), this.random())]
+    const index = pickWeighted(Object.keys(this.config.teams).map((_, index) => weightOf(index)), this.random())
     const team = `team${index}`
-    const vm = this.vms[index === 0 && this.shape.isLargestKept === true ? 0 : Math.floor(this.random() * this.vms.length)]
+    const vm = this.vms[index === 0 && this.shape.isLargestTeamPinned === true ? 0 : Math.floor(this.random() * this.vms.length)]
     if (kind === undefined || vm === undefined) return
     this.requests += 1
     const requestId = `r${this.requests}`
@@ -237,7 +237,7 @@
     vm.budgets.reserve(team, kind.tokens, kind.waitMs).then(reserved => reserved.caseOf({
       Left: ({ code, message }) => {
         counts.refused += 1
-        if (this.fits(team, kind.tokens)) counts.owed += 1
+        if (this.isWithinGuarantee(team, kind.tokens)) counts.wrongfullyRefused += 1
         counts.codes[code] = (counts.codes[code] ?? 0) + 1
       },
       Right: reservation => {
@@ -247,24 +247,24 @@
     }), err => { throw err })
   }
 
-  private fits (team: string, tokens: number): boolean {
-    return (this.used.get(team) ?? 0) + tokens <= OWED_PART * (this.config.teams[team]?.prepaidTokens ?? 0)
+  private isWithinGuarantee (team: string, tokens: number): boolean {
+    return (this.used.get(team) ?? 0) + tokens <= GUARANTEED_SHARE * (this.config.teams[team]?.prepaidTokens ?? 0)
   }
 
-  private gap (): number {
+  private nextArrivalMs (): number {
     return -Math.log(1 - this.random()) * MS_PER_SECOND / this.shape.requestsPerS
   }
 
   private async callVm (from: string, address: string, call: LinkCall, timeoutMs: number): Promise<Either<Failure, unknown>> {
-    if (this.silent.delete(`${from} ${address}`)) {
-      this.unanswered.add(`${from} ${address}`)
+    if (this.stalledLinks.delete(`${from} ${address}`)) {
+      this.timedOutLinks.add(`${from} ${address}`)
       await this.time.sleep(timeoutMs)
       return Left(new Failure('peerUnreachable', 'peer call timed out', { ran: 'unknown' }))
     }
-    await this.time.sleep(LINK_MS)
-    if (this.unanswered.delete(`${from} ${address}`)) this.dropSilent(from)
+    await this.time.sleep(LINK_LATENCY_MS)
+    if (this.timedOutLinks.delete(`${from} ${address}`)) this.clearStalled(from)
     const answer = this.answer(address, call)
-    await this.time.sleep(LINK_MS)
+    await this.time.sleep(LINK_LATENCY_MS)
     return Right(answer)
   }
 
@@ -277,11 +277,11 @@
   }
 
   /** Mirrors the peer client: a response on a new link makes it replace its other stalled links. */
-  private dropSilent (from: string): void {
-    for (const { address } of this.vms) this.silent.delete(`${from} ${address}`)
+  private clearStalled (from: string): void {
+    for (const { address } of this.vms) this.stalledLinks.delete(`${from} ${address}`)
   }
 
-  private storeOf (holder: string): TableStore {
+  private createStore (holder: string): TableStore {
     return {
       // The modelled store reads one row per call.
       read: async (keys: readonly RowKey[]) => await this.callStore<ReadAnswer>(holder, keys.length, 0, () => Right(this.state.read(keys))),
@@ -291,30 +291,30 @@
     }
   }
 
-  private async callStore<T> (holder: string, reads: number, writes: number, effect: () => Either<Failure, T>): Promise<Either<Failure, T>> {
+  private async callStore<T> (holder: string, reads: number, writes: number, execute: () => Either<Failure, T>): Promise<Either<Failure, T>> {
     if (this.ended.has(holder)) return await new Promise(() => {})
     this.storeCalls += reads + writes
-    if (this.silent.delete(`${holder} store`) || this.time.mono < this.cutUntil) {
+    if (this.stalledLinks.delete(`${holder} store`) || this.time.mono < this.storeOutageUntil) {
       await this.time.sleep(STORE_TIMEOUT_MS)
       return Left(new Failure(writes > 0 ? 'platformOutcomeUnknown' : 'platformUnavailable', 'store call timed out', { ran: 'unknown' }))
     }
-    await this.time.sleep(STORE_MS / 2)
-    const isTaken = this.takeRate(reads, writes)
-    const queuedMs = writes === 0 ? 0 : Math.max(0, this.partFreeAt - this.time.mono)
-    if (!isTaken || queuedMs > MOST_QUEUED_MS) {
-      await this.time.sleep(STORE_MS / 2)
+    await this.time.sleep(STORE_ROUND_TRIP_MS / 2)
+    const isAdmitted = this.admitCalls(reads, writes)
+    const queuedMs = writes === 0 ? 0 : Math.max(0, this.partitionFreeAt - this.time.mono)
+    if (!isAdmitted || queuedMs > MAX_QUEUED_MS) {
+      await this.time.sleep(STORE_ROUND_TRIP_MS / 2)
       return Left(new Failure('platformUnavailable', 'store rate or queue limit exceeded', { ran: 'no' }))
     }
     if (writes > 0) {
-      this.partFreeAt = this.time.mono + queuedMs + TRANSACTION_MS
+      this.partitionFreeAt = this.time.mono + queuedMs + TRANSACTION_MS
       await this.time.sleep(queuedMs + TRANSACTION_MS)
     }
-    const answer = effect()
-    await this.time.sleep(STORE_MS / 2)
+    const answer = execute()
+    await this.time.sleep(STORE_ROUND_TRIP_MS / 2)
     return answer
   }
 
-  private takeRate (reads: number, writes: number): boolean {
+  private admitCalls (reads: number, writes: number): boolean {
     const second = Math.floor(this.time.mono / MS_PER_SECOND)
     if (second !== this.second) Object.assign(this, { second, reads: 0, writes: 0 })
     this.reads += reads
@@ -329,11 +329,11 @@
 }
 
 /** Maps a random number in [0, 1) to an index by weight. */
-function chosen (weights: readonly number[], at: number): number {
-  let left = at * weights.reduce((sum, weight) => sum + weight, 0)
+function pickWeighted (weights: readonly number[], value: number): number {
+  let remaining = value * weights.reduce((sum, weight) => sum + weight, 0)
   const index = weights.findIndex(weight => {
-    left -= weight
-    return left < 0
+    remaining -= weight
+    return remaining < 0
   })
   return Math.max(0, index)
 }
--- a/packages/stand-ins/src/measure/measureMain.ts
+++ b/packages/stand-ins/src/measure/measureMain.ts
@@ -14,9 +14,9 @@
  */
 export function renderTable (rows: readonly MeasureRow[]): string {
   const fields = Object.keys(rows[0] ?? {})
-  const line = (cells: readonly (string | number)[]): string => `| ${cells.join(' | ')} |`
-  const body = rows.map(row => line(fields.map(field => row[field] ?? '')))
-  return [line(fields), line(fields.map(() => '---')), ...body].join('\n')
+  const renderLine = (cells: readonly (string | number)[]): string => `| ${cells.join(' | ')} |`
+  const lines = rows.map(row => renderLine(fields.map(field => row[field] ?? '')))
+  return [renderLine(fields), renderLine(fields.map(() => '---')), ...lines].join('\n')
 }
 
 function findMeasurement (group: string, name: string | undefined): Measurement | undefined {
--- a/packages/stand-ins/src/measure/peersBench.ts
+++ b/packages/stand-ins/src/measure/peersBench.ts
@@ -13,36 +13,36 @@
 const KEY = 'key of the bench, never used elsewhere'
 const PEERS = [2, 8, 32]
 /** Heartbeats per second to each peer. */
-const RATES = [1, 10, 100]
-const PERIODS_MS = 3_000
-const TIMEOUT_MS = 10_000
+const RATES_PER_S = [1, 10, 100]
+const MEASURE_MS = 3_000
+const CALL_TIMEOUT_MS = 10_000
 const MS_PER_SECOND = 1_000
 
-type Kind = 'notification' | 'call'
+type MessageKind = 'notification' | 'call'
 
 /** One client connected to several servers. */
 interface Links {
   readonly client: JsonRpcPeerClient
   readonly servers: readonly JsonRpcPeerServer[]
   readonly sockets: readonly Socket[]
-  readonly receipts: Receipts
+  readonly receipts: ReceiptCounter
 }
 
 /** Counts received heartbeats. */
-class Receipts {
+class ReceiptCounter {
   count = 0
   private target = Infinity
-  private reached: () => void = () => {}
+  private onReached: () => void = () => {}
 
-  note (): void {
+  record (): void {
     this.count++
-    if (this.count >= this.target) this.reached()
+    if (this.count >= this.target) this.onReached()
   }
 
   /** Resolves once the given number of further heartbeats has arrived. */
-  async more (wanted: number): Promise<void> {
-    this.target = this.count + wanted
-    await new Promise<void>(resolve => { this.reached = resolve })
+  async waitForMore (additional: number): Promise<void> {
+    this.target = this.count + additional
+    await new Promise<void>(resolve => { this.onReached = resolve })
   }
 }
 
@@ -54,24 +54,24 @@
     const rows: MeasureRow[] = []
     for (const kind of ['notification', 'call'] as const) {
       for (const peers of PEERS) {
-        for (const rate of RATES) rows.push(await measureLinks(kind, peers, rate))
+        for (const rate of RATES_PER_S) rows.push(await measureLinks(kind, peers, rate))
       }
     }
     return rows
   }
 }
 
-async function measureLinks (kind: Kind, peers: number, rate: number): Promise<MeasureRow> {
+async function measureLinks (kind: MessageKind, peers: number, rate: number): Promise<MeasureRow> {
   const links = await openLinks(peers)
-  const handshakeBytes = bytesOf(links.sockets)
+  const handshakeBytes = totalBytes(links.sockets)
   await sendRound(links, kind, 0)
   await sendRound(links, kind, 1)
-  const idle = await costOf(async () => { await wait(PERIODS_MS) })
-  const bytesBefore = bytesOf(links.sockets)
+  const idle = await measureCpu(async () => { await wait(MEASURE_MS) })
+  const bytesBefore = totalBytes(links.sockets)
   const receivedBefore = links.receipts.count
-  const busy = await costOf(async () => { await sendAtRate(links, kind, rate) })
+  const busy = await measureCpu(async () => { await sendAtRate(links, kind, rate) })
   const messages = links.receipts.count - receivedBefore
-  const bytes = bytesOf(links.sockets) - bytesBefore
+  const bytes = totalBytes(links.sockets) - bytesBefore
   await closeLinks(links)
   return {
     kind,
@@ -88,11 +88,11 @@
 async function openLinks (peers: number): Promise<Links> {
   const clock: Clock = { now: () => ({ mono: performance.now(), wall: Date.now() }) }
   const log = { write: () => {} }
-  const receipts = new Receipts()
+  const receipts = new ReceiptCounter()
   const servers: JsonRpcPeerServer[] = []
   for (let i = 0; i < peers; i++) {
     const server = new JsonRpcPeerServer({ holder: `quito-centro-${i}~0123456789ab`, keys: [KEY] }, log)
-    server.register('beat', async () => { receipts.note() })
+    server.register('beat', async () => { receipts.record() })
     server.register('open', async () => null)
     await server.listen('127.0.0.1:0')
     servers.push(server)
@@ -104,7 +104,7 @@
     return socket
   }
   const client = new JsonRpcPeerClient({ identity: { holder: 'quito-centro-a~0123456789ab', keys: [KEY] }, clock, random: Math.random, dial })
-  await Promise.all(servers.map(server => client.call(server.address, 'open', null, TIMEOUT_MS)))
+  await Promise.all(servers.map(server => client.call(server.address, 'open', null, CALL_TIMEOUT_MS)))
   return { client, servers, sockets, receipts }
 }
 
@@ -113,42 +113,42 @@
   for (const server of servers) await server.close()
 }
 
-async function sendAtRate (links: Links, kind: Kind, rate: number): Promise<void> {
-  const rounds = Math.round(PERIODS_MS / MS_PER_SECOND * rate)
+async function sendAtRate (links: Links, kind: MessageKind, rate: number): Promise<void> {
+  const rounds = Math.round(MEASURE_MS / MS_PER_SECOND * rate)
   for (let round = 0; round < rounds; round++) {
-    const next = wait(PERIODS_MS / rounds)
+    const next = wait(MEASURE_MS / rounds)
     await sendRound(links, kind, round + 2)
     await next
   }
 }
 
 /** Sends one heartbeat to each peer; resolves when all have arrived. */
-async function sendRound (links: Links, kind: Kind, round: number): Promise<void> {
-  const heartbeat = heartbeatOf(round)
+async function sendRound (links: Links, kind: MessageKind, round: number): Promise<void> {
+  const heartbeat = createHeartbeat(round)
   if (kind === 'call') {
-    await Promise.all(links.servers.map(server => links.client.call(server.address, 'beat', heartbeat, TIMEOUT_MS)))
+    await Promise.all(links.servers.map(server => links.client.call(server.address, 'beat', heartbeat, CALL_TIMEOUT_MS)))
     return
   }
-  const arrived = links.receipts.more(links.servers.length)
+  const arrived = links.receipts.waitForMore(links.servers.length)
   for (const server of links.servers) links.client.notify(server.address, 'beat', heartbeat)
   await arrived
 }
 
 /** A heartbeat of a stable fleet, without gossip updates. */
-function heartbeatOf (beat: number): Heartbeat {
-  const self = { holder: 'quito-centro-a~0123456789ab', beat: 100_000 + beat, state: 'live', config: 1_234, open: 7, age: 0 } as const
+function createHeartbeat (round: number): Heartbeat {
+  const self = { holder: 'quito-centro-a~0123456789ab', beat: 100_000 + round, state: 'live', config: 1_234, open: 7, age: 0 } as const
   return { self, news: [], ask: false }
 }
 
-async function costOf (work: () => Promise<void>): Promise<{ readonly cpuUs: number, readonly ms: number }> {
+async function measureCpu (work: () => Promise<void>): Promise<{ readonly cpuUs: number, readonly ms: number }> {
   const startedAt = performance.now()
-  const before = process.cpuUsage()
+  const cpuBefore = process.cpuUsage()
   await work()
-  const used = process.cpuUsage(before)
-  return { cpuUs: used.user + used.system, ms: performance.now() - startedAt }
+  const cpu = process.cpuUsage(cpuBefore)
+  return { cpuUs: cpu.user + cpu.system, ms: performance.now() - startedAt }
 }
 
-function bytesOf (sockets: readonly Socket[]): number {
+function totalBytes (sockets: readonly Socket[]): number {
   return sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0)
 }
 
--- a/packages/stand-ins/src/measure/routingBench.ts
+++ b/packages/stand-ins/src/measure/routingBench.ts
@@ -13,13 +13,13 @@
 const MODELS = 27
 const RUNNER_COUNTS = [12, 60, 600]
 const SLOTS = 16
-const WARM_UP = 3_000
-const ROUTERS_WEIGHED = 8
+const WARM_UP_DECISIONS = 3_000
+const ROUTERS_PER_HEAP_SAMPLE = 8
 const ROUNDS = 15
-const DECISIONS_A_ROUND = 400
+const DECISIONS_PER_ROUND = 400
 
-type Kind = 'plain' | 'keyed' | 'refused as overloaded'
-const kinds: readonly Kind[] = ['plain', 'keyed', 'refused as overloaded']
+type DecisionKind = 'plain' | 'keyed' | 'refused as overloaded'
+const kinds: readonly DecisionKind[] = ['plain', 'keyed', 'refused as overloaded']
 
 interface Cost {
   readonly micros: number
@@ -30,11 +30,11 @@
   group: 'bench',
   name: 'routing',
   title: 'microseconds and bytes of one routing decision at 12, 60 and 600 runners and 27 models',
-  run: async ({ seed }) => kinds.flatMap(kind => rowsOf(kind, seed))
+  run: async ({ seed }) => kinds.flatMap(kind => createRows(kind, seed))
 }
 
-function rowsOf (kind: Kind, seed: string): readonly MeasureRow[] {
-  const measured = RUNNER_COUNTS.map(count => ({ count, ...measure(kind, count, seedrandom(seed)) }))
+function createRows (kind: DecisionKind, seed: string): readonly MeasureRow[] {
+  const measured = RUNNER_COUNTS.map(count => ({ count, ...measureDecisions(kind, count, seedrandom(seed)) }))
   const [smallest] = measured
   return measured.map(({ count, micros, bytes, stateBytes }) => ({
     decision: kind,
@@ -43,47 +43,47 @@
     micros: Number(micros.toFixed(1)),
     bytes: Math.round(bytes),
     state_kib: Math.round(stateBytes / 1_024),
-    growth: smallest === undefined ? '' : growth(count / smallest.count, micros / smallest.micros)
+    growth: smallest === undefined ? '' : describeGrowth(count / smallest.count, micros / smallest.micros)
   }))
 }
 
 /** Classifies how a cost grows with the number of runners. */
-function growth (size: number, cost: number): string {
+function describeGrowth (size: number, cost: number): string {
   if (size === 1) return 'base'
   const exponent = Math.log(Math.max(1, cost)) / Math.log(size)
   const name = exponent < 0.2 ? 'constant' : exponent < 0.8 ? 'sublinear' : exponent < 1.2 ? 'linear' : 'superlinear'
   return `${name}: x${cost.toFixed(1)} for x${size}`
 }
 
-function measure (kind: Kind, count: number, random: () => number): Cost & { readonly stateBytes: number } {
-  const gc = collector()
-  prepare(count, kind)
+function measureDecisions (kind: DecisionKind, count: number, random: () => number): Cost & { readonly stateBytes: number } {
+  const gc = exposeGc()
+  createRouter(count, kind)
   gc()
-  const before = process.memoryUsage().heapUsed
-  const routers = Array.from({ length: ROUTERS_WEIGHED }, () => prepare(count, kind))
+  const heapBefore = process.memoryUsage().heapUsed
+  const routers = Array.from({ length: ROUTERS_PER_HEAP_SAMPLE }, () => createRouter(count, kind))
   gc()
-  const stateBytes = (process.memoryUsage().heapUsed - before) / routers.length
-  const router = routers.pop() ?? prepare(count, kind)
+  const stateBytes = (process.memoryUsage().heapUsed - heapBefore) / routers.length
+  const router = routers.pop() ?? createRouter(count, kind)
   let serial = 0
-  const decide = (): void => { router.route(requestOf(serial++, kind), instantOf(1_500), random) }
-  for (let i = 0; i < WARM_UP; i++) decide()
-  const rounds = Array.from({ length: ROUNDS }, () => roundOf(decide, gc))
+  const decide = (): void => { router.route(createRequest(serial++, kind), instantOf(1_500), random) }
+  for (let i = 0; i < WARM_UP_DECISIONS; i++) decide()
+  const rounds = Array.from({ length: ROUNDS }, () => runRound(decide, gc))
   return { micros: median(rounds.map(round => round.micros)), bytes: median(rounds.map(round => round.bytes)), stateBytes }
 }
 
-function roundOf (decide: () => void, gc: () => void): Cost {
+function runRound (decide: () => void, gc: () => void): Cost {
   gc()
-  const heap = process.memoryUsage().heapUsed
+  const heapBefore = process.memoryUsage().heapUsed
   const start = process.hrtime.bigint()
-  for (let i = 0; i < DECISIONS_A_ROUND; i++) decide()
-  const micros = Number(process.hrtime.bigint() - start) / 1_000 / DECISIONS_A_ROUND
-  return { micros, bytes: (process.memoryUsage().heapUsed - heap) / DECISIONS_A_ROUND }
+  for (let i = 0; i < DECISIONS_PER_ROUND; i++) decide()
+  const micros = Number(process.hrtime.bigint() - start) / 1_000 / DECISIONS_PER_ROUND
+  return { micros, bytes: (process.memoryUsage().heapUsed - heapBefore) / DECISIONS_PER_ROUND }
 }
 
 /** A router with latency measurements, load reports and cache reports for every runner. */
-function prepare (count: number, kind: Kind): RunnerRouter {
+function createRouter (count: number, kind: DecisionKind): RunnerRouter {
   const router = new RunnerRouter('vm0', 'a')
-  const runners = Array.from({ length: count }, (_, i) => viewOf(i))
+  const runners = Array.from({ length: count }, (_, i) => createRunnerView(i))
   for (let i = 0; i < MODELS; i++) router.observe({ kind: 'configured', model: `m${i}`, runners }, instantOf(0))
   const running = kind === 'refused as overloaded' ? SLOTS + 4 : 6
   for (const { runner } of runners) {
@@ -99,11 +99,11 @@
   return router
 }
 
-function viewOf (i: number): RunnerView {
+function createRunnerView (i: number): RunnerView {
   return { runner: `runner-${i}`, address: `10.0.${i >> 8}.${i & 255}:8000`, domain: 'abc'[i % 3] ?? 'a', slots: SLOTS }
 }
 
-function requestOf (serial: number, kind: Kind): RouteRequest {
+function createRequest (serial: number, kind: DecisionKind): RouteRequest {
   return {
     requestId: `q${serial}`,
     team: 'team',
@@ -117,7 +117,7 @@
   }
 }
 
-function collector (): () => void {
+function exposeGc (): () => void {
   setFlagsFromString('--expose-gc')
   return runInNewContext('gc') as () => void
 }
--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -9,9 +9,9 @@
 const STEP_REQUEST_MS = 1
 const PROMPT_TOKEN_MS = 0.15
 
-const CHUNK_TOKENS = 512
+const MAX_PREFILL_TOKENS_PER_STEP = 512
 
-const CACHED_PREFIXES = 16
+const MAX_CACHED_PREFIXES = 16
 
 /** Maximum requests in a batch. */
 export const ENGINE_SLOTS = 16
@@ -27,7 +27,7 @@
   readonly req: SimRequest
   readonly engine: SimEngine
   readonly startedAt: number
-  promptLeft: number
+  remainingPromptTokens: number
   tokens: number
   lastTokenAt: number
   firstTokenMs: number
@@ -43,13 +43,13 @@
 
 export class SimEngine {
   /** Multiplies the duration of each step. */
-  slowness = 1
-  state: 'up' | 'silent' | 'down' = 'up'
-  readonly changes: CacheChange[] = []
+  slowdownFactor = 1
+  state: 'up' | 'unresponsive' | 'down' = 'up'
+  readonly cacheChanges: CacheChange[] = []
   private readonly cache = new Set<number>()
   private waiting: Attempt[] = []
   private batch: Attempt[] = []
-  private stepping = false
+  private isStepping = false
 
   /**
    * @param schedule - runs a function at the given virtual time
@@ -89,26 +89,26 @@
   }
 
   /** Milliseconds to complete the request with the current load and no further arrivals; Infinity without a free slot. */
-  trueTimeMs (req: SimRequest): number {
+  actualServiceMs (req: SimRequest): number {
     if (this.state !== 'up' || this.running + this.queued >= ENGINE_SLOTS) return Infinity
-    const stepMs = (STEP_MS + STEP_REQUEST_MS * (this.running + 1)) * this.slowness
-    return this.uncached(req) * PROMPT_TOKEN_MS * this.slowness + req.answerTokens * stepMs
+    const stepMs = (STEP_MS + STEP_REQUEST_MS * (this.running + 1)) * this.slowdownFactor
+    return this.uncachedTokens(req) * PROMPT_TOKEN_MS * this.slowdownFactor + req.answerTokens * stepMs
   }
 
   private startStep (at: number): void {
-    if (this.stepping || this.state !== 'up') return
+    if (this.isStepping || this.state !== 'up') return
     this.admit(at)
     if (this.batch.length === 0) return
-    this.stepping = true
-    const promptTokens = this.computePrompts()
-    const stepMs = (STEP_MS + STEP_REQUEST_MS * this.batch.length + PROMPT_TOKEN_MS * promptTokens) * this.slowness
+    this.isStepping = true
+    const promptTokens = this.prefill()
+    const stepMs = (STEP_MS + STEP_REQUEST_MS * this.batch.length + PROMPT_TOKEN_MS * promptTokens) * this.slowdownFactor
     this.schedule(at + stepMs, end => this.endStep(end))
   }
 
   private endStep (at: number): void {
-    this.stepping = false
+    this.isStepping = false
     if (this.state !== 'up') return
-    for (const attempt of this.batch) if (attempt.promptLeft <= 0) this.decode(attempt, at)
+    for (const attempt of this.batch) if (attempt.remainingPromptTokens <= 0) this.decode(attempt, at)
     this.batch = this.batch.filter(attempt => attempt.open)
     this.startStep(at)
   }
@@ -125,34 +125,34 @@
     while (this.batch.length < ENGINE_SLOTS) {
       const attempt = this.waiting.shift()
       if (attempt === undefined) return
-      attempt.promptLeft = this.uncached(attempt.req)
+      attempt.remainingPromptTokens = this.uncachedTokens(attempt.req)
       this.keep(attempt.req.prefix, at)
       this.batch.push(attempt)
     }
   }
 
-  private computePrompts (): number {
-    let budget = CHUNK_TOKENS
+  private prefill (): number {
+    let budget = MAX_PREFILL_TOKENS_PER_STEP
     for (const attempt of this.batch) {
-      const tokens = Math.min(budget, Math.max(0, attempt.promptLeft))
-      attempt.promptLeft -= tokens
+      const tokens = Math.min(budget, Math.max(0, attempt.remainingPromptTokens))
+      attempt.remainingPromptTokens -= tokens
       budget -= tokens
     }
-    return CHUNK_TOKENS - budget
+    return MAX_PREFILL_TOKENS_PER_STEP - budget
   }
 
-  private uncached (req: SimRequest): number {
+  private uncachedTokens (req: SimRequest): number {
     return req.promptTokens - (this.cache.has(req.prefix) ? req.prefixTokens : 0)
   }
 
   private keep (prefix: number, at: number): void {
-    const known = this.cache.delete(prefix)
+    const wasCached = this.cache.delete(prefix)
     this.cache.add(prefix)
-    if (!known) this.changes.push({ at, kind: 'stored', prefix })
-    if (this.cache.size <= CACHED_PREFIXES) return
+    if (!wasCached) this.cacheChanges.push({ at, kind: 'stored', prefix })
+    if (this.cache.size <= MAX_CACHED_PREFIXES) return
     const oldest = this.cache.values().next().value
     if (oldest === undefined) return
     this.cache.delete(oldest)
-    this.changes.push({ at, kind: 'evicted', prefix: oldest })
+    this.cacheChanges.push({ at, kind: 'evicted', prefix: oldest })
   }
 }
--- a/packages/stand-ins/src/measure/routingEvents.ts
+++ b/packages/stand-ins/src/measure/routingEvents.ts
@@ -2,14 +2,14 @@
  * Event queue for simulations: a binary heap of callbacks, ordered by virtual time and then by insertion order.
  */
 
-interface Entry {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
   readonly run: (at: number) => void
 }
 
-export class VirtualTime {
-  private readonly heap: Entry[] = []
+export class EventQueue {
+  private readonly heap: ScheduledEvent[] = []
   private order = 0
 
   schedule (at: number, run: (at: number) => void): void {
@@ -17,9 +17,9 @@
     let index = this.heap.push(entry) - 1
     while (index > 0) {
       const parent = (index - 1) >> 1
-      const above = this.heap[parent]
-      if (above === undefined || !before(entry, above)) break
-      this.heap[index] = above
+      const parentEntry = this.heap[parent]
+      if (parentEntry === undefined || !isBefore(entry, parentEntry)) break
+      this.heap[index] = parentEntry
       index = parent
     }
     this.heap[index] = entry
@@ -43,16 +43,16 @@
     while (true) {
       const left = this.heap[2 * index + 1]
       const right = this.heap[2 * index + 2]
-      const child = right !== undefined && left !== undefined && before(right, left) ? 2 * index + 2 : 2 * index + 1
-      const below = this.heap[child]
-      if (below === undefined || !before(below, last)) break
-      this.heap[index] = below
+      const child = right !== undefined && left !== undefined && isBefore(right, left) ? 2 * index + 2 : 2 * index + 1
+      const childEntry = this.heap[child]
+      if (childEntry === undefined || !isBefore(childEntry, last)) break
+      this.heap[index] = childEntry
       index = child
     }
     this.heap[index] = last
   }
 }
 
-function before (a: Entry, b: Entry): boolean {
+function isBefore (a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.at < b.at || (a.at === b.at && a.order < b.order)
 }
--- a/packages/stand-ins/src/measure/routingMeasure.ts
+++ b/packages/stand-ins/src/measure/routingMeasure.ts
@@ -33,11 +33,11 @@
   group: 'measure',
   name: 'routing',
   title: 'late answers, false refusals, latency and goodput by load and fault, against simpler policies',
-  run: async options => withoutStacks(() => faults.flatMap(fault => rowsOf(runsOf(fault, options))))
+  run: async options => withoutStackTraces(() => faults.flatMap(fault => createRows(simulateAll(fault, options))))
 }
 
 /** Disables stack traces: refusals are only counted here, and creating their traces is a large share of the run time. */
-function withoutStacks<T> (run: () => T): T {
+function withoutStackTraces<T> (run: () => T): T {
   const limit = Error.stackTraceLimit
   Error.stackTraceLimit = 0
   const result = run()
@@ -45,9 +45,9 @@
   return result
 }
 
-function runsOf (fault: RoutingFault, options: MeasureOptions): readonly Run[] {
-  const compared: readonly PolicyName[] = fault === KEYED_FAULT ? [...policies, 'product keyed'] : policies
-  return LOADS.flatMap(load => compared.map(policy => ({ fault, load, policy, statistics: simulate(policy, fault, load, options) })))
+function simulateAll (fault: RoutingFault, options: MeasureOptions): readonly Run[] {
+  const comparedPolicies: readonly PolicyName[] = fault === KEYED_FAULT ? [...policies, 'product keyed'] : policies
+  return LOADS.flatMap(load => comparedPolicies.map(policy => ({ fault, load, policy, statistics: simulate(policy, fault, load, options) })))
 }
 
 function simulate (policy: PolicyName, fault: RoutingFault, load: number, options: MeasureOptions): RoutingStatistics {
@@ -56,12 +56,12 @@
   return new RoutingSimulation({ policy, fault, perSecond: load * CAPACITY_PER_SECOND, workloadRandom, random }).run()
 }
 
-function rowsOf (runs: readonly Run[]): readonly MeasureRow[] {
+function createRows (runs: readonly Run[]): readonly MeasureRow[] {
   const plateau = Math.max(...runs.filter(run => run.load <= PLATEAU_LOAD).map(run => run.statistics.goodput))
-  return runs.map(run => rowOf(run, plateau))
+  return runs.map(run => createRow(run, plateau))
 }
 
-function rowOf ({ fault, load, policy, statistics }: Run, plateau: number): MeasureRow {
+function createRow ({ fault, load, policy, statistics }: Run, plateau: number): MeasureRow {
   return {
     fault,
     load,
@@ -69,10 +69,10 @@
     late_answers_pct: rounded(statistics.share('late'), 2),
     refused_pct: rounded(statistics.share('refused'), 1),
     false_refusals_pct: rounded(statistics.share('false'), 2),
-    ttft_p50_ms: statistics.firstTokenMs(50),
-    ttft_p95_ms: statistics.firstTokenMs(95),
-    ttft_p99_ms: statistics.firstTokenMs(99),
-    between_tokens_p95_ms: statistics.gapMs(95),
+    ttft_p50_ms: statistics.firstTokenPercentileMs(50),
+    ttft_p95_ms: statistics.firstTokenPercentileMs(95),
+    ttft_p99_ms: statistics.firstTokenPercentileMs(99),
+    between_tokens_p95_ms: statistics.tokenGapPercentileMs(95),
     goodput_weighted: rounded(statistics.goodput, 1),
     goodput_vs_plateau: rounded(statistics.goodput / plateau, 3),
     seals_per_request: rounded(statistics.sealsPerRequest, 3)
--- a/packages/stand-ins/src/measure/routingPolicies.ts
+++ b/packages/stand-ins/src/measure/routingPolicies.ts
@@ -10,7 +10,7 @@
 import type { SimRequest } from './routingWorkload.js'
 
 /** Decision of a policy on a request. */
-export type PolicyAnswer =
+export type PolicyAction =
   | { readonly kind: 'start', readonly req: SimRequest, readonly runner: string, readonly sealed: number }
   | { readonly kind: 'refuse', readonly req: SimRequest }
 
@@ -19,15 +19,15 @@
 /** Routing policy of one VM. */
 export interface VmPolicy {
   /** Accepts a new request, or one whose attempt failed. */
-  arrive (req: SimRequest, exclude: readonly string[], at: number): readonly PolicyAnswer[]
+  submit (req: SimRequest, exclude: readonly string[], at: number): readonly PolicyAction[]
   /** Expires or routes waiting requests. */
-  tick (at: number): readonly PolicyAnswer[]
+  tick (at: number): readonly PolicyAction[]
   observe (event: RouteEvent, at: number): void
   /** Handles the final outcome of a request: answered, refused or given up. */
   done (req: SimRequest, tokens: number, at: number): void
 }
 
-export interface PolicyParts {
+export interface PolicyOptions {
   readonly vm: string
   readonly domain: string
   readonly vms: number
@@ -36,55 +36,55 @@
 }
 
 /** Slots that one VM may use, as a multiple of its fair share: callers are not distributed evenly. */
-const CONCURRENCY_HEADROOM = 3
+const FAIR_SHARE_FACTOR = 3
 
-const TEAM_IN_FLIGHT = 64
+const TEAM_MAX_IN_FLIGHT = 64
 const MODEL = 'llm'
 
 /** Prompt tokens per prefix hash. */
-const HASH_TOKENS = 150
+const TOKENS_PER_HASH = 150
 
 export const instantOf = (at: number): Instant => ({ mono: at, wall: at })
 
-interface Waiting {
+interface WaitingRequest {
   readonly req: SimRequest
   readonly hashes: readonly string[]
   exclude: readonly string[]
-  poppedAt: number
+  dequeuedAt: number
 }
 
 class ProductPolicy implements VmPolicy {
   private readonly router: RunnerRouter
-  private readonly queue: FairQueue<Waiting>
-  private readonly started = new Map<string, QueueItem<Waiting>>()
+  private readonly queue: FairQueue<WaitingRequest>
+  private readonly started = new Map<string, QueueItem<WaitingRequest>>()
 
-  constructor (private readonly parts: PolicyParts, private readonly keyed: boolean) {
+  constructor (private readonly parts: PolicyOptions, private readonly isKeyed: boolean) {
     this.router = new RunnerRouter(parts.vm, parts.domain)
     this.router.observe({ kind: 'configured', model: MODEL, runners: parts.runners }, instantOf(0))
     const slots = parts.runners.reduce((sum, view) => sum + view.slots, 0)
-    this.queue = new FairQueue(Math.ceil(slots * CONCURRENCY_HEADROOM / parts.vms))
+    this.queue = new FairQueue(Math.ceil(slots * FAIR_SHARE_FACTOR / parts.vms))
   }
 
-  arrive (req: SimRequest, exclude: readonly string[], at: number): readonly PolicyAnswer[] {
+  submit (req: SimRequest, exclude: readonly string[], at: number): readonly PolicyAction[] {
     const item = this.started.get(req.id)
     if (item !== undefined) return this.retry(item, exclude, at)
-    const offered = this.queue.offer(this.itemOf(req, exclude, at), instantOf(at))
-    const refused: readonly PolicyAnswer[] = offered.isLeft() ? [{ kind: 'refuse', req }] : []
+    const offered = this.queue.offer(this.createQueueItem(req, exclude, at), instantOf(at))
+    const refused: readonly PolicyAction[] = offered.isLeft() ? [{ kind: 'refuse', req }] : []
     return [...refused, ...this.tick(at)]
   }
 
-  tick (at: number): readonly PolicyAnswer[] {
+  tick (at: number): readonly PolicyAction[] {
     const now = instantOf(at)
-    const answers: PolicyAnswer[] = this.queue.expire(now).map(({ item }) => ({ kind: 'refuse', req: item.value.req }))
+    const actions: PolicyAction[] = this.queue.expire(now).map(({ item }) => ({ kind: 'refuse', req: item.value.req }))
     for (let item = this.queue.pop(); item !== undefined; item = this.queue.pop()) {
-      const decision = this.router.route(this.routeRequest(item.value), now, this.parts.random)
+      const decision = this.router.route(this.createRouteRequest(item.value), now, this.parts.random)
       if (decision.kind === 'refused' && decision.failure.code === 'overloaded') {
         this.queue.putBack(item)
         break
       }
-      answers.push(this.startOrRefuse(item, decision, at))
+      actions.push(this.startOrRefuse(item, decision, at))
     }
-    return answers
+    return actions
   }
 
   observe (event: RouteEvent, at: number): void {
@@ -95,12 +95,12 @@
     const item = this.started.get(req.id)
     if (item === undefined) return
     this.started.delete(req.id)
-    this.queue.done(item, req.promptTokens + tokens, at - item.value.poppedAt)
+    this.queue.done(item, req.promptTokens + tokens, at - item.value.dequeuedAt)
   }
 
-  private startOrRefuse (item: QueueItem<Waiting>, decision: RouteDecision, at: number): PolicyAnswer {
+  private startOrRefuse (item: QueueItem<WaitingRequest>, decision: RouteDecision, at: number): PolicyAction {
     const { req } = item.value
-    item.value.poppedAt = at
+    item.value.dequeuedAt = at
     if (decision.kind === 'refused') {
       this.queue.abandoned(item)
       return { kind: 'refuse', req }
@@ -110,7 +110,7 @@
   }
 
   /** Puts a retry at the head of its team's queue, so that it still waits for a free slot. */
-  private retry (item: QueueItem<Waiting>, exclude: readonly string[], at: number): readonly PolicyAnswer[] {
+  private retry (item: QueueItem<WaitingRequest>, exclude: readonly string[], at: number): readonly PolicyAction[] {
     item.value.exclude = exclude
     this.started.delete(item.id)
     this.queue.putBack(item)
@@ -118,32 +118,32 @@
   }
 
   /** Reports the dispatch before the next decision; otherwise all waiting requests would go to the same runner. */
-  private start (req: SimRequest, decision: Extract<RouteDecision, { kind: 'routed' }>, at: number): PolicyAnswer {
+  private start (req: SimRequest, decision: Extract<RouteDecision, { kind: 'routed' }>, at: number): PolicyAction {
     const { runner } = decision.choice
     this.observe({ kind: 'dispatched', runner, requestId: req.id, tokens: req.promptTokens + req.maxTokens }, at)
     return { kind: 'start', req, runner, sealed: decision.runnersToSeal.length }
   }
 
-  private itemOf (req: SimRequest, exclude: readonly string[], at: number): QueueItem<Waiting> {
+  private createQueueItem (req: SimRequest, exclude: readonly string[], at: number): QueueItem<WaitingRequest> {
     return {
       id: req.id,
       team: req.team,
       weight: 1,
-      maxInFlight: TEAM_IN_FLIGHT,
+      maxInFlight: TEAM_MAX_IN_FLIGHT,
       priority: req.priority,
       tokens: req.promptTokens + req.maxTokens,
       serviceMs: this.router.serviceMs(req.promptTokens, req.maxTokens, instantOf(at)),
       deadline: instantOf(req.deadline),
-      value: { req, hashes: hashesOf(req), exclude, poppedAt: at }
+      value: { req, hashes: hashPrompt(req), exclude, dequeuedAt: at }
     }
   }
 
-  private routeRequest ({ req, hashes, exclude }: Waiting): RouteRequest {
+  private createRouteRequest ({ req, hashes, exclude }: WaitingRequest): RouteRequest {
     return {
       requestId: req.id,
       team: req.team,
       model: MODEL,
-      keyed: this.keyed,
+      keyed: this.isKeyed,
       promptTokens: req.promptTokens,
       maxTokens: req.maxTokens,
       prefixHashes: hashes,
@@ -159,25 +159,25 @@
  * @param tokens - length of the prefix
  */
 export function prefixHashes (prefix: number, tokens: number): readonly string[] {
-  return Array.from({ length: Math.floor(tokens / HASH_TOKENS) }, (_, i) => `p${prefix}.${i}`)
+  return Array.from({ length: Math.floor(tokens / TOKENS_PER_HASH) }, (_, i) => `p${prefix}.${i}`)
 }
 
 /** Hashes of the shared prefix and of the rest of the prompt, which is unique to the request. */
-function hashesOf (req: SimRequest): readonly string[] {
-  const own = Array.from({ length: Math.floor((req.promptTokens - req.prefixTokens) / HASH_TOKENS) }, (_, i) => `${req.id}.${i}`)
-  return [...prefixHashes(req.prefix, req.prefixTokens), ...own]
+function hashPrompt (req: SimRequest): readonly string[] {
+  const uniqueHashes = Array.from({ length: Math.floor((req.promptTokens - req.prefixTokens) / TOKENS_PER_HASH) }, (_, i) => `${req.id}.${i}`)
+  return [...prefixHashes(req.prefix, req.prefixTokens), ...uniqueHashes]
 }
 
 /** Chooses a runner that was not tried yet, by a given rule and without queueing. */
-class PlainPolicy implements VmPolicy {
+class BaselinePolicy implements VmPolicy {
   private readonly inFlight = new Map<string, number>()
 
   constructor (
-    private readonly parts: PolicyParts,
+    private readonly parts: PolicyOptions,
     private readonly choose: (names: readonly string[], inFlight: (name: string) => number) => string | undefined
   ) {}
 
-  arrive (req: SimRequest, exclude: readonly string[]): readonly PolicyAnswer[] {
+  submit (req: SimRequest, exclude: readonly string[]): readonly PolicyAction[] {
     const names = this.parts.runners.map(view => view.runner).filter(name => !exclude.includes(name))
     const runner = this.choose(names, name => this.inFlight.get(name) ?? 0)
     if (runner === undefined) return [{ kind: 'refuse', req }]
@@ -185,7 +185,7 @@
     return [{ kind: 'start', req, runner, sealed: 0 }]
   }
 
-  tick (): readonly PolicyAnswer[] {
+  tick (): readonly PolicyAction[] {
     return []
   }
 
@@ -196,24 +196,24 @@
   done (): void {}
 }
 
-export function makePolicy (name: PolicyName, parts: PolicyParts): VmPolicy {
+export function createPolicy (name: PolicyName, parts: PolicyOptions): VmPolicy {
   switch (name) {
     case 'product': return new ProductPolicy(parts, false)
     case 'product keyed': return new ProductPolicy(parts, true)
-    case 'random': return new PlainPolicy(parts, names => names[Math.floor(parts.random() * names.length)])
-    case 'round robin': return roundRobin(parts)
-    case 'least in flight': return new PlainPolicy(parts, (names, inFlight) => leastOf(names, inFlight, parts.random))
+    case 'random': return new BaselinePolicy(parts, names => names[Math.floor(parts.random() * names.length)])
+    case 'round robin': return createRoundRobin(parts)
+    case 'least in flight': return new BaselinePolicy(parts, (names, inFlight) => pickLeastLoaded(names, inFlight, parts.random))
   }
 }
 
-function roundRobin (parts: PolicyParts): VmPolicy {
-  let turn = Math.floor(parts.random() * parts.runners.length)
-  return new PlainPolicy(parts, names => names[turn++ % names.length])
+function createRoundRobin (parts: PolicyOptions): VmPolicy {
+  let nextIndex = Math.floor(parts.random() * parts.runners.length)
+  return new BaselinePolicy(parts, names => names[nextIndex++ % names.length])
 }
 
 /** The runner with the fewest requests in flight; ties are broken at random, as all VMs start with the same state. */
-function leastOf (names: readonly string[], inFlight: (name: string) => number, random: () => number): string | undefined {
-  const least = Math.min(...names.map(inFlight))
-  const tied = names.filter(name => inFlight(name) === least)
+function pickLeastLoaded (names: readonly string[], inFlight: (name: string) => number, random: () => number): string | undefined {
+  const min = Math.min(...names.map(inFlight))
+  const tied = names.filter(name => inFlight(name) === min)
   return tied[Math.floor(random() * tied.length)]
 }
--- a/packages/stand-ins/src/measure/routingSimulation.spec.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.spec.ts
@@ -11,15 +11,15 @@
 const OVERLOAD_PER_SECOND = 108
 
 /** With load reports that are ten seconds old, VMs need about 35 s from a cold start to find their shares of the runners. */
-const lengths: readonly { readonly fault: RoutingFault, readonly runMs: number, readonly warmUpMs: number }[] = [
+const faultRuns: readonly { readonly fault: RoutingFault, readonly runMs: number, readonly warmUpMs: number }[] = [
   { fault: 'none', runMs: 45_000, warmUpMs: 20_000 },
   { fault: 'stale reports', runMs: 75_000, warmUpMs: 45_000 }
 ]
 
-function simulate (policy: PolicyName, length: typeof lengths[number]): RoutingStatistics {
+function simulate (policy: PolicyName, faultRun: typeof faultRuns[number]): RoutingStatistics {
   return new RoutingSimulation({
     policy,
-    ...length,
+    ...faultRun,
     perSecond: OVERLOAD_PER_SECOND,
     workloadRandom: seedrandom('workload'),
     random: seedrandom('policy')
@@ -27,14 +27,14 @@
 }
 
 describe('routing at three times capacity', () => {
-  for (const length of lengths) {
-    it(`${length.fault}: meets the deadlines of accepted requests and has a higher goodput than least in flight, which answers most late`, () => {
-      const product = simulate('product', length)
-      const weaker = simulate('least in flight', length)
+  for (const faultRun of faultRuns) {
+    it(`${faultRun.fault}: meets the deadlines of accepted requests and has a higher goodput than least in flight, which answers most late`, () => {
+      const product = simulate('product', faultRun)
+      const baseline = simulate('least in flight', faultRun)
       expect(product.share('late')).to.be.below(1)
       expect(product.share('false')).to.be.below(1)
-      expect(weaker.share('late')).to.be.above(50)
-      expect(product.goodput).to.be.above(weaker.goodput)
+      expect(baseline.share('late')).to.be.above(50)
+      expect(product.goodput).to.be.above(baseline.goodput)
     })
   }
 })
--- a/packages/stand-ins/src/measure/routingSimulation.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.ts
@@ -5,14 +5,14 @@
 import { RetryBudget } from '@rosemaryspread/decisions/routing/retryBudget.js'
 import type { RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { ENGINE_SLOTS, SimEngine, type Attempt } from './routingEngine.js'
-import { VirtualTime } from './routingEvents.js'
-import { instantOf, makePolicy, prefixHashes, type PolicyAnswer, type PolicyName, type VmPolicy } from './routingPolicies.js'
+import { EventQueue } from './routingEvents.js'
+import { instantOf, createPolicy, prefixHashes, type PolicyAction, type PolicyName, type VmPolicy } from './routingPolicies.js'
 import { RoutingStatistics } from './routingStatistics.js'
-import { makeWorkload, PREFIX_TOKENS, type SimRequest } from './routingWorkload.js'
+import { createWorkload, PREFIX_TOKENS, type SimRequest } from './routingWorkload.js'
 
 export type RoutingFault = 'none' | 'stale reports' | 'slow runner' | 'dying runner' | 'cache events lost' | 'burst'
 
-export interface SimulationSetup {
+export interface SimulationOptions {
   readonly policy: PolicyName
   readonly fault: RoutingFault
   readonly perSecond: number
@@ -36,18 +36,18 @@
 /** Continues after the last arrival until all deadlines have passed. */
 const DRAIN_MS = 61_000
 
-const TICK_MS = 200
-const REPORT_EVERY_MS = 1_000
+const TICK_INTERVAL_MS = 200
+const REPORT_INTERVAL_MS = 1_000
 const REPORT_LAG_MS = 500
 const STALE_LAG_MS = 10_000
-const CACHE_GAP_SHARE = 0.1
-const SEAL_MS = 2
+const LOST_CACHE_EVENT_SHARE = 0.1
+const SEAL_LATENCY_MS = 2
 const FIRST_TOKEN_TIMEOUT_MS = 6_000
 const BETWEEN_TOKENS_TIMEOUT_MS = 6_000
-const SLOW_FACTOR = 4
-const FAULT_FROM_MS = 50_000
-const DOWN_FROM_MS = 60_000
-const FAULT_TO_MS = 95_000
+const SLOWDOWN_FACTOR = 4
+const FAULT_START_MS = 50_000
+const CRASH_AT_MS = 60_000
+const FAULT_END_MS = 95_000
 
 interface LoadSample {
   readonly at: number
@@ -55,7 +55,7 @@
   readonly waiting: number
 }
 
-interface Ongoing {
+interface OngoingRequest {
   readonly req: SimRequest
   attempts: number
   readonly tried: string[]
@@ -65,35 +65,35 @@
 export class RoutingSimulation {
   readonly statistics: RoutingStatistics
   private readonly runMs: number
-  private readonly time = new VirtualTime()
+  private readonly time = new EventQueue()
   private readonly engines: readonly SimEngine[]
   private readonly policies: readonly VmPolicy[]
   private readonly retries: readonly RetryBudget[]
-  private readonly ongoing = new Map<string, Ongoing>()
+  private readonly ongoing = new Map<string, OngoingRequest>()
   private readonly samples = new Map<string, LoadSample[]>()
-  private readonly cacheSeen = new Map<string, number>()
+  private readonly reportedCacheChanges = new Map<string, number>()
 
-  constructor (private readonly setup: SimulationSetup) {
-    this.runMs = setup.runMs ?? RUN_MS
-    this.statistics = new RoutingStatistics(setup.warmUpMs ?? WARM_UP_MS, this.runMs)
+  constructor (private readonly options: SimulationOptions) {
+    this.runMs = options.runMs ?? RUN_MS
+    this.statistics = new RoutingStatistics(options.warmUpMs ?? WARM_UP_MS, this.runMs)
     const output = { token: this.token.bind(this), ended: this.ended.bind(this) }
     const schedule = this.time.schedule.bind(this.time)
     this.engines = Array.from({ length: RUNNERS }, (_, i) => new SimEngine(`r${i}`, output, schedule))
-    const runners = this.engines.map((engine, i) => viewOf(engine.name, i))
-    this.policies = Array.from({ length: VMS }, (_, i) => makePolicy(setup.policy, {
-      vm: `vm${i}`, domain: domainOf(i), vms: VMS, runners, random: setup.random
+    const runners = this.engines.map((engine, i) => createRunnerView(engine.name, i))
+    this.policies = Array.from({ length: VMS }, (_, i) => createPolicy(options.policy, {
+      vm: `vm${i}`, domain: domainOf(i), vms: VMS, runners, random: options.random
     }))
     this.retries = this.policies.map(() => new RetryBudget())
   }
 
   run (): RoutingStatistics {
-    const { perSecond, fault, workloadRandom } = this.setup
-    for (const req of makeWorkload(perSecond, this.runMs, fault === 'burst', workloadRandom)) {
+    const { perSecond, fault, workloadRandom } = this.options
+    for (const req of createWorkload(perSecond, this.runMs, fault === 'burst', workloadRandom)) {
       this.time.schedule(req.at, at => this.arrive(req, at))
     }
     this.scheduleFault()
-    this.time.schedule(0, at => this.sample(at))
-    this.policies.forEach((_, vm) => this.time.schedule(vm * REPORT_EVERY_MS / VMS, at => this.report(vm, at)))
+    this.time.schedule(0, at => this.sampleLoad(at))
+    this.policies.forEach((_, vm) => this.time.schedule(vm * REPORT_INTERVAL_MS / VMS, at => this.report(vm, at)))
     this.policies.forEach((_, vm) => this.time.schedule(vm, at => this.tick(vm, at)))
     this.time.run(this.runMs + DRAIN_MS)
     return this.statistics
@@ -103,14 +103,14 @@
     this.statistics.offered(req)
     this.ongoing.set(req.id, { req, attempts: 0, tried: [] })
     this.retries[req.vm]?.recordFirstAttempt(instantOf(at))
-    this.time.schedule(req.deadline, late => this.deadline(req, late))
-    this.act(this.policies[req.vm]?.arrive(req, [], at) ?? [], at)
+    this.time.schedule(req.deadline, late => this.handleDeadline(req, late))
+    this.execute(this.policies[req.vm]?.submit(req, [], at) ?? [], at)
   }
 
-  private act (answers: readonly PolicyAnswer[], at: number): void {
-    for (const answer of answers) {
-      if (answer.kind === 'start') this.start(answer.req, answer.runner, answer.sealed, at)
-      else this.refuse(answer.req, at)
+  private execute (actions: readonly PolicyAction[], at: number): void {
+    for (const action of actions) {
+      if (action.kind === 'start') this.start(action.req, action.runner, action.sealed, at)
+      else this.refuse(action.req, at)
     }
   }
 
@@ -122,29 +122,29 @@
 
   /** Whether engines that would meet the deadline have more free slots than there are undispatched requests. */
   private isServable (req: SimRequest, at: number): boolean {
-    const quick = this.engines.filter(engine => at + engine.trueTimeMs(req) <= req.deadline)
-    const free = quick.reduce((sum, engine) => sum + ENGINE_SLOTS - engine.running - engine.queued, 0)
-    if (free === 0) return false
+    const capable = this.engines.filter(engine => at + engine.actualServiceMs(req) <= req.deadline)
+    const freeSlots = capable.reduce((sum, engine) => sum + ENGINE_SLOTS - engine.running - engine.queued, 0)
+    if (freeSlots === 0) return false
     let waiting = 0
-    for (const going of this.ongoing.values()) if (going.attempt === undefined && ++waiting >= free) return false
+    for (const request of this.ongoing.values()) if (request.attempt === undefined && ++waiting >= freeSlots) return false
     return true
   }
 
   private start (req: SimRequest, runner: string, sealed: number, at: number): void {
     const engine = this.engines.find(item => item.name === runner)
-    const going = this.ongoing.get(req.id)
-    if (engine === undefined || going === undefined) return
-    going.attempts += 1
-    going.tried.push(runner)
+    const ongoing = this.ongoing.get(req.id)
+    if (engine === undefined || ongoing === undefined) return
+    ongoing.attempts += 1
+    ongoing.tried.push(runner)
     this.statistics.routed(sealed)
-    const attempt: Attempt = { req, engine, startedAt: at, promptLeft: 0, tokens: 0, lastTokenAt: at, firstTokenMs: 0, open: true }
-    going.attempt = attempt
+    const attempt: Attempt = { req, engine, startedAt: at, remainingPromptTokens: 0, tokens: 0, lastTokenAt: at, firstTokenMs: 0, open: true }
+    ongoing.attempt = attempt
     if (engine.state === 'down') {
-      this.time.schedule(at + 1, later => this.failed(attempt, later))
+      this.time.schedule(at + 1, later => this.handleFailure(attempt, later))
       return
     }
-    this.time.schedule(at + (sealed > 0 ? SEAL_MS : 0), later => { if (attempt.open) engine.submit(attempt, later) })
-    this.time.schedule(at + FIRST_TOKEN_TIMEOUT_MS, later => { if (attempt.tokens === 0 && engine.state !== 'up') this.failed(attempt, later) })
+    this.time.schedule(at + (sealed > 0 ? SEAL_LATENCY_MS : 0), later => { if (attempt.open) engine.submit(attempt, later) })
+    this.time.schedule(at + FIRST_TOKEN_TIMEOUT_MS, later => { if (attempt.tokens === 0 && engine.state !== 'up') this.handleFailure(attempt, later) })
   }
 
   private token (attempt: Attempt, at: number): void {
@@ -163,79 +163,79 @@
     const { req } = attempt
     if (!this.ongoing.delete(req.id)) return
     this.statistics.answered(req, at)
-    this.close(attempt, true, at)
+    this.closeAttempt(attempt, true, at)
     this.policies[req.vm]?.done(req, attempt.tokens, at)
-    this.act(this.policies[req.vm]?.tick(at) ?? [], at)
+    this.execute(this.policies[req.vm]?.tick(at) ?? [], at)
   }
 
-  private failed (attempt: Attempt, at: number): void {
+  private handleFailure (attempt: Attempt, at: number): void {
     const { req } = attempt
-    const going = this.ongoing.get(req.id)
-    if (going === undefined || going.attempt !== attempt || !attempt.open) return
+    const ongoing = this.ongoing.get(req.id)
+    if (ongoing === undefined || ongoing.attempt !== attempt || !attempt.open) return
     attempt.engine.cancel(attempt)
-    this.close(attempt, false, at)
+    this.closeAttempt(attempt, false, at)
     if (attempt.tokens > 0) {
-      this.giveUp(req, at)
+      this.abandon(req, at)
       return
     }
-    const failure = { attempts: going.attempts, repeatable: true, deadline: instantOf(req.deadline), predictedMs: 0 }
-    const decision = this.retries[req.vm]?.decide(failure, instantOf(at), this.setup.random)
+    const failure = { attempts: ongoing.attempts, repeatable: true, deadline: instantOf(req.deadline), predictedMs: 0 }
+    const decision = this.retries[req.vm]?.decide(failure, instantOf(at), this.options.random)
     if (decision?.retry === true) {
-      this.time.schedule(at + decision.delayMs, later => this.again(going, later))
+      this.time.schedule(at + decision.delayMs, later => this.retry(ongoing, later))
       return
     }
-    this.giveUp(req, at)
+    this.abandon(req, at)
   }
 
-  private again (going: Ongoing, at: number): void {
-    const { req } = going
-    if (this.ongoing.has(req.id)) this.act(this.policies[req.vm]?.arrive(req, going.tried, at) ?? [], at)
+  private retry (ongoing: OngoingRequest, at: number): void {
+    const { req } = ongoing
+    if (this.ongoing.has(req.id)) this.execute(this.policies[req.vm]?.submit(req, ongoing.tried, at) ?? [], at)
   }
 
-  private deadline (req: SimRequest, at: number): void {
-    const going = this.ongoing.get(req.id)
-    if (going === undefined) return
-    if (going.attempt?.open === true) {
-      going.attempt.engine.cancel(going.attempt)
-      this.close(going.attempt, true, at)
+  private handleDeadline (req: SimRequest, at: number): void {
+    const ongoing = this.ongoing.get(req.id)
+    if (ongoing === undefined) return
+    if (ongoing.attempt?.open === true) {
+      ongoing.attempt.engine.cancel(ongoing.attempt)
+      this.closeAttempt(ongoing.attempt, true, at)
     }
-    this.giveUp(req, at)
+    this.abandon(req, at)
   }
 
-  private giveUp (req: SimRequest, at: number): void {
+  private abandon (req: SimRequest, at: number): void {
     this.ongoing.delete(req.id)
     this.statistics.late(req)
     this.policies[req.vm]?.done(req, 0, at)
   }
 
-  private close (attempt: Attempt, ok: boolean, at: number): void {
+  private closeAttempt (attempt: Attempt, ok: boolean, at: number): void {
     attempt.open = false
     const { req, engine, tokens, startedAt } = attempt
     this.policies[req.vm]?.observe({ kind: 'ended', runner: engine.name, requestId: req.id, ok, tokens, totalMs: at - startedAt }, at)
   }
 
   private tick (vm: number, at: number): void {
-    this.act(this.policies[vm]?.tick(at) ?? [], at)
-    this.time.schedule(at + TICK_MS, next => this.tick(vm, next))
+    this.execute(this.policies[vm]?.tick(at) ?? [], at)
+    this.time.schedule(at + TICK_INTERVAL_MS, next => this.tick(vm, next))
   }
 
-  private sample (at: number): void {
+  private sampleLoad (at: number): void {
     for (const engine of this.engines) {
       const list = this.samples.get(engine.name) ?? []
       list.push({ at, running: engine.running, waiting: engine.queued })
       this.samples.set(engine.name, list)
     }
-    this.time.schedule(at + REPORT_LAG_MS / 2, next => this.sample(next))
+    this.time.schedule(at + REPORT_LAG_MS / 2, next => this.sampleLoad(next))
   }
 
   private report (vm: number, at: number): void {
-    const lagMs = this.setup.fault === 'stale reports' ? STALE_LAG_MS : REPORT_LAG_MS
+    const lagMs = this.options.fault === 'stale reports' ? STALE_LAG_MS : REPORT_LAG_MS
     for (const engine of this.engines) {
       if (engine.state !== 'up') continue
       this.reportLoad(vm, engine, at, lagMs)
-      if (this.setup.fault !== 'cache events lost') this.reportCache(vm, engine, at)
+      if (this.options.fault !== 'cache events lost') this.reportCache(vm, engine, at)
     }
-    this.time.schedule(at + REPORT_EVERY_MS, next => this.report(vm, next))
+    this.time.schedule(at + REPORT_INTERVAL_MS, next => this.report(vm, next))
   }
 
   private reportLoad (vm: number, engine: SimEngine, at: number, lagMs: number): void {
@@ -247,34 +247,34 @@
 
   private reportCache (vm: number, engine: SimEngine, at: number): void {
     const key = `${vm}/${engine.name}`
-    const from = this.cacheSeen.get(key) ?? 0
-    const fresh = engine.changes.slice(from).filter(change => change.at <= at - REPORT_LAG_MS)
-    this.cacheSeen.set(key, from + fresh.length)
-    const seen = fresh.filter(() => this.setup.random() >= CACHE_GAP_SHARE)
-    const names = (kind: string): readonly string[] => seen.filter(change => change.kind === kind).flatMap(change => prefixHashes(change.prefix, PREFIX_TOKENS))
-    if (seen.length > 0) this.policies[vm]?.observe({ kind: 'cacheReported', runner: engine.name, stored: names('stored'), evicted: names('evicted') }, at)
+    const firstUnreported = this.reportedCacheChanges.get(key) ?? 0
+    const visible = engine.cacheChanges.slice(firstUnreported).filter(change => change.at <= at - REPORT_LAG_MS)
+    this.reportedCacheChanges.set(key, firstUnreported + visible.length)
+    const delivered = visible.filter(() => this.options.random() >= LOST_CACHE_EVENT_SHARE)
+    const hashesOf = (kind: string): readonly string[] => delivered.filter(change => change.kind === kind).flatMap(change => prefixHashes(change.prefix, PREFIX_TOKENS))
+    if (delivered.length > 0) this.policies[vm]?.observe({ kind: 'cacheReported', runner: engine.name, stored: hashesOf('stored'), evicted: hashesOf('evicted') }, at)
   }
 
   private scheduleFault (): void {
-    const victim = this.engines[0]
-    if (victim === undefined) return
-    if (this.setup.fault === 'slow runner') this.time.schedule(FAULT_FROM_MS, () => { victim.slowness = SLOW_FACTOR })
-    if (this.setup.fault !== 'dying runner') return
-    this.time.schedule(FAULT_FROM_MS, () => { victim.state = 'silent' })
-    this.time.schedule(FAULT_FROM_MS + BETWEEN_TOKENS_TIMEOUT_MS, at => this.cutSilent(victim, at))
-    this.time.schedule(DOWN_FROM_MS, at => this.takeDown(victim, at))
-    this.time.schedule(FAULT_TO_MS, () => { victim.state = 'up' })
+    const faultyEngine = this.engines[0]
+    if (faultyEngine === undefined) return
+    if (this.options.fault === 'slow runner') this.time.schedule(FAULT_START_MS, () => { faultyEngine.slowdownFactor = SLOWDOWN_FACTOR })
+    if (this.options.fault !== 'dying runner') return
+    this.time.schedule(FAULT_START_MS, () => { faultyEngine.state = 'unresponsive' })
+    this.time.schedule(FAULT_START_MS + BETWEEN_TOKENS_TIMEOUT_MS, at => this.failStalledStreams(faultyEngine, at))
+    this.time.schedule(CRASH_AT_MS, at => this.crashEngine(faultyEngine, at))
+    this.time.schedule(FAULT_END_MS, () => { faultyEngine.state = 'up' })
   }
 
-  private cutSilent (engine: SimEngine, at: number): void {
+  private failStalledStreams (engine: SimEngine, at: number): void {
     for (const { attempt } of [...this.ongoing.values()]) {
-      if (attempt?.engine === engine && attempt.tokens > 0) this.failed(attempt, at)
+      if (attempt?.engine === engine && attempt.tokens > 0) this.handleFailure(attempt, at)
     }
   }
 
-  private takeDown (engine: SimEngine, at: number): void {
+  private crashEngine (engine: SimEngine, at: number): void {
     engine.state = 'down'
-    for (const attempt of engine.crash()) this.failed(attempt, at)
+    for (const attempt of engine.crash()) this.handleFailure(attempt, at)
   }
 }
 
@@ -282,6 +282,6 @@
   return DOMAINS[index % DOMAINS.length] ?? ''
 }
 
-function viewOf (name: string, index: number): RunnerView {
+function createRunnerView (name: string, index: number): RunnerView {
   return { runner: name, address: `10.0.0.${index}:8000`, domain: domainOf(index), slots: ENGINE_SLOTS }
 }
--- a/packages/stand-ins/src/measure/routingStatistics.ts
+++ b/packages/stand-ins/src/measure/routingStatistics.ts
@@ -8,17 +8,17 @@
   private offeredCount = 0
   private lateCount = 0
   private refusedCount = 0
-  private falseCount = 0
-  private worth = 0
+  private falseRefusalCount = 0
+  private servedValue = 0
   private routedCount = 0
   private sealedCount = 0
   private readonly firstTokens: Histogram = build()
-  private readonly gaps: Histogram = build()
+  private readonly tokenGaps: Histogram = build()
 
   constructor (private readonly fromMs: number, private readonly toMs: number) {}
 
   offered (req: SimRequest): void {
-    if (this.counts(req)) this.offeredCount += 1
+    if (this.isMeasured(req)) this.offeredCount += 1
   }
 
   /**
@@ -27,21 +27,21 @@
    * @param at - time of the last token
    */
   answered (req: SimRequest, at: number): void {
-    if (at >= this.fromMs && at < this.toMs) this.worth += req.worth
+    if (at >= this.fromMs && at < this.toMs) this.servedValue += req.value
   }
 
   late (req: SimRequest): void {
-    if (this.counts(req)) this.lateCount += 1
+    if (this.isMeasured(req)) this.lateCount += 1
   }
 
   /**
    * Counts a refusal.
-   * @param servable - whether an engine had a free slot and would have met the deadline
+   * @param isServable - whether an engine had a free slot and would have met the deadline
    */
-  refused (req: SimRequest, servable: boolean): void {
-    if (!this.counts(req)) return
+  refused (req: SimRequest, isServable: boolean): void {
+    if (!this.isMeasured(req)) return
     this.refusedCount += 1
-    if (servable) this.falseCount += 1
+    if (isServable) this.falseRefusalCount += 1
   }
 
   routed (sealed: number): void {
@@ -50,16 +50,16 @@
   }
 
   firstToken (req: SimRequest, at: number): void {
-    if (this.counts(req)) this.firstTokens.recordValue(Math.round(at - req.at))
+    if (this.isMeasured(req)) this.firstTokens.recordValue(Math.round(at - req.at))
   }
 
   nextToken (req: SimRequest, gapMs: number): void {
-    if (this.counts(req)) this.gaps.recordValue(Math.round(gapMs))
+    if (this.isMeasured(req)) this.tokenGaps.recordValue(Math.round(gapMs))
   }
 
   /** Total value per second of the answers that met their deadline. */
   get goodput (): number {
-    return this.worth * 1_000 / (this.toMs - this.fromMs)
+    return this.servedValue * 1_000 / (this.toMs - this.fromMs)
   }
 
   get sealsPerRequest (): number {
@@ -67,19 +67,19 @@
   }
 
   share (kind: 'late' | 'refused' | 'false'): number {
-    const count = { late: this.lateCount, refused: this.refusedCount, false: this.falseCount }[kind]
+    const count = { late: this.lateCount, refused: this.refusedCount, false: this.falseRefusalCount }[kind]
     return 100 * count / Math.max(1, this.offeredCount)
   }
 
-  firstTokenMs (percentile: number): number {
+  firstTokenPercentileMs (percentile: number): number {
     return this.firstTokens.getValueAtPercentile(percentile)
   }
 
-  gapMs (percentile: number): number {
-    return this.gaps.getValueAtPercentile(percentile)
+  tokenGapPercentileMs (percentile: number): number {
+    return this.tokenGaps.getValueAtPercentile(percentile)
   }
 
-  private counts (req: SimRequest): boolean {
+  private isMeasured (req: SimRequest): boolean {
     return req.at >= this.fromMs && req.at < this.toMs
   }
 }
--- a/packages/stand-ins/src/measure/streamBench.ts
+++ b/packages/stand-ins/src/measure/streamBench.ts
@@ -15,7 +15,7 @@
   { streams: 100, pieces: 200 }
 ]
 const ROUNDS = 5
-const LIMIT_MS = 30_000
+const TIMEOUT_MS = 30_000
 
 const REQUEST: EngineRequest = {
   requestId: STREAM_REQUEST_ID,
@@ -49,43 +49,43 @@
   const agent = new Agent({ keepAlive: true })
   const client = new HttpEngineClient({
     vm: 'bench',
-    connectMs: LIMIT_MS,
-    callMs: LIMIT_MS,
-    firstEventMs: LIMIT_MS,
-    betweenEventsMs: LIMIT_MS,
-    afterEndMs: LIMIT_MS
+    connectMs: TIMEOUT_MS,
+    callMs: TIMEOUT_MS,
+    firstEventMs: TIMEOUT_MS,
+    betweenEventsMs: TIMEOUT_MS,
+    afterEndMs: TIMEOUT_MS
   })
   const withClient: number[] = []
-  const discarded: number[] = []
+  const withDiscarding: number[] = []
   for (let round = 0; round <= ROUNDS; round++) {
-    withClient.push(await costOf(streams, pieces, to => readChecked(client, to), address))
-    discarded.push(await costOf(streams, pieces, to => readDiscarding(agent, to), address))
+    withClient.push(await cpuPerEvent(streams, pieces, to => readChecked(client, to), address))
+    withDiscarding.push(await cpuPerEvent(streams, pieces, to => readDiscarding(agent, to), address))
   }
   client.close()
   agent.destroy()
   await source.stop()
-  return rowOf(streams, pieces, withClient, discarded)
+  return createRow(streams, pieces, withClient, withDiscarding)
 }
 
-function rowOf (streams: number, pieces: number, withClient: readonly number[], discarded: readonly number[]): MeasureRow {
-  const all = medianAfterFirst(withClient)
-  const baseline = medianAfterFirst(discarded)
+function createRow (streams: number, pieces: number, withClient: readonly number[], withDiscarding: readonly number[]): MeasureRow {
+  const clientUs = medianAfterFirst(withClient)
+  const baselineUs = medianAfterFirst(withDiscarding)
   return {
     streams,
     events_per_round: streams * pieces,
     rounds: ROUNDS,
-    both_ends_us_per_event: rounded(all),
-    server_and_discarding_reader_us_per_event: rounded(baseline),
-    client_beyond_that_us_per_event: rounded(all - baseline)
+    both_ends_us_per_event: rounded(clientUs),
+    server_and_discarding_reader_us_per_event: rounded(baselineUs),
+    client_beyond_that_us_per_event: rounded(clientUs - baselineUs)
   }
 }
 
 /** Microseconds of processor time per event, server and reader together. */
-async function costOf (streams: number, pieces: number, reader: Reader, address: string): Promise<number> {
-  const before = process.cpuUsage()
-  const seen = await Promise.all(Array.from({ length: streams }, () => reader(address)))
-  const { user, system } = process.cpuUsage(before)
-  if (seen.some(count => count !== undefined && count !== pieces)) throw new Error('a reader did not see all pieces of its stream')
+async function cpuPerEvent (streams: number, pieces: number, reader: Reader, address: string): Promise<number> {
+  const cpuBefore = process.cpuUsage()
+  const pieceCounts = await Promise.all(Array.from({ length: streams }, () => reader(address)))
+  const { user, system } = process.cpuUsage(cpuBefore)
+  if (pieceCounts.some(count => count !== undefined && count !== pieces)) throw new Error('a reader did not see all pieces of its stream')
   return (user + system) / (streams * pieces)
 }
 
--- a/packages/stand-ins/src/measure/streamSource.ts
+++ b/packages/stand-ins/src/measure/streamSource.ts
@@ -6,7 +6,7 @@
 import type { AddressInfo } from 'node:net'
 
 const TICK_MS = 1
-const DONE = 'data: [DONE]\n\n'
+const DONE_EVENT = 'data: [DONE]\n\n'
 
 /** All streams share this request id. */
 export const STREAM_REQUEST_ID = '0123456789abcdef0123456789abcdef'
@@ -46,17 +46,17 @@
 
   private send (res: ServerResponse, sequence: number): void {
     if (sequence < this.pieces) {
-      res.write(eventText(sequence, '{"content":" token"}', 'null', ''))
+      res.write(formatEvent(sequence, '{"content":" token"}', 'null', ''))
       this.open.set(res, sequence + 1)
       return
     }
     const usage = `,"usage":{"prompt_tokens":10,"completion_tokens":${this.pieces}}`
-    res.end(eventText(sequence, '{}', '"stop"', usage) + DONE)
+    res.end(formatEvent(sequence, '{}', '"stop"', usage) + DONE_EVENT)
     this.open.delete(res)
   }
 }
 
-function eventText (sequence: number, delta: string, finishReason: string, rest: string): string {
+function formatEvent (sequence: number, delta: string, finishReason: string, extraFields: string): string {
   const choice = `{"index":0,"delta":${delta},"finish_reason":${finishReason}}`
-  return `id: ${sequence}\ndata: {"id":"${STREAM_REQUEST_ID}","model":"asistente-lm","choices":[${choice}]${rest}}\n\n`
+  return `id: ${sequence}\ndata: {"id":"${STREAM_REQUEST_ID}","model":"asistente-lm","choices":[${choice}]${extraFields}}\n\n`
 }
