--- a/packages/stand-ins/src/measure/routingSimulation.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.ts
@@ -5,7 +5,7 @@
 import { RetryBudget } from '@rosemaryspread/decisions/routing/retryBudget.js'
 import type { RunnerView } from '@rosemaryspread/decisions/routing/routingTypes.js'
 import { ENGINE_SLOTS, SimEngine, type Attempt } from './routingEngine.js'
-import { EventQueue } from './routingEvents.js'
+import { EventQueue } from './eventQueue.js'
 import { instantOf, createPolicy, prefixHashes, type PolicyAction, type PolicyName, type VmPolicy } from './routingPolicies.js'
 import { RoutingStatistics } from './routingStatistics.js'
 import { createWorkload, PREFIX_TOKENS, type SimRequest } from './routingWorkload.js'
--- a/packages/stand-ins/src/measure/warmUp/warmUpFleet.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpFleet.ts
@@ -3,7 +3,7 @@
  * that reach one target in its worst second, and how many requests reach the warming target that has their prompt cached.
  */
 import seedrandom from 'seedrandom'
-import { warmUpStrategies, type WarmUpStrategy, type WarmUpStrategyName } from './warmUpWays.js'
+import { warmUpStrategies, type WarmUpStrategy, type WarmUpStrategyName } from './warmUpStrategies.js'
 
 /** Size, traffic and visibility of a simulated fleet. */
 export interface WarmUpShape {
--- a/packages/stand-ins/src/measure/warmUp/warmUpMeasure.ts
+++ b/packages/stand-ins/src/measure/warmUp/warmUpMeasure.ts
@@ -3,7 +3,7 @@
  */
 import type { Measurement, MeasureRow } from '../measureTypes.js'
 import { simulateWarmUp, type WarmUpShape } from './warmUpFleet.js'
-import { warmUpStrategies, type WarmUpStrategyName } from './warmUpWays.js'
+import { warmUpStrategies, type WarmUpStrategyName } from './warmUpStrategies.js'
 
 const SEEDS = 200
 
