--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -46,7 +46,7 @@
 
 const series = (role: string, driver: string, quantity: string, unit: string, at: number): ProbeSeries => ({ role, driver, quantity, unit, at })
 
-function createFleetHead (vms: number, msPerToken: number): FleetDefinition {
+function createFleetDefinition (vms: number, msPerToken: number): FleetDefinition {
   const teams = Object.fromEntries(Array.from({ length: TEAMS }, (_, index) => [`team-${index}`, { budget: `budget-${index}`, models: [MODEL] }]))
   return fleetSchema.parse({
     vms: Object.fromEntries(Array.from({ length: vms }, (_, index) => [`vm${index}`, DOMAINS[index % DOMAINS.length]])),
@@ -62,7 +62,7 @@
 
   static async start (vms: number, msPerToken: number): Promise<MeasuredFleet> {
     const folder = await mkdtemp(join(tmpdir(), 'rosemaryspread-capacity-'))
-    const fleet = await Fleet.start({ definition: createFleetHead(vms, msPerToken), folder, links: false, faultyPart: undefined })
+    const fleet = await Fleet.start({ definition: createFleetDefinition(vms, msPerToken), folder, links: false, faultyPart: undefined })
     const vm = await findChildProcess(`${folder}/vm0.yaml`)
     await delay(SETTLE_MS)
     return new MeasuredFleet(fleet, vm)
