--- a/packages/http/src/body/bodyReader.ts
+++ b/packages/http/src/body/bodyReader.ts
@@ -1,7 +1,7 @@
 /**
  * Reads a request body with limits on size and time. A body over the size limit is read and discarded, up to a multiple of the
  * limit, because a client that is still sending when the connection closes often does not receive the response. The time limit is
- * enforced here because Node stops enforcing its own once the server is closing.
+ * enforced here because Node's request timeout no longer applies once the server is closing.
  */
 import type { IncomingMessage } from 'node:http'
 import { Left, Right, type Either } from 'purify-ts'
--- a/packages/http/src/input/callHeaders.ts
+++ b/packages/http/src/input/callHeaders.ts
@@ -26,7 +26,7 @@
 export interface CallHeaders {
   readonly idempotencyKey?: string
   readonly timeoutMs?: number
-  /** Budget of the team, or a part of it as `budget:part`. */
+  /** Budget of the team, or a share of it as `budget:part`. */
   readonly budget?: string
 }
 
--- a/packages/http/src/server/httpExchange.ts
+++ b/packages/http/src/server/httpExchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request and its response. Only the first response is sent, so a timeout and a handler may both end the exchange.
+ * One HTTP request and its response. Only the first response is sent, so both a timeout and a handler may end the exchange.
  * The signal `gone` aborts when the caller closes the connection before the response ended.
  */
 import { randomBytes } from 'node:crypto'
--- a/packages/http/src/server/httpServer.ts
+++ b/packages/http/src/server/httpServer.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP server with limits on clients and a graceful close. Every failure, also an unexpected error of a handler, is answered
- * with a numbered problem.
+ * HTTP server with limits on clients and a graceful close. Every failure, including an unexpected error of a handler, is
+ * answered with a numbered problem.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
--- a/packages/http/src/server/restifyRouter.ts
+++ b/packages/http/src/server/restifyRouter.ts
@@ -30,7 +30,7 @@
     else this.app.post(path, serve)
   }
 
-  /** Not calling restify's callback suppresses its own response. */
+  /** The listener never calls restify's callback, which would send restify's default response. */
   onUnrouted (handler: UnroutedHandler): void {
     this.app.on('restifyError', (req: IncomingMessage, res: ServerResponse, err: StatusError) => {
       handler(req, res, routerFailure(err))
--- a/packages/operators/src/admin/adminTypes.ts
+++ b/packages/operators/src/admin/adminTypes.ts
@@ -73,7 +73,7 @@
   address: z.string(),
   /** State as seen by the responding VM: active, leaving, ejected or notLoaded. */
   state: z.string(),
-  /** Reason for the state; absent when the VM has no observation of its own. */
+  /** Reason for the state; absent when the responding VM has not observed the runner. */
   reason: z.string().optional(),
   inFlight: z.number().int(),
   /** Age of the last load report in milliseconds; absent when the VM has none. */
--- a/packages/operators/src/admin/configStatus.ts
+++ b/packages/operators/src/admin/configStatus.ts
@@ -18,7 +18,7 @@
 
 /** Answer of `GET /admin/v1/config/status`. */
 export const configStatusSchema = z.object({
-  /** Newest version known to the responding VM. */
+  /** Newest version in force on any VM, as reported to the responding VM. */
   version: z.number().int(),
   vms: z.array(vmStatusSchema)
 })
@@ -28,7 +28,7 @@
 const terminatedState = 'gone'
 
 /**
- * Compares the versions of all VMs with the newest known one.
+ * Compares the version of each VM with the newest one in force on any VM.
  * @param localVersion - version in force on the responding VM
  */
 export function configStatus (localVersion: number, vms: readonly VmAnswer[]): ConfigStatus {
--- a/packages/runners/src/application/applicationTypes.ts
+++ b/packages/runners/src/application/applicationTypes.ts
@@ -18,7 +18,7 @@
   readonly status: number
   readonly contentType: string
   readonly body: Buffer
-  /** Time for which the runner wants no further calls from this VM, from `Retry-After`; absent if not given. */
+  /** Time for which the runner requests no further calls from this VM, from `Retry-After`; absent without the header. */
   readonly pauseMs?: number
 }
 
--- a/packages/runners/src/application/httpApplicationClient.spec.ts
+++ b/packages/runners/src/application/httpApplicationClient.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to application runners: complete responses, and which failure is reported without one.
+ * Calls to application runners: complete responses, and the failure reported when there is none.
  */
 import { gzipSync } from 'node:zlib'
 import { expect } from 'chai'
--- a/packages/runners/src/engine/answerAssembler.spec.ts
+++ b/packages/runners/src/engine/answerAssembler.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against answers assembled from duplicate, missing or foreign pieces. `!` marks a rejected step, `.` the end.
+ * Guards against answers assembled from duplicate or missing pieces, or pieces of other requests. `!` marks a rejected step, `.` the end.
  */
 import { expect } from 'chai'
 import { AnswerAssembler } from './answerAssembler.js'
--- a/packages/runners/src/engine/engineAnswer.spec.ts
+++ b/packages/runners/src/engine/engineAnswer.spec.ts
@@ -58,7 +58,7 @@
   ['accepted, then no event', [[[], 'break'], 404], 'vm-1~a: answerCut unknown', 2]
 ]
 
-describe('streamWhole', () => {
+describe('streamAnswer', () => {
   for (const [title, script, expected, calls] of cases) {
     it(`${title}: ${expected}`, async () => {
       const engine = await startTestEngine(script)
--- a/packages/stand-ins/src/budget/assumedSpentRuns.spec.ts
+++ b/packages/stand-ins/src/budget/assumedSpentRuns.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A VM terminates abruptly while its targets keep no record of runs: its successor recovers what the last report of the
- * terminated process did not allow it to use, and nothing is overspent.
+ * A process terminates abruptly while the targets store no record of runs: its successor on the VM recovers only the tokens
+ * that the last report of the terminated process did not allow it to use, and nothing is overspent.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
--- a/packages/stand-ins/src/budget/billArchive.spec.ts
+++ b/packages/stand-ins/src/budget/billArchive.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Guards against bills that are deleted from the table before an object contains them, and against blocks archived partially.
+ */
 import { expect } from 'chai'
 import { Left, Right } from 'purify-ts'
 import { BLOCK_SEGMENTS, SEGMENT_ARCHIVE_MS } from '@rosemaryspread/decisions/budget/billBlocks.js'
--- a/packages/stand-ins/src/budget/budgetDriver.spec.ts
+++ b/packages/stand-ins/src/budget/budgetDriver.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The budget driver on a table in memory, with faults of the table.
+ * The budget driver on an in-memory table: refusals, billing and top-ups, also under table outages and lost answers.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
--- a/packages/stand-ins/src/budget/budgetRowCache.spec.ts
+++ b/packages/stand-ins/src/budget/budgetRowCache.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions planned on cached rows that the holder wrote last: they need no read before the write, and write
- * nothing wrong if another writer came in between.
+ * Transactions planned on cached rows that the holder wrote last: they need no read before the write, and a
+ * concurrent write by another writer is not lost.
  */
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
--- a/packages/stand-ins/src/budget/recoveryRuns.spec.ts
+++ b/packages/stand-ins/src/budget/recoveryRuns.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Recovery bills a run of a terminated holder once, also if another holder ran the same request.
+ * Recovery bills a run of a terminated holder at most once, and not at all if another holder ran the same request at an
+ * earlier runner.
  */
 import { expect } from 'chai'
 import { Just, Left, Nothing, Right } from 'purify-ts'
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -1,3 +1,7 @@
+/**
+ * Configuration propagation under faults of the table, the object store and messages between VMs: no VM regresses, and all
+ * VMs converge.
+ */
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { MonotonicConfigDecider, type ConfigAction, type ConfigDecider, type ConfigEvent, type ConfigStatus } from '@rosemaryspread/decisions/config/configDecider.js'
--- a/packages/stand-ins/src/config/configFleet.ts
+++ b/packages/stand-ins/src/config/configFleet.ts
@@ -19,7 +19,7 @@
 export interface FleetOptions {
   readonly vms: number
   readonly seed: string
-  /** Least one-way latency to the table and between VMs, in milliseconds; a message takes up to twice as long. */
+  /** Minimum one-way latency to the table and between VMs, in milliseconds; a message takes up to twice as long. */
   readonly tableMs?: number
   readonly peerMs?: number
   readonly settings?: Partial<ConfigPropagationSettings>
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * The configuration store: concurrent patches, lost answers, history, lagging replicas, and starts while the table is down.
+ */
 import { expect } from 'chai'
 import type { Either } from 'purify-ts'
 import type { Failure } from '@rosemaryspread/decisions/codes/failure.js'
--- a/packages/stand-ins/src/control/controlTypes.ts
+++ b/packages/stand-ins/src/control/controlTypes.ts
@@ -12,7 +12,7 @@
   outage: z.boolean(),
   /** Delay of each request before it takes effect, in milliseconds. */
   slowMs: z.number().nonnegative(),
-  /** Number of next writes that take effect but whose answer is lost. */
+  /** Number of upcoming writes that take effect but whose answer is lost. */
   loseAnswers: count,
   /** The serving port is closed: new connections are refused and open ones are cut. */
   refuse: z.boolean(),
--- a/packages/stand-ins/src/control/laggingValue.spec.ts
+++ b/packages/stand-ins/src/control/laggingValue.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Lag of a {@link LaggingValue}, and rate limit of the {@link TokenBucket}.
+ */
 import { expect } from 'chai'
 import { TokenBucket } from '../weights/tokenBucket.js'
 import { LaggingValue } from './laggingValue.js'
--- a/packages/stand-ins/src/control/laggingValue.ts
+++ b/packages/stand-ins/src/control/laggingValue.ts
@@ -1,5 +1,5 @@
 /**
- * A value that readers see with a fixed lag.
+ * A value that readers see with a fixed lag, such as a load report.
  */
 
 /** A value and the time from which it held, in milliseconds. */
--- a/packages/stand-ins/src/control/standIn.spec.ts
+++ b/packages/stand-ins/src/control/standIn.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * The stand-ins over HTTP: each fault has the documented effect, and each service answers as the platform or engine does.
+ */
 import { expect } from 'chai'
 import { got, type Method, type Response } from 'got'
 import { applicationDefinition } from '../application/applicationRoutes.js'
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -206,7 +206,7 @@
     return this.vms.filter(({ name }) => publisherRank(name, names) !== undefined).sort((a, b) => (publisherRank(a.name, names) ?? 0) - (publisherRank(b.name, names) ?? 0))
   }
 
-  /** VMs without a fault that read the digest. */
+  /** VMs without a fault that do not publish the digest. */
   get readers (): readonly DigestVm[] {
     const passing = new Set(this.publishers)
     return this.vms.filter(vm => vm.fault === undefined && !passing.has(vm))
--- a/packages/stand-ins/src/digest/tableDigest.spec.ts
+++ b/packages/stand-ins/src/digest/tableDigest.spec.ts
@@ -1,6 +1,6 @@
 /**
- * In a fleet of 195 VMs, each VM followed the heartbeats of all VMs and all targets itself. The idle cost of a VM and the calls
- * to the store grew with the size of the fleet. With the digest, the cost per VM is bounded.
+ * Guards against an idle cost per VM that grows with the fleet: without the digest, each VM follows the heartbeats of all VMs
+ * and all targets itself. Also tests that leaving targets and terminated VMs are reported in time when publishers fail.
  */
 import { expect } from 'chai'
 import { DIGEST_TABLE } from 'rosemaryspread/digest/digestTypes.js'
--- a/packages/stand-ins/src/engine/engineComponents.spec.ts
+++ b/packages/stand-ins/src/engine/engineComponents.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Models, prefix cache and answers of the engine stand-in.
+ */
 import { expect } from 'chai'
 import { answerText } from './engineText.js'
 import { detectLanguage } from './engineWords.js'
--- a/packages/stand-ins/src/engine/engineRoutes.ts
+++ b/packages/stand-ins/src/engine/engineRoutes.ts
@@ -106,7 +106,7 @@
       if (status !== 200) return { status, headers: { 'retry-after': String(retryAfterSeconds) }, body: { error: 'no weights', reason: 'weights' } }
     }
     const outcome = this.state.execute(order, Date.now(), req.header('x-vm'))
-    if (outcome === 'oldFencing') return { status: 412, body: { error: 'the fencing number is old' } }
+    if (outcome === 'oldFencing') return { status: 412, body: { error: 'the fencing number is stale' } }
     if (outcome === 'notLoaded') return { status: 404, body: { error: 'the model is not loaded' } }
     return { status: 200, body: { done: true }, effect: true }
   }
--- a/packages/stand-ins/src/engine/engineState.spec.ts
+++ b/packages/stand-ins/src/engine/engineState.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * The engine stand-in without its sockets: submissions, batching, cancels, seals, faults and reports.
+ */
 import { expect } from 'chai'
 import type { EngineRequest } from '@rosemaryspread/runners/engine/engineTypes.js'
 import { HistoryLog } from '../control/historyLog.js'
--- a/packages/stand-ins/src/engine/engineText.ts
+++ b/packages/stand-ins/src/engine/engineText.ts
@@ -1,6 +1,6 @@
 /**
  * Deterministic answers of the engine stand-in: the same request id, model and messages always give the same
- * text, others a different one, so that a checker can tell whether an answer is complete and belongs to its request.
+ * text, others a different one, so that a verifier can determine whether an answer is complete and belongs to its request.
  */
 import seedrandom from 'seedrandom'
 import type { ChatMessage } from '@rosemaryspread/runners/engine/engineTypes.js'
--- a/packages/stand-ins/src/placement/placementChaos.spec.ts
+++ b/packages/stand-ins/src/placement/placementChaos.spec.ts
@@ -62,7 +62,7 @@
   if (item.kind === 'leave' || item.kind === 'stay') engine.isLeaving = item.kind === 'leave'
 }
 
-/** Violations of one run. */
+/** Runs the steps, ends all faults and returns the violated guarantees. */
 function findViolations (planner: () => PlacementDecider, ignoringFencing: readonly string[], steps: ReadonlyArray<readonly [Step, number]>): readonly string[] {
   const harness = createHarness(planner, ignoringFencing)
   for (const [item, pauseMs] of steps) {
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -77,7 +77,7 @@
     part: { config: fleet(2), engines: loaded('a1', 'b1', 'c1') },
     run: harness => {
       const [first] = harness.holders
-      // The order to unload the surplus copy is in transit when the holder is paused.
+      // The order to unload the surplus copy is in transit when the holder freezes.
       while (!harness.sent.some(({ kind }) => kind === 'unload')) harness.run(100)
       first!.isFrozen = true
       const victim = harness.sent.at(-1)!.orderId.split('/')[2]!
--- a/packages/stand-ins/src/placement/placementHarness.ts
+++ b/packages/stand-ins/src/placement/placementHarness.ts
@@ -29,7 +29,7 @@
   readonly engines = new Map<string, SimulatedEngine>()
   readonly holders: readonly SimulatedHolder[]
   config: FleetConfig
-  /** Orders other than those that only announce the fencing number. */
+  /** Orders other than fencing announcements, including repeated ones. */
   orders = 0
   fenceOrders = 0
   weightRefusals = 0
--- a/packages/stand-ins/src/placement/simulatedEngine.ts
+++ b/packages/stand-ins/src/placement/simulatedEngine.ts
@@ -22,7 +22,7 @@
   isDown = false
   isCut = false
   isLeaving = false
-  /** Number of next orders that take effect but whose answer is lost. */
+  /** Number of upcoming orders that take effect but whose answer is lost. */
   loseAnswers = 0
   /** Since when it is down or cut off. */
   goneAt = 0
--- a/packages/stand-ins/src/placement/simulatedHolder.ts
+++ b/packages/stand-ins/src/placement/simulatedHolder.ts
@@ -1,6 +1,6 @@
 /**
  * One VM that may hold the placement lease, in virtual time. It polls reports and sends orders only while its lease is
- * valid by its own clock, and may be paused with orders in transit.
+ * valid by its own clock, and may be frozen with orders in transit.
  */
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import type { FleetConfig } from '@rosemaryspread/decisions/config/configSchema.js'
@@ -77,7 +77,7 @@
       world.after(ms, () => { this.whenAwake(() => { this.feed({ kind: 'answered', orderId: order.orderId, outcome }) }) })
     if (engine === undefined || !engine.isReachable) return answer({ kind: 'notSent' }, LATENCY_MS)
     world.after(LATENCY_MS, () => {
-      // Orders in transit from a paused VM are delivered when it resumes.
+      // Orders in transit from a frozen VM are delivered when it resumes.
       this.whenAwake(() => {
         if (engine.isDown) return answer({ kind: 'unknown' }, CALL_TIMEOUT_MS)
         const outcome = engine.receive(order, world.now)
--- a/packages/stand-ins/src/request/serviceCalls.spec.ts
+++ b/packages/stand-ins/src/request/serviceCalls.spec.ts
@@ -1,6 +1,6 @@
 /**
  * A call that may not be repeated runs at most once, whatever happens to the claim, the VM or the runner, and callers
- * get a true answer about it.
+ * get a correct answer about its outcome.
  */
 import { expect } from 'chai'
 import { Right, type Either } from 'purify-ts'
--- a/packages/stand-ins/src/request/serviceFakes.spec.ts
+++ b/packages/stand-ins/src/request/serviceFakes.spec.ts
@@ -19,7 +19,7 @@
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 import { TableState } from '../table/tableState.js'
 
-/** Fault of the next calls to a runner. */
+/** Fault of all calls to a runner while it is set. */
 export type RunnerFault = 'none' | 'unreachable' | 'crashesDuringCall'
 
 /** Application runners that record the request id of each execution. */
--- a/packages/stand-ins/src/table/memoryTableStore.ts
+++ b/packages/stand-ins/src/table/memoryTableStore.ts
@@ -12,9 +12,9 @@
 export class MemoryTableStore implements TableStore {
   /** While true, every call fails with `platformUnavailable` and has no effect. */
   outage = false
-  /** Number of next transactions that take effect but whose answer is lost. */
+  /** Number of upcoming transactions that take effect but whose answer is lost. */
   loseAnswers = 0
-  /** Number of next transactions that are lost without effect; the outcome is unknown to the caller. */
+  /** Number of upcoming transactions that are lost without effect; the outcome is unknown to the caller. */
   loseRequests = 0
   /** Awaited before each call takes effect; lets a test delay or order calls. */
   beforeCall: (operation: TableOperation) => Promise<void> = async () => {}
--- a/packages/stand-ins/src/table/tableHistory.spec.ts
+++ b/packages/stand-ins/src/table/tableHistory.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * History records derived from committed rows.
+ */
 import { expect } from 'chai'
 import { HistoryLog } from '../control/historyLog.js'
 import { TableHistory } from './tableHistory.js'
--- a/packages/stand-ins/src/table/tableState.spec.ts
+++ b/packages/stand-ins/src/table/tableState.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Version checks, scans and commit notifications of the table, and faults of the in-process table store.
+ */
 import { expect } from 'chai'
 import type { RowCheck, RowWrite } from '@rosemaryspread/infra/table/tableTypes.js'
 import { MemoryTableStore } from './memoryTableStore.js'
--- a/packages/stand-ins/src/time/virtualTime.ts
+++ b/packages/stand-ins/src/time/virtualTime.ts
@@ -16,7 +16,7 @@
   return a.at < b.at || (a.at === b.at && a.order < b.order)
 }
 
-/** A clock with its timers in a binary heap. */
+/** A clock that advances only on request; its timers are in a binary heap. */
 export class VirtualTime implements Clock {
   private present = 0
   private order = 0
