--- a/packages/operators/src/ctl/ctlProgram.ts
+++ b/packages/operators/src/ctl/ctlProgram.ts
@@ -68,7 +68,7 @@
   const operatorKey = key ?? io.env.RSCTL_KEY ?? ''
   if (timeoutMs === 0) return Left(toUsageFailure('--timeout-ms: use at least 1'))
   if (servers.length === 0) return Left(toUsageFailure('no server given: use --server or RSCTL_SERVER'))
-  if (invalidNames.length > 0) return Left(toUsageFailure(`not a base URL: ${invalidNames.join(', ')}`))
+  if (invalidNames.length > 0) return Left(toUsageFailure(`no base URL: ${invalidNames.join(', ')}`))
   if (operatorKey === '') return Left(toUsageFailure('no key given: use RSCTL_KEY or --key'))
   const urls = servers.filter((url) => url !== undefined)
   return Right(new AdminClient({ servers: urls, key: operatorKey, timeoutMs, pause: (ms) => io.pause(ms) }))
