--- a/packages/operators/src/ctl/adminClient.ts
+++ b/packages/operators/src/ctl/adminClient.ts
@@ -49,7 +49,7 @@
     for (let round = 1; round <= maxRounds; round++) {
       const answer = await this.sendToAny(req, failures)
       if (answer !== undefined) return answer.mapLeft((failure) => withUnknownOutcome(failure, failures))
-      if (round === maxRounds || !failures.some(isLost)) break
+      if (round === maxRounds || !failures.some(hasUnknownOutcome)) break
       await this.options.pause(round * roundPauseMs)
     }
     return Left(this.toFinalFailure(failures))
@@ -68,22 +68,22 @@
 
   private toFinalFailure (failures: readonly Failure[]): Failure {
     const last = failures[failures.length - 1]
-    const refusal = failures.some(isLost) || last?.code === 'peerUnreachable' ? undefined : last
+    const refusal = failures.some(hasUnknownOutcome) || last?.code === 'peerUnreachable' ? undefined : last
     if (refusal !== undefined) return refusal
     const errors = [...new Set(failures.map((failure) => failure.message))]
-    const ran = failures.some(isLost) ? 'unknown' : 'no'
+    const ran = failures.some(hasUnknownOutcome) ? 'unknown' : 'no'
     return new Failure('peerUnreachable', 'no server responded', { ran, errors })
   }
 }
 
-function isLost (failure: Failure): boolean {
+function hasUnknownOutcome (failure: Failure): boolean {
   return failure.ran === 'unknown'
 }
 
 /** A refusal after a lost response does not show the outcome of the lost attempt, unless the server compared the id. */
 function withUnknownOutcome (failure: Failure, earlier: readonly Failure[]): Failure {
   const isDefinite = failure.entry.status < minServerErrorStatus && !permissionFailures.has(failure.code)
-  if (isDefinite || !earlier.some(isLost)) return failure
+  if (isDefinite || !earlier.some(hasUnknownOutcome)) return failure
   const detail = `${failure.message}; an earlier attempt of this command may have taken effect`
   return new Failure(failure.code, detail, { ran: 'unknown', errors: failure.errors })
 }
--- a/packages/runners/src/engine/engineAnswer.spec.ts
+++ b/packages/runners/src/engine/engineAnswer.spec.ts
@@ -8,7 +8,7 @@
 import { DONE_FRAME, lastFrame, pieceFrame, REQUEST, startTestEngine, testClient, type Connection } from './testEngine.spec.js'
 
 const OPTIONS: StreamAnswerOptions = { maxResumes: 2, pauseMs: 1, pause: async () => {} }
-const OTHER = { id: 'req-2' }
+const OTHER_REQUEST = { id: 'req-2' }
 const completeAnswer = [pieceFrame(0, 'a'), pieceFrame(1, 'b'), lastFrame(2), DONE_FRAME]
 
 async function collect (address: string, options = OPTIONS, client = testClient()): Promise<string> {
@@ -37,12 +37,12 @@
   return output
 }
 
-const overlapping: readonly Connection[] = [[[pieceFrame(0, 'a')], 'break'], [completeAnswer, 'close']]
+const overlappingStreams: readonly Connection[] = [[[pieceFrame(0, 'a')], 'break'], [completeAnswer, 'close']]
 
 const cases: readonly [title: string, script: readonly Connection[], expected: string, calls: number][] = [
   ['one connection', [[completeAnswer, 'close']], 'vm-1~a:ab.', 1],
   ['resumed at the next piece', [[[pieceFrame(0, 'a')], 'break'], [[pieceFrame(1, 'b'), lastFrame(2), DONE_FRAME], 'close']], 'vm-1~a:ab.', 2],
-  ['resumed with repeated pieces', overlapping, 'vm-1~a:ab.', 2],
+  ['resumed with repeated pieces', overlappingStreams, 'vm-1~a:ab.', 2],
   ['closed before the end, then resumed', [[[pieceFrame(0, 'a')], 'close'], [completeAnswer, 'close']], 'vm-1~a:ab.', 2],
   ['only the end event is missing', [[completeAnswer.slice(0, 2), 'break'], [[lastFrame(2), DONE_FRAME], 'close']], 'vm-1~a:ab.', 2],
   ['a submit without a response is joined by the next submit', ['drop', [completeAnswer, 'close']], 'vm-1~a:ab.', 2],
@@ -50,7 +50,7 @@
   ['every connection breaks', [[[pieceFrame(0, 'a')], 'break']], 'vm-1~a:a answerCut yes', 3],
   ['stalled, then the engine has no record of the run', [[[pieceFrame(0, 'a')], 'hang'], 404], 'vm-1~a:a answerCut yes', 2],
   ['a gap after the resumption', [[[pieceFrame(0, 'a')], 'break'], [[pieceFrame(2, 'c'), lastFrame(3), DONE_FRAME], 'close']], 'vm-1~a:a answerMixed yes', 2],
-  ['another request after the resumption', [[[pieceFrame(0, 'a')], 'break'], [[pieceFrame(1, 'x', OTHER), lastFrame(2), DONE_FRAME], 'close']], 'vm-1~a:a answerMixed yes', 2],
+  ['another request after the resumption', [[[pieceFrame(0, 'a')], 'break'], [[pieceFrame(1, 'x', OTHER_REQUEST), lastFrame(2), DONE_FRAME], 'close']], 'vm-1~a:a answerMixed yes', 2],
   ['different text after the resumption', [[[pieceFrame(0, 'a')], 'break'], [[pieceFrame(0, 'x'), lastFrame(1), DONE_FRAME], 'close']], 'vm-1~a:a answerMixed yes', 2],
   ['an earlier end after the resumption', [[[pieceFrame(0, 'a'), pieceFrame(1, 'b')], 'break'], [[lastFrame(1), DONE_FRAME], 'close']], 'vm-1~a:ab answerMixed yes', 2],
   ['refused', [503], ' runnerRefused no', 1],
@@ -63,15 +63,15 @@
     it(`${title}: ${expected}`, async () => {
       const engine = await startTestEngine(script)
       const stalls = JSON.stringify(script).includes('hang')
-      const seen = await collect(engine.address, OPTIONS, testClient(stalls ? { betweenEventsMs: SHORT_TIMEOUT_MS } : {}))
+      const output = await collect(engine.address, OPTIONS, testClient(stalls ? { betweenEventsMs: SHORT_TIMEOUT_MS } : {}))
       await engine.close()
-      expect(seen).to.equal(expected)
+      expect(output).to.equal(expected)
       expect(engine.calls).to.have.length(calls)
     })
   }
 
   it('would duplicate text without the assembler (counter-example)', async () => {
-    const engine = await startTestEngine(overlapping)
+    const engine = await startTestEngine(overlappingStreams)
     expect(await collectUnchecked(engine.address)).to.equal('aab')
     await engine.close()
   })
--- a/packages/runners/src/engine/httpEngineClient.spec.ts
+++ b/packages/runners/src/engine/httpEngineClient.spec.ts
@@ -7,7 +7,7 @@
 import type { EngineStream } from './engineTypes.js'
 import { DONE_FRAME, lastFrame, pieceFrame, REQUEST, startTestEngine, testClient, type Ending } from './testEngine.spec.js'
 
-const OTHER = { id: 'req-2' }
+const OTHER_REQUEST = { id: 'req-2' }
 const RECORD = { requestId: 'req-1', digest: 'd', holder: 'h', team: 't', budget: 'b', model: 'm', state: 'finished', promptTokens: 3, completionTokens: 2 }
 
 /** Reads a stream to its end and formats it: texts, then the end or the failure. */
@@ -36,8 +36,8 @@
   ['usage above the limit, passed on', [lastFrame(0, { usage: { prompt_tokens: 3, completion_tokens: 999 } }), DONE_FRAME], 'close', ' stop 999'],
   ['a connection left open after the end', [pieceFrame(0, 'a'), lastFrame(1), DONE_FRAME], 'hang', 'a stop 2'],
   ['a connection broken after the end', [pieceFrame(0, 'a'), lastFrame(1), DONE_FRAME], 'break', 'a stop 2'],
-  ['a piece of another request', [pieceFrame(0, 'a'), pieceFrame(1, 'x', OTHER), lastFrame(2), DONE_FRAME], 'close', 'a answerMixed yes'],
-  ['an end of another request', [pieceFrame(0, 'a'), lastFrame(1, OTHER), DONE_FRAME], 'close', 'a answerMixed yes'],
+  ['a piece of another request', [pieceFrame(0, 'a'), pieceFrame(1, 'x', OTHER_REQUEST), lastFrame(2), DONE_FRAME], 'close', 'a answerMixed yes'],
+  ['an end of another request', [pieceFrame(0, 'a'), lastFrame(1, OTHER_REQUEST), DONE_FRAME], 'close', 'a answerMixed yes'],
   ['a gap', [pieceFrame(0, 'a'), pieceFrame(2, 'c'), lastFrame(3), DONE_FRAME], 'close', 'a answerMixed yes'],
   ['a repeated piece', [pieceFrame(0, 'a'), pieceFrame(0, 'a'), lastFrame(1), DONE_FRAME], 'close', 'a answerMixed yes'],
   ['a stream that starts after the requested piece', [pieceFrame(1, 'b'), lastFrame(2), DONE_FRAME], 'close', ' answerMixed yes'],
@@ -92,7 +92,7 @@
   }
 
   it('would accept the text of another request without checking ids (counter-example)', async () => {
-    const engine = await startTestEngine([[[pieceFrame(0, 'a'), pieceFrame(1, 'x', OTHER), lastFrame(2), DONE_FRAME], 'close']])
+    const engine = await startTestEngine([[[pieceFrame(0, 'a'), pieceFrame(1, 'x', OTHER_REQUEST), lastFrame(2), DONE_FRAME], 'close']])
     expect(await readUnchecked(engine.address)).to.equal('ax')
     await engine.close()
   })
--- a/packages/stand-ins/src/budget/assumedSpentRuns.spec.ts
+++ b/packages/stand-ins/src/budget/assumedSpentRuns.spec.ts
@@ -12,8 +12,8 @@
 import { TableState } from '../table/tableState.js'
 
 const TICK_MS = 50
-const PAID = 1_000_000
-const REQUEST = 1_000
+const PAID_TOKENS = 1_000_000
+const REQUEST_TOKENS = 1_000
 
 const noPeers: BudgetPeers = {
   members: () => [],
@@ -28,19 +28,19 @@
   private readonly state = new TableState(() => this.mono)
   readonly store = new MemoryTableStore(this.state)
 
-  process (token: string, begunAt = this.mono): BudgetDriver {
+  createProcess (token: string, startedAt = this.mono): BudgetDriver {
     return new BudgetDriver({
       holder: `vm1~${token}`,
       domain: 'd',
       place: '10.0.0.1:80',
-      processStartedAt: begunAt,
+      processStartedAt: startedAt,
       store: this.store,
       peers: noPeers,
       policy: gatewayBudgetPolicy,
       clock: { now: () => ({ mono: this.mono, wall: this.mono }) },
       log: { write: () => {} },
       unbilledRuns: new AssumedSpentRuns(),
-      declared: () => ({ tokens: PAID, version: 1 })
+      declared: () => ({ tokens: PAID_TOKENS, version: 1 })
     })
   }
 
@@ -54,51 +54,51 @@
 
   /** Starts the successor of a process that made requests; the store is unreachable from before its start. */
   async startSuccessorInOutage (requests: number): Promise<BudgetDriver> {
-    const first = this.process('a')
+    const first = this.createProcess('a')
     await this.advance(200, first)
-    await this.use(first, requests)
+    await this.sendRequests(first, requests)
     this.store.outage = true
-    return this.process('b')
+    return this.createProcess('b')
   }
 
   /** Makes requests one after another; returns the tokens of those admitted, none of which is billed. */
-  async use (driver: BudgetDriver, requests: number): Promise<number> {
+  async sendRequests (driver: BudgetDriver, requests: number): Promise<number> {
     let used = 0
     for (let i = 0; i < requests; i += 1) {
-      const pending = driver.reserve('b', REQUEST, 100)
+      const pending = driver.reserve('b', REQUEST_TOKENS, 100)
       await this.advance(TICK_MS, driver)
       if (i % 2 === 0) await this.advance(TICK_MS, driver)
       const reserved = await Promise.race([pending, Promise.resolve(undefined)])
-      if (reserved?.isRight() === true) used += REQUEST
+      if (reserved?.isRight() === true) used += REQUEST_TOKENS
     }
     return used
   }
 }
 
-interface EndCase {
+interface TerminationCase {
   readonly name: string
   readonly requests: number
   /** Requests made while the store is unreachable, before the process terminates. */
   readonly requestsInOutage: number
 }
 
-const cases: readonly EndCase[] = [
+const cases: readonly TerminationCase[] = [
   { name: 'at once', requests: 1, requestsInOutage: 0 },
   { name: 'under load', requests: 60, requestsInOutage: 0 },
   { name: 'under load after the store became unreachable', requests: 40, requestsInOutage: 40 }
 ]
 
 describe('recovery without records of runs', () => {
-  for (const { name, requests, requestsInOutage: cutOff } of cases) {
+  for (const { name, requests, requestsInOutage: outageRequests } of cases) {
     it(`overspends nothing and returns most of the allotment of a VM that terminated ${name}`, async () => {
       const harness = new VmHarness()
-      const first = harness.process('a')
+      const first = harness.createProcess('a')
       await harness.advance(200, first)
-      let used = await harness.use(first, requests)
+      let used = await harness.sendRequests(first, requests)
       harness.store.outage = true
-      used += await harness.use(first, cutOff)
+      used += await harness.sendRequests(first, outageRequests)
       harness.store.outage = false
-      const second = harness.process('b')
+      const second = harness.createProcess('b')
       await harness.advance(1_000, second)
       const allottedBefore = (await second.show('b')).map(({ allotted }) => allotted).orDefault(0)
       await second.recoverTerminated()
@@ -106,7 +106,7 @@
       expect(used).to.be.greaterThan(0)
       expect(shown.spent).to.be.at.least(used)
       expect(shown.allotted).to.equal(0)
-      expect(shown.spent).to.be.at.most(Math.max(allottedBefore / 2 + used, used * 3 + 8 * REQUEST))
+      expect(shown.spent).to.be.at.most(Math.max(allottedBefore / 2 + used, used * 3 + 8 * REQUEST_TOKENS))
     })
   }
 
--- a/packages/stand-ins/src/budget/billArchive.spec.ts
+++ b/packages/stand-ins/src/budget/billArchive.spec.ts
@@ -18,7 +18,7 @@
 const outcomeUnknown = (): Failure => new Failure('platformOutcomeUnknown', 'the answer was lost', { ran: 'unknown' })
 
 /** A shared table and object store, with old segments of three holders and recent ones of a fourth. */
-class Setup {
+class ArchiveHarness {
   now = 1_000
   readonly state = new TableState(() => this.now)
   readonly objects = new MemoryObjects()
@@ -80,10 +80,10 @@
   }
 }
 
-type Vm = ReturnType<Setup['vm']>
+type Vm = ReturnType<ArchiveHarness['vm']>
 
 /** Faulty: deletes the rows before it puts the object. */
-function deletesFirst ({ store, objects, log }: ArchiveParts): ArchiveParts {
+function deletingBeforePut ({ store, objects, log }: ArchiveParts): ArchiveParts {
   let later = async (): Promise<void> => {}
   const put: ArchiveParts['objects']['put'] = async (name, body) => {
     later = async () => { await objects.put(name, body) }
@@ -97,7 +97,7 @@
   return { log, objects: { put }, store: { read: async keys => await store.read(keys), scan: async req => await store.scan(req), transact } }
 }
 
-const faults: ReadonlyArray<readonly [string, (setup: Setup, vm: Vm) => void]> = [
+const faults: ReadonlyArray<readonly [string, (setup: ArchiveHarness, vm: Vm) => void]> = [
   ['none', () => {}],
   ['object store outage', setup => { setup.objects.outage = true }],
   ['answer of a put lost', setup => { setup.losePuts = 1 }],
@@ -123,7 +123,7 @@
 describe('archive of bills', () => {
   for (const [name, fault] of faults) {
     it(`loses no bill and archives no block partially: ${name}`, async () => {
-      const setup = new Setup()
+      const setup = new ArchiveHarness()
       const [first, second] = [setup.vm(), setup.vm()]
       fault(setup, first)
       await Promise.all([new BillArchive(first.parts).pass(), new BillArchive(second.parts).pass()])
@@ -142,14 +142,14 @@
   }
 
   it('loses bills if it deletes rows before it puts the object (counter-example)', async () => {
-    const setup = new Setup()
+    const setup = new ArchiveHarness()
     setup.objects.outage = true
-    await new BillArchive(deletesFirst(setup.vm().parts)).pass()
+    await new BillArchive(deletingBeforePut(setup.vm().parts)).pass()
     expect(setup.violations()).to.include(segmentKey('vm-a~01', 1))
   })
 
   it('names an object by its fixed block, and archives a bounded number of blocks per pass', async () => {
-    const setup = new Setup()
+    const setup = new ArchiveHarness()
     const archive = new BillArchive(setup.vm().parts, 2)
     await archive.pass()
     expect([...setup.objects.objects.keys()]).to.deep.equal([
@@ -160,7 +160,7 @@
   })
 
   it('recovery assumes that a holder whose last segment is archived has been unreachable for that long', async () => {
-    const runs = new RecoveryRuns(new Setup().vm().store, {} as never)
+    const runs = new RecoveryRuns(new ArchiveHarness().vm().store, {} as never)
     const row = { holder: 'vm-a~01', budget: 'mesa', domain: 'd', held: 1, settled: 0, state: 'open', lastSeq: LAST_SEQ + 1 } as const
     expect(await runs.contactAgeMs({ row, version: 1, updatedAt: 0, ageMs: 10 }, 0)).to.equal(SEGMENT_ARCHIVE_MS)
   })
--- a/packages/stand-ins/src/budget/recoveryRuns.spec.ts
+++ b/packages/stand-ins/src/budget/recoveryRuns.spec.ts
@@ -11,7 +11,7 @@
 import { MemoryTableStore } from '../table/memoryTableStore.js'
 
 const ID = 'request-1'
-const ENDED = 'a~1'
+const TERMINATED_HOLDER = 'a~1'
 const [first, second] = ['r1', 'r2'].sort((a, b) => keyedRank(ID, b, 0, 0) - keyedRank(ID, a, 0, 0)) as [string, string]
 
 function createRun (holder: string, state: RunRecord['state'] = 'finished'): RunRecord {
@@ -27,21 +27,21 @@
 }
 
 const cases: readonly RunCase[] = [
-  { name: 'the only run', runs: { [second]: createRun(ENDED) }, billed: 1 },
-  { name: 'a run whose earlier runner is sealed', runs: { [first]: createRun('', 'sealed'), [second]: createRun(ENDED) }, billed: 1 },
-  { name: 'a run that another holder made at an earlier runner', runs: { [first]: createRun('b~1'), [second]: createRun(ENDED) }, billed: 0 },
-  { name: 'a run that another holder made at a later runner', runs: { [first]: createRun(ENDED), [second]: createRun('b~1') }, billed: 1 },
-  { name: 'two runs of the terminated holder', runs: { [first]: createRun(ENDED), [second]: createRun(ENDED) }, billed: 1 },
-  { name: 'a run whose earlier runner does not answer', runs: { [second]: createRun(ENDED) }, unresponsive: first, billed: 'pending' }
+  { name: 'the only run', runs: { [second]: createRun(TERMINATED_HOLDER) }, billed: 1 },
+  { name: 'a run whose earlier runner is sealed', runs: { [first]: createRun('', 'sealed'), [second]: createRun(TERMINATED_HOLDER) }, billed: 1 },
+  { name: 'a run that another holder made at an earlier runner', runs: { [first]: createRun('b~1'), [second]: createRun(TERMINATED_HOLDER) }, billed: 0 },
+  { name: 'a run that another holder made at a later runner', runs: { [first]: createRun(TERMINATED_HOLDER), [second]: createRun('b~1') }, billed: 1 },
+  { name: 'two runs of the terminated holder', runs: { [first]: createRun(TERMINATED_HOLDER), [second]: createRun(TERMINATED_HOLDER) }, billed: 1 },
+  { name: 'a run whose earlier runner does not answer', runs: { [second]: createRun(TERMINATED_HOLDER) }, unresponsive: first, billed: 'pending' }
 ]
 
-function createRunners ({ runs, unresponsive: mute }: RunCase): RecoveryRunners {
+function createRunners ({ runs, unresponsive: unresponsiveRunner }: RunCase): RecoveryRunners {
   return {
     declared: () => [first, second].map(runner => ({ runner, address: runner, servesSince: { m: 0 } })),
     engines: {
       listByHolder: async (address, holder) => Right([runs[address]].filter(run => run?.holder === holder) as RunRecord[]),
       find: async address => {
-        if (address === mute) return Left(new Failure('runnerUnreachable', 'no answer'))
+        if (address === unresponsiveRunner) return Left(new Failure('runnerUnreachable', 'no answer'))
         const run = runs[address]
         return Right(run === undefined ? Nothing : Just(run))
       },
@@ -54,8 +54,8 @@
   for (const test of cases) {
     it(`bills ${test.billed} for ${test.name}`, async () => {
       const runs = new RecoveryRuns(new MemoryTableStore(), createRunners(test))
-      const owed = await runs.unbilled('b', [{ holder: ENDED, lastSeq: undefined, mayCancel: false }], 1_000)
-      expect(owed.caseOf<number | 'pending'>({ Left: () => 'pending', Right: bills => bills.length })).to.equal(test.billed)
+      const unbilled = await runs.unbilled('b', [{ holder: TERMINATED_HOLDER, lastSeq: undefined, mayCancel: false }], 1_000)
+      expect(unbilled.caseOf<number | 'pending'>({ Left: () => 'pending', Right: bills => bills.length })).to.equal(test.billed)
     })
   }
 })
--- a/packages/stand-ins/src/config/configFaults.spec.ts
+++ b/packages/stand-ins/src/config/configFaults.spec.ts
@@ -179,7 +179,7 @@
 
   constructor (readonly fleet: ConfigFleet) {}
 
-  async play (commands: readonly Command[]): Promise<void> {
+  async execute (commands: readonly Command[]): Promise<void> {
     await this.fleet.start()
     for (const command of commands) await this.#step(command)
     for (const vm of this.fleet.vms) this.#heal(vm)
@@ -240,7 +240,7 @@
     let accepted = 0
     await fc.assert(fc.asyncProperty(fc.array(command, { minLength: 10, maxLength: 60 }), fc.integer(), async (commands, seed) => {
       const run = new OperatorRun(new ConfigFleet({ vms: 4, seed: String(seed), tableMs: 5 }))
-      await run.play(commands)
+      await run.execute(commands)
       const newest = versionRows(run.fleet).length
       accepted += newest
       run.fleet.stop()
--- a/packages/stand-ins/src/config/configFleet.ts
+++ b/packages/stand-ins/src/config/configFleet.ts
@@ -91,7 +91,7 @@
   }
 
   /** Resolves as soon as the process is not frozen. */
-  async thawed (): Promise<void> {
+  async waitUntilThawed (): Promise<void> {
     while (this.#frozen !== undefined) await new Promise<void>(resolve => { this.#frozen?.push(resolve) })
   }
 
@@ -117,10 +117,10 @@
       return Left(new Failure('peerUnreachable', address, { ran: 'unknown' }))
     }
     await fleet.time.sleep(fleet.latency(fleet.peerMs))
-    await peer.thawed()
+    await peer.waitUntilThawed()
     const answer = await peer.serve(method, structuredClone(params))
     await fleet.time.sleep(fleet.latency(fleet.peerMs))
-    await this.thawed()
+    await this.waitUntilThawed()
     this.#countMessage(answer)
     return Right(structuredClone(answer))
   }
@@ -129,7 +129,7 @@
   async #delayMessage (): Promise<void> {
     const { incarnation, fleet } = this
     await fleet.time.sleep(fleet.latency(fleet.tableMs) + this.extraTableMs)
-    await this.thawed()
+    await this.waitUntilThawed()
     if (!this.alive || incarnation !== this.incarnation) await new Promise(() => {})
   }
 
--- a/packages/stand-ins/src/config/configStore.spec.ts
+++ b/packages/stand-ins/src/config/configStore.spec.ts
@@ -200,11 +200,11 @@
     { name: 'all objects present', damage: () => {}, version: 66 },
     { name: 'the pointer to the latest version missing', damage: fleet => { fleet.objects.objects.delete(LATEST_OBJECT) }, version: 66 },
     { name: 'the last version damaged', damage: fleet => { fleet.objects.objects.set(deltaName(66), Buffer.from('{"version":66')) }, version: 65 },
-    { name: 'the content of a version changed', damage: fleet => { change(fleet, deltaName(66), '/m66"', '/m99"') }, version: 65 },
-    { name: 'the content of the snapshot changed', damage: fleet => { change(fleet, 'config/snapshot/', '"m7"', '"m99"') }, version: undefined },
+    { name: 'the content of a version changed', damage: fleet => { replaceInObject(fleet, deltaName(66), '/m66"', '/m99"') }, version: 65 },
+    { name: 'the content of the snapshot changed', damage: fleet => { replaceInObject(fleet, 'config/snapshot/', '"m7"', '"m99"') }, version: undefined },
     { name: 'object store down too', damage: fleet => { fleet.objects.outage = true }, version: undefined }
   ]
-  function change (fleet: ConfigFleet, prefix: string, from: string, to: string): void {
+  function replaceInObject (fleet: ConfigFleet, prefix: string, from: string, to: string): void {
     const name = [...fleet.objects.objects.keys()].find(key => key.startsWith(prefix))!
     fleet.objects.objects.set(name, Buffer.from(fleet.objects.objects.get(name)!.toString().replaceAll(from, to)))
   }
--- a/packages/stand-ins/src/control/standIn.spec.ts
+++ b/packages/stand-ins/src/control/standIn.spec.ts
@@ -145,13 +145,13 @@
     { name: 'a piece of another run', control: { mixNext: true }, expected: text, expectedOther: 'ajeno ', ends: 1 },
     { name: 'two ends', control: { doubleEnd: true }, expected: text, expectedOther: '', ends: 2 }
   ]
-  for (const { name, control, expected: own, expectedOther: foreign, ends } of streams) {
+  for (const { name, control, expected: expectedText, expectedOther: expectedOtherText, ends } of streams) {
     it(`engine stream with fault "${name}"`, async () => {
       const engine = await startEngine()
       await engine.order(control)
       const { body } = await engine.call('/v1/chat/completions', complete('r'))
-      expect(contents(body, 'r')).to.equal(own)
-      expect(contents(body, 'foreign-r')).to.equal(foreign)
+      expect(contents(body, 'r')).to.equal(expectedText)
+      expect(contents(body, 'foreign-r')).to.equal(expectedOtherText)
       expect(body.split('[DONE]')).to.have.length(ends + 1)
     })
   }
--- a/packages/stand-ins/src/digest/digestFleet.fixture.ts
+++ b/packages/stand-ins/src/digest/digestFleet.fixture.ts
@@ -202,14 +202,14 @@
 
   /** VMs that publish the digest, by rank. */
   get publishers (): readonly DigestVm[] {
-    const names = this.vms.filter(({ fault: trouble }) => trouble !== 'ended').map(({ name }) => name)
+    const names = this.vms.filter(({ fault: currentFault }) => currentFault !== 'ended').map(({ name }) => name)
     return this.vms.filter(({ name }) => publisherRank(name, names) !== undefined).sort((a, b) => (publisherRank(a.name, names) ?? 0) - (publisherRank(b.name, names) ?? 0))
   }
 
   /** VMs without a fault that do not publish the digest. */
   get readers (): readonly DigestVm[] {
-    const passing = new Set(this.publishers)
-    return this.vms.filter(vm => vm.fault === undefined && !passing.has(vm))
+    const publisherSet = new Set(this.publishers)
+    return this.vms.filter(vm => vm.fault === undefined && !publisherSet.has(vm))
   }
 
   /** Marks a target as leaving. */
--- a/packages/stand-ins/src/digest/tableDigest.spec.ts
+++ b/packages/stand-ins/src/digest/tableDigest.spec.ts
@@ -26,8 +26,8 @@
     vm.rows = 0
   }
   await fleet.time.run(seconds * 1_000)
-  const most = (of: (vm: DigestVm) => number): number => Math.max(...readers.map(of)) / seconds
-  return { calls: most(({ calls }) => calls), rows: most(({ rows }) => rows) }
+  const maxPerSecond = (counterOf: (vm: DigestVm) => number): number => Math.max(...readers.map(counterOf)) / seconds
+  return { calls: maxPerSecond(({ calls }) => calls), rows: maxPerSecond(({ rows }) => rows) }
 }
 
 describe('digest of the heartbeat tables', function () {
@@ -57,11 +57,11 @@
     { name: 'all three publishers can read but not write', of: 3, fault: 'writesFail' },
     { name: 'the first publisher can write but not read', of: 1, fault: 'readsFail' }
   ]
-  for (const { name, of: count, fault: trouble } of faults) {
+  for (const { name, of: count, fault: publisherFault } of faults) {
     it(`reports a leaving target in time while ${name}`, async () => {
       const fleet = await startSettled(60)
       const faulty = fleet.publishers.slice(0, count)
-      for (const vm of faulty) vm.fault = trouble
+      for (const vm of faulty) vm.fault = publisherFault
       fleet.leave('t5')
       await fleet.time.run(LEAVING_DEADLINE_MS)
       const { readers } = fleet
@@ -92,11 +92,11 @@
 
   it('reports terminated VMs, first as overdue', async () => {
     const fleet = await startSettled(60)
-    const ended = fleet.readers.slice(0, 20)
-    for (const vm of ended) vm.fault = 'ended'
+    const terminated = fleet.readers.slice(0, 20)
+    for (const vm of terminated) vm.fault = 'ended'
     await fleet.time.run(6_500)
     const addresses = new Set(fleet.readers.flatMap(({ presence }) => presence.addresses({ caller: 'c' })))
-    expect(ended.filter(({ name }) => addresses.has(`${name}:1`))).to.have.length(0)
+    expect(terminated.filter(({ name }) => addresses.has(`${name}:1`))).to.have.length(0)
     await fleet.time.run(3_000)
     expect(new Set(fleet.readers.map(({ presence }) => presence.size))).to.deep.equal(new Set([40]))
   })
@@ -134,8 +134,8 @@
       const fleet = await startSettled(60)
       fleet.table.put(DIGEST_TABLE, key, value)
       await fleet.time.run(8_000)
-      const ended = fleet.readers.slice(0, 10)
-      for (const vm of ended) vm.fault = 'ended'
+      const terminated = fleet.readers.slice(0, 10)
+      for (const vm of terminated) vm.fault = 'ended'
       await fleet.time.run(10_000)
       expect(new Set(fleet.readers.map(({ presence, targets }) => `${presence.size} VMs, ${targets.size} targets`))).to.deep.equal(new Set([`50 VMs, ${TARGETS} targets`]))
       const { calls, rows } = await measureCost(fleet, 5)
--- a/packages/stand-ins/src/placement/placementChaos.spec.ts
+++ b/packages/stand-ins/src/placement/placementChaos.spec.ts
@@ -74,7 +74,7 @@
   const isHealed = harness.runUntilPlaced(HEAL_MS) < HEAL_MS
   const decided = new Set(harness.sent.filter(({ kind }) => kind !== 'role').map(({ orderId }) => orderId)).size
   return [
-    ...harness.harmful,
+    ...harness.harmfulUnloads,
     ...isHealed ? [] : ['the declared state was not reached'],
     ...decided > (steps.length + 2) * MAX_ORDERS_PER_FAULT ? [`${decided} orders`] : []
   ]
--- a/packages/stand-ins/src/placement/placementFaults.spec.ts
+++ b/packages/stand-ins/src/placement/placementFaults.spec.ts
@@ -13,9 +13,9 @@
 type HarnessOptions = Partial<PlacementHarnessOptions>
 
 /** Three domains with two runners each; all may serve the model. */
-function fleet (copies: number, more: object = {}): object {
+function fleet (copies: number, runnerFields: object = {}): object {
   const runners = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'].map((name, index) =>
-    [name, { address: `127.0.0.1:${7000 + index}`, domain: name.slice(0, 1), models: ['m'], ...more }])
+    [name, { address: `127.0.0.1:${7000 + index}`, domain: name.slice(0, 1), models: ['m'], ...runnerFields }])
   return { models: { m: { version: '1', copies } }, runners: Object.fromEntries(runners), limits: { placement: true } }
 }
 
@@ -80,14 +80,14 @@
       // The order to unload the surplus copy is in transit when the holder freezes.
       while (!harness.sent.some(({ kind }) => kind === 'unload')) harness.run(100)
       first!.isFrozen = true
-      const victim = harness.sent.at(-1)!.orderId.split('/')[2]!
-      const others = ['a1', 'b1', 'c1'].filter(name => name !== victim)
+      const unloadedRunner = harness.sent.at(-1)!.orderId.split('/')[2]!
+      const others = ['a1', 'b1', 'c1'].filter(name => name !== unloadedRunner)
       others.forEach(name => { harness.engine(name).crash(harness.now) })
       // The new holder relies on the copy that the late order unloads.
       harness.run(12_000)
       first!.isFrozen = false
       harness.run(2_000)
-      return harness.engine(victim).hasModel('m')
+      return harness.engine(unloadedRunner).hasModel('m')
     }
   },
   {
@@ -193,7 +193,7 @@
       const during = harness.servingDomains('m').join('')
       for (const name of ['a1', 'a2']) harness.engine(name).isCut = false
       harness.run(5 * MINUTE)
-      return during === 'bbc' && harness.servingDomains('m').join('') === 'abc' && harness.harmful.length === 0 && countLoads(harness) <= 6
+      return during === 'bbc' && harness.servingDomains('m').join('') === 'abc' && harness.harmfulUnloads.length === 0 && countLoads(harness) <= 6
     }
   },
   {
@@ -241,13 +241,13 @@
 }
 
 describe('placement under faults', () => {
-  for (const { fault, guarantee: promise, counterExample: weaker, weak: createFaulty, faultyOptions: weakPart, part: options, run } of cases) {
-    it(`${fault}: ${promise}`, () => {
+  for (const { fault, guarantee: guaranteeTitle, counterExample: faultyVariant, weak: createFaulty, faultyOptions: faultyHarnessOptions, part: options, run } of cases) {
+    it(`${fault}: ${guaranteeTitle}`, () => {
       expect(run(createHarness(() => new PlacementPlanner(), options))).to.equal(true)
     })
 
-    it(`${fault}: ${weaker} violates it (counter-example)`, () => {
-      expect(run(createHarness(createFaulty, { ...options, ...weakPart }))).to.equal(false)
+    it(`${fault}: ${faultyVariant} violates it (counter-example)`, () => {
+      expect(run(createHarness(createFaulty, { ...options, ...faultyHarnessOptions }))).to.equal(false)
     })
   }
 })
--- a/packages/stand-ins/src/placement/placementHarness.ts
+++ b/packages/stand-ins/src/placement/placementHarness.ts
@@ -31,14 +31,14 @@
   config: FleetConfig
   /** Orders other than fencing announcements, including repeated ones. */
   orders = 0
-  fenceOrders = 0
+  fencingAnnouncements = 0
   weightRefusals = 0
   /** Milliseconds with fewer serving copies than declared, summed over all models. */
   shortMs = 0
   /** Milliseconds without a serving copy, summed over all models. */
   absentMs = 0
   /** Unloads that left fewer copies than declared. */
-  readonly harmful: string[] = []
+  readonly harmfulUnloads: string[] = []
   /** All orders sent, including fencing announcements. */
   readonly sent: PlacementOrder[] = []
   private fencing = 0
@@ -90,7 +90,7 @@
   }
 
   recordOrder (order: PlacementOrder): void {
-    if (order.kind === 'role') this.fenceOrders += 1
+    if (order.kind === 'role') this.fencingAnnouncements += 1
     else this.orders += 1
     this.sent.push(order)
   }
@@ -157,7 +157,7 @@
     this.lease = { holder, renewedAt: this.now }
     holder.fencing = this.fencing
     holder.validUntil = this.now + LEASE_MS.holder
-    holder.feed({ kind: 'taken', fencing: this.fencing })
+    holder.dispatchEvent({ kind: 'taken', fencing: this.fencing })
   }
 
   private count (): void {
@@ -178,6 +178,6 @@
       return name !== runner && !isLongUnreachable && (engine.hasModel(model) || !engine.isReachable)
     })
     const wasEligible = recentConfigs.some(config => config.runners[runner]?.models.includes(model))
-    if (wasEligible && remaining.length < minDeclared) this.harmful.push(`${this.now}: ${orderId} left ${remaining.length} of ${minDeclared}`)
+    if (wasEligible && remaining.length < minDeclared) this.harmfulUnloads.push(`${this.now}: ${orderId} left ${remaining.length} of ${minDeclared}`)
   }
 }
--- a/packages/stand-ins/src/placement/simulatedHolder.ts
+++ b/packages/stand-ins/src/placement/simulatedHolder.ts
@@ -33,7 +33,7 @@
     return !this.options.checksLease || this.harness.now < this.validUntil
   }
 
-  feed (event: PlacementEvent): void {
+  dispatchEvent (event: PlacementEvent): void {
     const { now } = this.harness
     const at: Instant = { mono: now, wall: now }
     for (const action of this.planner.handle(event, at)) this.send(action)
@@ -42,53 +42,53 @@
   step (): void {
     if (this.isFrozen || this.harness.now < this.nextTickAt) return
     this.nextTickAt = this.harness.now + TICK_INTERVAL_MS
-    this.followConfig()
+    this.updateConfig()
     if (this.fencing !== undefined && !this.mayAct()) {
       this.fencing = undefined
-      this.feed({ kind: 'lost' })
+      this.dispatchEvent({ kind: 'lost' })
     }
     if (!this.mayAct()) return
     for (const runner of this.harness.engines.keys()) this.poll(runner)
-    this.feed({ kind: 'tick' })
+    this.dispatchEvent({ kind: 'tick' })
   }
 
-  private followConfig (): void {
+  private updateConfig (): void {
     const { config } = this.harness
     if (config === this.currentConfig) return
     this.currentConfig = config
-    this.feed({ kind: 'configured', config })
+    this.dispatchEvent({ kind: 'configured', config })
   }
 
   private poll (runner: string): void {
-    const { harness: world } = this
-    const engine = world.engines.get(runner)
+    const { harness: simulation } = this
+    const engine = simulation.engines.get(runner)
     if (engine === undefined || !engine.isReachable) return
-    const models = engine.report(world.now)
+    const models = engine.report(simulation.now)
     const leaving = engine.isLeaving
-    world.after(LATENCY_MS * 2, () => { this.whenAwake(() => { this.feed({ kind: 'reported', runner, models, leaving }) }) })
+    simulation.after(LATENCY_MS * 2, () => { this.whenThawed(() => { this.dispatchEvent({ kind: 'reported', runner, models, leaving }) }) })
   }
 
   private send ({ runner, order }: PlacementAction): void {
-    const { harness: world } = this
+    const { harness: simulation } = this
     if (!this.mayAct()) return
-    world.recordOrder(order)
-    const engine = world.engines.get(runner)
-    const answer = (outcome: Extract<PlacementEvent, { kind: 'answered' }>['outcome'], ms: number): void =>
-      world.after(ms, () => { this.whenAwake(() => { this.feed({ kind: 'answered', orderId: order.orderId, outcome }) }) })
-    if (engine === undefined || !engine.isReachable) return answer({ kind: 'notSent' }, LATENCY_MS)
-    world.after(LATENCY_MS, () => {
+    simulation.recordOrder(order)
+    const engine = simulation.engines.get(runner)
+    const deliverOutcome = (outcome: Extract<PlacementEvent, { kind: 'answered' }>['outcome'], ms: number): void =>
+      simulation.after(ms, () => { this.whenThawed(() => { this.dispatchEvent({ kind: 'answered', orderId: order.orderId, outcome }) }) })
+    if (engine === undefined || !engine.isReachable) return deliverOutcome({ kind: 'notSent' }, LATENCY_MS)
+    simulation.after(LATENCY_MS, () => {
       // Orders in transit from a frozen VM are delivered when it resumes.
-      this.whenAwake(() => {
-        if (engine.isDown) return answer({ kind: 'unknown' }, CALL_TIMEOUT_MS)
-        const outcome = engine.receive(order, world.now)
-        if (outcome.kind === 'refused' && outcome.retryAfterMs !== undefined) world.weightRefusals += 1
-        answer(outcome, outcome.kind === 'unknown' ? CALL_TIMEOUT_MS : LATENCY_MS)
+      this.whenThawed(() => {
+        if (engine.isDown) return deliverOutcome({ kind: 'unknown' }, CALL_TIMEOUT_MS)
+        const outcome = engine.receive(order, simulation.now)
+        if (outcome.kind === 'refused' && outcome.retryAfterMs !== undefined) simulation.weightRefusals += 1
+        deliverOutcome(outcome, outcome.kind === 'unknown' ? CALL_TIMEOUT_MS : LATENCY_MS)
       })
     })
   }
 
-  private whenAwake (run: () => void): void {
+  private whenThawed (run: () => void): void {
     if (!this.isFrozen) return run()
-    this.harness.after(TICK_INTERVAL_MS / 10, () => { this.whenAwake(run) })
+    this.harness.after(TICK_INTERVAL_MS / 10, () => { this.whenThawed(run) })
   }
 }
--- a/packages/stand-ins/src/weights/weightRoutes.ts
+++ b/packages/stand-ins/src/weights/weightRoutes.ts
@@ -19,19 +19,19 @@
 
 export function weightStoreDefinition (options: WeightOptions): StandInDefinition {
   const bucket = new TokenBucket(options.perMinute, options.burst)
-  const taken: Record<string, number> = {}
+  const fetchCounts: Record<string, number> = {}
   const serve = ({ params: [model = '', version = ''] }: HttpRequest): HttpAnswer => {
     const name = `${model}@${version}`
     if (options.sets.length > 0 && !options.sets.includes(name)) return { status: 404, body: { error: `no weights ${name}` } }
     const waitMs = bucket.tryAcquire(performance.now())
     if (waitMs > 0) return { status: 429, headers: { 'retry-after': String(Math.ceil(waitMs / 1000)) }, body: { error: 'rate limit exceeded' } }
-    taken[name] = (taken[name] ?? 0) + 1
+    fetchCounts[name] = (fetchCounts[name] ?? 0) + 1
     return { status: 200, body: { model, version, bytes: deriveSize(name) } }
   }
   return {
     routes: [{ method: 'GET', pattern: /^\/weights\/([^/]+)\/([^/]+)$/, serve }],
     history: new HistoryLog(),
-    state: () => ({ taken })
+    state: () => ({ taken: fetchCounts })
   }
 }
 
