--- a/packages/decisions/src/budget/budgetEntry.ts
+++ b/packages/decisions/src/budget/budgetEntry.ts
@@ -155,7 +155,7 @@
     return this.draw === undefined || elapsedMs(this.draw.since, now) < usableMs(this.policy)
   }
 
-  /** Whether demand does not exceed the fair share, so that a draw asks only for that. */
+  /** Whether demand does not exceed the fair share, so that a draw requests only that. */
   isFairShareOnly (now: Instant): boolean {
     return this.waiting.length === 0 && this.desired.isWithinFairShare(now.mono)
   }
--- a/packages/decisions/src/budget/budgetFairShare.spec.ts
+++ b/packages/decisions/src/budget/budgetFairShare.spec.ts
@@ -133,7 +133,7 @@
   const waits: ReadonlyArray<{ readonly name: string, readonly requestedAfterMs: number, readonly passedMs: number, readonly answer: string | undefined, readonly retryAfterMs?: number }> = [
     { name: 'refused in time, with the wait until its use is allowed', requestedAfterMs: 1_000, passedMs: 110, answer: 'budgetUnreported', retryAfterMs: 395 },
     { name: 'refused in time, with a shorter wait if that is long', requestedAfterMs: 0, passedMs: 110, answer: 'budgetUnreported', retryAfterMs: 500 },
-    { name: 'kept waiting if its use is allowed soon', requestedAfterMs: 1_440, passedMs: 40, answer: undefined },
+    { name: 'left waiting if its use is allowed soon', requestedAfterMs: 1_440, passedMs: 40, answer: undefined },
     { name: 'admitted once its use is allowed', requestedAfterMs: 1_440, passedMs: 100, answer: 'admit' }
   ]
   for (const { name, requestedAfterMs: askedAfter, passedMs: passed, answer, retryAfterMs } of waits) {
--- a/packages/decisions/src/budget/budgetTransfers.ts
+++ b/packages/decisions/src/budget/budgetTransfers.ts
@@ -71,7 +71,7 @@
     const retained = entry.desired.rate.perMs(now.mono) * this.policy.recallRetainMs
     const tokens = recallableTokens(entry.free, retained, event.atLeast ?? event.wanted)
     if (tokens === 0) return 0
-    // Delays the next draw, which would otherwise take back the tokens that another holder needs more.
+    // Delays the next draw, which would otherwise draw the tokens again although another holder needs them more.
     entry.nextDrawAt = Math.max(entry.nextDrawAt, now.mono + this.policy.emptyDrawPauseMs)
     entry.returning += tokens
     entry.level = Math.min(entry.level, Math.max(0, entry.free))
--- a/packages/decisions/src/budget/budgetTypes.ts
+++ b/packages/decisions/src/budget/budgetTypes.ts
@@ -225,5 +225,6 @@
    * @param now - both clocks, read when the event occurred
    */
   handle (event: BudgetEvent, now: Instant): readonly BudgetAction[]
+  /** State of all budgets at this holder. */
   views (): readonly BudgetView[]
 }
--- a/packages/decisions/src/budget/peerGrants.spec.ts
+++ b/packages/decisions/src/budget/peerGrants.spec.ts
@@ -171,7 +171,7 @@
     { name: 'any VM later, if peers granted too little', given: 0, retryAfterMs: 1_000 }
   ]
   for (const { name, given, retryAfterMs } of retries) {
-    it(`a request refused for lack of tokens is told to retry at ${name}`, () => {
+    it(`a request refused for lack of tokens is advised to retry at ${name}`, () => {
       const holder = new Holder('vm1~a', { otherVmRetryMs: 20 })
       holder.pass(600)
       const request = holder.reserve('r1', 90_000).find(action => action.kind === 'requestGrant')
--- a/packages/decisions/src/budget/rowSet.ts
+++ b/packages/decisions/src/budget/rowSet.ts
@@ -15,7 +15,7 @@
   readonly version: number | null
 }
 
-/** New value of a row. */
+/** New value of a row; null deletes it. */
 export interface PlanWrite extends PlanKey {
   readonly value: unknown
 }
@@ -57,7 +57,7 @@
     return this.rows.get(rowId({ table, key }))?.version ?? null
   }
 
-  /** Changes a row. */
+  /** Changes a row; null deletes it. */
   set (table: string, key: string, value: unknown): void {
     this.changes.set(rowId({ table, key }), { table, key, value })
   }
--- a/packages/decisions/src/config/configDecider.spec.ts
+++ b/packages/decisions/src/config/configDecider.spec.ts
@@ -50,7 +50,7 @@
 const appliedVersions = (decider: ConfigDecider, events: readonly ConfigEvent[]): number[] =>
   events.flatMap(event => decider.decide(event, now)).flatMap(action => action.kind === 'apply' ? [action.held.version] : [])
 
-describe('ConfigHolder', () => {
+describe('MonotonicConfigDecider', () => {
   const cases: readonly { name: string, events: ConfigEvent[], applied: number[] }[] = [
     { name: 'rows in order', events: [deliveredRows(1, 2), deliveredRows(3, 4)], applied: [2, 4] },
     { name: 'a late delivery that overlaps', events: [deliveredRows(1, 4), deliveredRows(2, 6)], applied: [4, 6] },
--- a/packages/decisions/src/gateway/gatewayConfig.ts
+++ b/packages/decisions/src/gateway/gatewayConfig.ts
@@ -29,7 +29,7 @@
   timeoutMs: milliseconds,
   /** Latency objective of the response, or of its first event if it is streamed. */
   objectiveMs: milliseconds,
-  /** Most targets tried for one request. */
+  /** Maximum targets tried for one request. */
   attempts: z.number().int().positive(),
   /** 0 is the most urgent. */
   priority: count,
@@ -42,9 +42,9 @@
 
 /** A group of targets that serve the same requests. */
 export const gatewayServiceSchema = z.object({
-  /** Most connections to one target, from all VMs together. */
+  /** Maximum connections to one target, from all VMs together. */
   maxConnections: count.optional(),
-  /** Most tokens in one event of a stream. */
+  /** Maximum tokens in one event of a stream. */
   tokensPerEvent: z.number().int().positive().default(1),
   /** Requests per second that a target handles from all VMs together while it warms up; unbounded if absent. */
   warmUpPerS: z.number().positive().optional()
--- a/packages/decisions/src/gateway/targetBalancer.spec.ts
+++ b/packages/decisions/src/gateway/targetBalancer.spec.ts
@@ -81,7 +81,7 @@
 ]
 
 describe('TargetBalancer', () => {
-  it('resets the state of a target that restarted under its id, but keeps its open requests', () => {
+  it('resets the state of a target that restarted under its id, but retains its open requests', () => {
     const balancer = new TargetBalancer()
     const [a, b] = [{ id: 'a', service: 's', address: 'a:1', domain: 'd', slots: 1, isLeaving: false }, { id: 'b', service: 's', address: 'b:1', domain: 'd', slots: 1, isLeaving: false }]
     const demand = { sharedParts: [], sharedTokens: 0, unsharedTokens: 1, exclude: new Set<string>() }
--- a/packages/decisions/src/gateway/targetLoad.ts
+++ b/packages/decisions/src/gateway/targetLoad.ts
@@ -8,13 +8,13 @@
 /** Bounds of an observed speed; values outside them do not come from prefill. */
 const MIN_TOKENS_PER_MS = 2
 const MAX_TOKENS_PER_MS = 1_000
-/** Weight of a new sample in the moving average: one slow response does not make a target slow, a handful does. */
+/** Weight of a new sample in the moving average: one slow response does not make a target slow, several do. */
 const SPEED_SAMPLE_WEIGHT = 0.2
 /** Samples with fewer tokens are ignored: their delay reflects the network and engine steps, not prefill. */
 const MIN_SAMPLE_TOKENS = 2_000
 /** Time for which a target is assumed to cache shared parts sent to it. */
 const CACHE_TTL_MS = 8_000
-/** Most cache entries remembered per target. */
+/** Maximum cache entries stored per target. */
 const MAX_CACHE_ENTRIES = 2_000
 
 /** A request that waits for its first event. */
--- a/packages/decisions/src/gateway/targetReports.spec.ts
+++ b/packages/decisions/src/gateway/targetReports.spec.ts
@@ -141,7 +141,7 @@
     isServing: false
   },
   {
-    name: 'is forgotten after a long absence',
+    name: 'loses its leaving report after a long absence',
     act: set => {
       set.replace([viewOf(WITHOUT_START)], 0)
       set.recordReport(WITHOUT_START, LEAVING, at(1))
--- a/packages/decisions/src/gateway/warmUpShare.ts
+++ b/packages/decisions/src/gateway/warmUpShare.ts
@@ -1,6 +1,6 @@
 /**
  * Limits what one VM sends to a target that warms up after its start: all VMs together may send only so many requests per second,
- * and more would terminate its process. Rendezvous hashing over the known VMs designates a few senders per target. Each of them
+ * and more would terminate its process. Rendezvous hashing over the current VMs designates a few senders per target. Each of them
  * paces its requests evenly and all others send none, so that the limit holds without communication and for partitioned VMs.
  *
  * Giving each VM an equal share of the rate instead lets short bursts exceed it. Requests that cannot use the target's cache
--- a/packages/decisions/src/lease/leaseTypes.ts
+++ b/packages/decisions/src/lease/leaseTypes.ts
@@ -74,7 +74,9 @@
 export type LeaseAction =
   | { readonly kind: 'read' }
   | { readonly kind: 'write', readonly checks: readonly LeaseRowCheck[], readonly writes: readonly LeaseRowWrite[] }
+  /** The lease was acquired, with a new fencing number. */
   | { readonly kind: 'taken', readonly fencing: number }
+  /** The lease expired, or the rows no longer name this process. */
   | { readonly kind: 'lost', readonly fencing: number }
   | { readonly kind: 'released' }
 
@@ -117,5 +119,6 @@
    * @param now - both clocks, read just before acting
    */
   leaseCheck (now: Instant): LeaseRowCheck | undefined
+  /** Holder id of this process. */
   holder (): HolderId
 }
--- a/packages/decisions/src/membership/advertisedVms.ts
+++ b/packages/decisions/src/membership/advertisedVms.ts
@@ -5,11 +5,11 @@
  */
 import { hashName, pairWeight } from '../routing/rendezvous.js'
 
-/** Most VMs in one response. */
+/** Maximum VMs in one response. */
 const MAX_ADVERTISED = 64
-/** VMs with capacity in the caller's domain from which on no others are advertised. */
+/** Minimum VMs with capacity in the caller's domain for which no VMs of other domains are advertised. */
 const MIN_DOMAIN_VMS = 8
-/** Share of the domain's VMs that must have capacity for that. */
+/** Minimum share of the domain's VMs that must have capacity for that. */
 const MIN_DOMAIN_SHARE = 0.5
 
 /** A VM that may be advertised. */
--- a/packages/decisions/src/membership/callerAddresses.ts
+++ b/packages/decisions/src/membership/callerAddresses.ts
@@ -1,12 +1,12 @@
 /**
  * Addresses of VMs for a caller: VMs of the local failure domain first, then those of the region, then the rest. Within each group
- * the order is random, weighted by capacity and load, so that simultaneous callers spread over the VMs. For a known team the order
- * within a group is the team's own, so that few VMs draw on each budget.
+ * the order is random, weighted by capacity and load, so that simultaneous callers spread over the VMs. If the team is known, the
+ * order within a group depends only on the team, except for busy VMs, so that few VMs draw on each budget.
  */
 import { HASH_RANGE, hashName, pairWeight } from '../routing/rendezvous.js'
 import type { MemberView } from './memberTypes.js'
 
-/** Most addresses in one response. */
+/** Maximum addresses in one response. */
 const MAX_ADDRESSES = 16
 /** A VM with more open requests than twice the mean plus this margin is busy and ranks lower in a team's order. */
 const BUSY_MARGIN = 8
--- a/packages/decisions/src/membership/localRow.ts
+++ b/packages/decisions/src/membership/localRow.ts
@@ -33,6 +33,7 @@
   /** @param renewMs - milliseconds between two renewals */
   constructor (private readonly holder: HolderId, private readonly renewMs: number) {}
 
+  /** Whether the table was last seen to store the row of this process. */
   get isRegistered (): boolean {
     return this.phase === 'registered'
   }
--- a/packages/decisions/src/membership/memberTable.ts
+++ b/packages/decisions/src/membership/memberTable.ts
@@ -1,6 +1,6 @@
 /**
  * Maintains this VM's view of the fleet and decides whom to notify. Heartbeats go to a bounded number of VMs whatever the size of
- * the fleet; their recipients detect silence, and later heartbeats spread what they find. A VM that learns that it is wrongly
+ * the fleet; their recipients detect silence, and later heartbeats propagate what they find. A VM that learns that it is wrongly
  * suspected sends a heartbeat at once.
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
--- a/packages/decisions/src/membership/memberTypes.ts
+++ b/packages/decisions/src/membership/memberTypes.ts
@@ -121,15 +121,15 @@
 export interface MemberLimits {
   /** Interval between two heartbeats. */
   readonly periodMs: number
-  /** A watched VM that is silent for this long is probed. */
+  /** A watched VM without a heartbeat for this long is probed. */
   readonly probeAfterMs: number
-  /** A watched VM that is silent for this long is suspected. */
+  /** A watched VM without a heartbeat for this long is suspected. */
   readonly suspectAfterMs: number
   /**
    * Any VM without a sign of life from any source for this long is suspected; grows with the fleet, faster than the scan period.
    */
   readonly staleAfterMs: number
-  /** A VM that is silent for this long gets no heartbeats. */
+  /** A VM without a sign of life for this long gets no heartbeats. */
   readonly forgetAfterMs: number
   /** A tick that is late by this much indicates a pause of the process. */
   readonly jumpMs: number
--- a/packages/decisions/src/membership/rowRequests.ts
+++ b/packages/decisions/src/membership/rowRequests.ts
@@ -4,7 +4,7 @@
  */
 import { elapsedMs, type Instant } from '../clock/clockTypes.js'
 
-/** Most rows in one request. */
+/** Maximum rows in one request. */
 const MAX_BATCH_ROWS = 50
 /** Delay before the row of a VM is requested again. */
 const REQUEST_AGAIN_MS = 5_000
--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -15,7 +15,7 @@
 /** Time between two expiry passes over all suspects. */
 const EXPIRY_INTERVAL_MS = 1_000
 
-/** Requests during which targets terminated, as known to one VM. Times are monotonic milliseconds. */
+/** Requests during which targets terminated, as one VM sees them. Times are monotonic milliseconds. */
 export class RequestQuarantine {
   private readonly suspects = new Map<string, SuspectRequest>()
   private lastExpiryAt = 0
--- a/packages/decisions/src/routing/retryBudget.ts
+++ b/packages/decisions/src/routing/retryBudget.ts
@@ -39,6 +39,7 @@
 
 /** Decides on retries from one budget for all requests of a VM. */
 export interface RetryDecider {
+  /** Credits the budget with the share of one request. */
   recordFirstAttempt (now: Instant): void
   /**
    * Decides on a failed attempt; an allowed retry is charged to the budget.
--- a/packages/decisions/src/routing/routingTypes.ts
+++ b/packages/decisions/src/routing/routingTypes.ts
@@ -94,5 +94,6 @@
    * @param random - returns a number in [0, 1); seeded in tests
    */
   route (req: RouteRequest, now: Instant, random: () => number): RouteDecision
+  /** Requests of this VM in flight at a runner. */
   inFlight (runner: string): number
 }
--- a/packages/decisions/src/routing/runnerLoad.ts
+++ b/packages/decisions/src/routing/runnerLoad.ts
@@ -1,6 +1,6 @@
 /**
- * Load of one runner as estimated by one VM: its own requests in flight, which it knows exactly, plus
- * those of other VMs from the runner's last report. The requests that the VM had in flight at report
+ * Load of one runner as estimated by one VM: its local requests in flight, counted exactly, plus those
+ * of other VMs from the runner's last report. The requests that the VM had in flight at report
  * time are subtracted from the report, so that none counts twice. The reported remote load loses
  * weight with age in favour of the mean of the fleet.
  */
--- a/packages/decisions/src/routing/targetHealth.ts
+++ b/packages/decisions/src/routing/targetHealth.ts
@@ -1,5 +1,5 @@
 /**
- * Circuit breaker and outlier ejection for one runner, as one VM sees it. Consecutive failures, a
+ * Circuit breaker and outlier ejection for one runner or target, as one VM sees it. Consecutive failures, a
  * high error rate or first tokens far slower than the median eject it for a time that doubles with
  * each ejection. Afterwards it gets a single probe, then a growing share of its usual load.
  */
@@ -15,7 +15,7 @@
 const BASE_EJECTION_MS = 2_000
 const MAX_EJECTION_MS = 60_000
 
-/** Time over which a returned runner ramps up to its full share. */
+/** Time over which a runner ramps up to its full share after an ejection. */
 const RAMP_UP_MS = 10_000
 
 /** Time without an ejection after which the ejection time starts again at its base. */
@@ -62,6 +62,7 @@
     else if (this.errors.count >= MIN_ERROR_RATE_SAMPLES && this.errors.mean >= MAX_ERROR_RATE) this.eject('error rate', mono)
   }
 
+  /** Ejects the runner, for twice as long as the last time; `reason` is shown to operators. */
   eject (reason: string, mono: number): void {
     const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** this.ejections)
     this.ejections += 1
