--- a/packages/decisions/src/budget/peerDemand.ts
+++ b/packages/decisions/src/budget/peerDemand.ts
@@ -2,7 +2,7 @@
  * Grant requests to an owner of a budget by holders that do not own it: the largest, and the last that could not be met in full.
  */
 
-/** Time within which a holder that was granted too little requests again: after 40 ms, and for half of its objective at most. */
+/** Time within which a holder that was granted too little requests again: it retries after 40 ms, for at most half of its objective. */
 const UNMET_REQUEST_MS = 200
 
 /** Demand of other holders for one budget. Times in monotonic milliseconds. */
--- a/packages/decisions/src/budget/recoveryRules.spec.ts
+++ b/packages/decisions/src/budget/recoveryRules.spec.ts
@@ -16,7 +16,7 @@
 
 describe('a holder and its successor', () => {
   for (const { name, others, ended } of successions) {
-    it(`${ended ? 'is terminated' : 'may be running'} with ${name}`, () => {
+    it(`${ended ? 'ended' : 'may be running'} with ${name}`, () => {
       expect(hasSuccessor(old.holder, [old, ...others])).to.equal(ended)
     })
   }
--- a/packages/decisions/src/membership/advertisedVms.ts
+++ b/packages/decisions/src/membership/advertisedVms.ts
@@ -7,7 +7,7 @@
 
 /** Maximum VMs in one response. */
 const MAX_ADVERTISED = 64
-/** Minimum VMs with capacity in the caller's domain for which no VMs of other domains are advertised. */
+/** With this many VMs with capacity in the caller's domain, no VMs of other domains are advertised. */
 const MIN_DOMAIN_VMS = 8
 /** Minimum share of the domain's VMs that must have capacity for that. */
 const MIN_DOMAIN_SHARE = 0.5
--- a/packages/decisions/src/membership/callerAddresses.ts
+++ b/packages/decisions/src/membership/callerAddresses.ts
@@ -1,7 +1,7 @@
 /**
  * Addresses of VMs for a caller: VMs of the local failure domain first, then those of the region, then the rest. Within each group
  * the order is random, weighted by capacity and load, so that simultaneous callers spread over the VMs. If the team is known, the
- * order within a group depends only on the team, except for busy VMs, so that few VMs draw on each budget.
+ * order within a group is the same for all its requests, except for busy VMs, so that few VMs draw on each budget.
  */
 import { HASH_RANGE, hashName, pairWeight } from '../routing/rendezvous.js'
 import type { MemberView } from './memberTypes.js'
--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -1,6 +1,6 @@
 /**
  * Stops forwarding requests that terminate the targets that run them. The count belongs to the request and not to a call, so it
- * survives calls, callers that move to another VM, and VMs. Updates are idempotent and commutative: every VM that applies the same
+ * outlives calls and VMs and follows callers that move to another VM. Updates are idempotent and commutative: every VM that applies the same
  * ones, in any order and more than once, reaches the same standing.
  */
 import {
--- a/packages/decisions/src/routing/targetHealth.ts
+++ b/packages/decisions/src/routing/targetHealth.ts
@@ -62,7 +62,7 @@
     else if (this.errors.count >= MIN_ERROR_RATE_SAMPLES && this.errors.mean >= MAX_ERROR_RATE) this.eject('error rate', mono)
   }
 
-  /** Ejects the runner, for twice as long as the last time; `reason` is shown to operators. */
+  /** Ejects the runner, each time for twice as long up to a maximum; `reason` is shown to operators. */
   eject (reason: string, mono: number): void {
     const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** this.ejections)
     this.ejections += 1
