--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -1,7 +1,7 @@
 /**
  * Stops forwarding requests that terminate the targets that run them. The count belongs to the request and not to a call, so it
- * outlives calls and VMs and follows callers that move to another VM. Updates are idempotent and commutative: every VM that applies the same
- * ones, in any order and more than once, reaches the same standing.
+ * outlives calls and VMs and follows callers that move to another VM. Updates are idempotent and commutative: every VM that applies
+ * the same ones, in any order and more than once, reaches the same standing.
  */
 import {
   type Clearance, type EndReport, type QuarantineUpdate, type RequestStanding, type SuspectView, type Verdict
