--- a/packages/decisions/src/quarantine/requestQuarantine.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.ts
@@ -1,7 +1,7 @@
 /**
  * Stops forwarding requests that terminate the targets that run them. The count belongs to the request and not to a call, so it
- * survives calls, callers that move to another VM, and VMs. Updates are idempotent and commutative: every VM that applies the same
- * ones, in any order and more than once, reaches the same standing.
+ * outlives calls and VMs and follows callers that move to another VM. Updates are idempotent and commutative: every VM that applies
+ * the same ones, in any order and more than once, reaches the same standing.
  */
 import {
   type Clearance, type EndReport, type QuarantineUpdate, type RequestStanding, type SuspectView, type Verdict
@@ -15,7 +15,7 @@
 /** Time between two expiry passes over all suspects. */
 const EXPIRY_INTERVAL_MS = 1_000
 
-/** Requests during which targets terminated, as known to one VM. Times are monotonic milliseconds. */
+/** Requests during which targets terminated, as one VM sees them. Times are monotonic milliseconds. */
 export class RequestQuarantine {
   private readonly suspects = new Map<string, SuspectRequest>()
   private lastExpiryAt = 0
