--- a/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
+++ b/packages/decisions/src/budget/budgetAfterTopUp.spec.ts
@@ -8,7 +8,7 @@
 
 const TICK_MS = 200
 /** Maximum delay until a top-up is noticed. */
-const TOP_UP_NOTICE_MS = 1_000
+const MAX_TOP_UP_DELAY_MS = 1_000
 const sentAt = { mono: 0, wall: 0 }
 
 const cases: ReadonlyArray<{ title: string, first: DrawOutcome, code: string }> = [
@@ -45,7 +45,7 @@
       reserve('r2')
       expect(results).to.deep.equal([code, code])
       outcome = { kind: 'granted', tokens: 10_000, left: 0, sentAt }
-      pass(TOP_UP_NOTICE_MS)
+      pass(MAX_TOP_UP_DELAY_MS)
       reserve('r3')
       expect(results).to.deep.equal([code, code, 'admit'])
     })
--- a/packages/decisions/src/budget/budgetEntry.ts
+++ b/packages/decisions/src/budget/budgetEntry.ts
@@ -42,7 +42,7 @@
   /** When a renewal was last queued. */
   renewalQueuedAt: Instant | undefined
   /** Whether the allotment was closed and the next draw must reopen it. */
-  reopen = false
+  mustReopen = false
   draw: OpenDraw | undefined
   round: AcquisitionRound | undefined
   shortage: Shortage | undefined
@@ -141,7 +141,7 @@
   /** Whether tokens may be reserved now: neither the local allotment nor a received transfer has expired. */
   isUsable (now: Instant): boolean {
     if (this.received.hasExpired(now)) return false
-    if (this.leaseStartedAt === undefined) return !this.received.isEmpty && !this.reopen
+    if (this.leaseStartedAt === undefined) return !this.received.isEmpty && !this.mustReopen
     return this.leaseLeftMs(now) > 0
   }
 
@@ -150,7 +150,7 @@
    * to a closed row cannot be recorded.
    */
   mayRequestTransfer (now: Instant): boolean {
-    if (this.reopen) return false
+    if (this.mustReopen) return false
     if (this.leaseStartedAt !== undefined) return this.leaseLeftMs(now) > 0
     return this.draw === undefined || elapsedMs(this.draw.since, now) < usableMs(this.policy)
   }
@@ -198,10 +198,10 @@
 
   /**
    * Adds a received transfer.
-   * @param askedAt - when it was requested
+   * @param requestedAt - when it was requested
    */
-  receive (transfer: Transfer, askedAt: Instant): void {
-    this.received.add(transfer, askedAt)
+  receive (transfer: Transfer, requestedAt: Instant): void {
+    this.received.add(transfer, requestedAt)
     this.held += transfer.tokens
     this.level = Math.max(0, this.free)
   }
@@ -237,7 +237,7 @@
     this.returning = 0
     this.level = 0
     this.leaseStartedAt = undefined
-    this.reopen = true
+    this.mustReopen = true
     this.received.clear()
   }
 
--- a/packages/decisions/src/budget/budgetFairShare.spec.ts
+++ b/packages/decisions/src/budget/budgetFairShare.spec.ts
@@ -86,7 +86,7 @@
         { table: budgetTables.budgets, key: 'b', version: 1, value: budget, updatedAt: 0 },
         held === 0 ? null : { table: budgetTables.allotments, key: 'b/vm1~a', version: 2, value: allotment, updatedAt: 0 }
       ])
-      const drawer = { holder: 'vm1~a', domain: 'd', holders: 6, shareDivisor: 1, evenPart: 1 }
+      const drawer = { holder: 'vm1~a', domain: 'd', holders: 6, shareDivisor: 1, fairShareRatio: 1 }
       const plan = planDraw(rows, { drawId: 'd1', budget: 'b', ...order }, drawer).unsafeCoerce()
       expect(plan.kind === 'write' ? plan.tokens : undefined).to.equal(granted)
     })
@@ -136,13 +136,13 @@
     { name: 'left waiting if its use is allowed soon', requestedAfterMs: 1_440, passedMs: 40, answer: undefined },
     { name: 'admitted once its use is allowed', requestedAfterMs: 1_440, passedMs: 100, answer: 'admit' }
   ]
-  for (const { name, requestedAfterMs: askedAfter, passedMs: passed, answer, retryAfterMs } of waits) {
+  for (const { name, requestedAfterMs, passedMs, answer, retryAfterMs } of waits) {
     it(`without the table, a request for more than the report allows is ${name}`, () => {
       const holder = new Holder().prepared(100_000)
       holder.sendLostFlush()
-      holder.pass(askedAfter)
+      holder.pass(requestedAfterMs)
       holder.reserve('r1', 10_100)
-      const actions = holder.pass(passed).filter(action => action.kind === 'refuse' || action.kind === 'admit')
+      const actions = holder.pass(passedMs).filter(action => action.kind === 'refuse' || action.kind === 'admit')
       expect(actions.map(action => action.kind === 'refuse' ? action.failure.code : action.kind)).to.deep.equal(answer === undefined ? [] : [answer])
       if (retryAfterMs !== undefined) expect(actions.flatMap(action => action.kind === 'refuse' ? action.failure.retryAfterMs : [])).to.deep.equal([retryAfterMs])
     })
--- a/packages/decisions/src/budget/budgetLedger.spec.ts
+++ b/packages/decisions/src/budget/budgetLedger.spec.ts
@@ -73,8 +73,8 @@
     const short: DrawOutcome = { kind: 'short', left: 0, elsewhere: 500, sentAt: { mono: 0, wall: 0 } }
     const requested = harness.answer(harness.reserve('r1', 100), short)
     expect(kinds(requested)).to.deep.equal(['requestTransfer'])
-    const give = requested.find(action => action.kind === 'requestTransfer')
-    const recalled = harness.send({ kind: 'transferAnswered', transferId: give?.transferId ?? '' })
+    const transferRequest = requested.find(action => action.kind === 'requestTransfer')
+    const recalled = harness.send({ kind: 'transferAnswered', transferId: transferRequest?.transferId ?? '' })
     expect(kinds(recalled)).to.deep.equal(['recall'])
     const recall = recalled.find(action => action.kind === 'recall')
     const redraw = harness.send({ kind: 'recallAnswered', recallId: recall?.recallId ?? '', returned: 0, unreachable: 500 })
@@ -121,9 +121,9 @@
     const request: BudgetEvent = { kind: 'transferRequested', transferId: 't1', budget: 'b', to: 'vm2~a', wanted: 300, atLeast: 300, sameDomain: true }
     expect(harness.send(request)).to.deep.equal(harness.send(request))
     expect(harness.ledger.view('b')).to.include({ held: 700 })
-    harness.send({ kind: 'transferAnswered', transferId: 't2', askedAt: { mono: 0, wall: 0 }, transfer: { transferId: 't2', budget: 'b', from: 'vm3~a', to: 'vm1~a', tokens: 500, validForMs: 1e6 } })
-    const [given] = harness.send({ ...request, transferId: 't3', wanted: 5000, atLeast: 5000 })
-    expect(given).to.nested.include({ 'transfer.tokens': 600 })
+    harness.send({ kind: 'transferAnswered', transferId: 't2', requestedAt: { mono: 0, wall: 0 }, transfer: { transferId: 't2', budget: 'b', from: 'vm3~a', to: 'vm1~a', tokens: 500, validForMs: 1e6 } })
+    const [capped] = harness.send({ ...request, transferId: 't3', wanted: 5000, atLeast: 5000 })
+    expect(capped).to.nested.include({ 'transfer.tokens': 600 })
   })
 
   it('stops spending a closed allotment and reports the tokens in doubt', () => {
--- a/packages/decisions/src/budget/budgetLedger.ts
+++ b/packages/decisions/src/budget/budgetLedger.ts
@@ -175,16 +175,16 @@
   }
 
   private transferAnswered (event: EventOf<'transferAnswered'>, now: Instant): readonly BudgetAction[] {
-    if (event.transfer !== undefined) return this.receive(event.transfer, event.askedAt ?? now, now)
+    if (event.transfer !== undefined) return this.receive(event.transfer, event.requestedAt ?? now, now)
     const entry = this.entries.byOperation(event.transferId)
     if (entry === undefined) return []
     this.supply.endStage(entry, event.transferId, now)
     return this.step(entry, now)
   }
 
-  private receive (transfer: Transfer, askedAt: Instant, now: Instant): readonly BudgetAction[] {
+  private receive (transfer: Transfer, requestedAt: Instant, now: Instant): readonly BudgetAction[] {
     const entry = this.entryOf(transfer.budget)
-    if (!this.transfers.receive(transfer, entry, askedAt, now)) return []
+    if (!this.transfers.receive(transfer, entry, requestedAt, now)) return []
     return this.step(entry, now)
   }
 
@@ -274,7 +274,7 @@
     if (entry === undefined) {
       entry = new BudgetEntry(budget, this.policy, () => this.owners.owns(this.holder, budget))
       entry.isRefilled = !this.draining
-      entry.reopen = this.maintenance.hadRow(budget)
+      entry.mustReopen = this.maintenance.hadRow(budget)
       this.entries.all.set(budget, entry)
     }
     return entry
--- a/packages/decisions/src/budget/budgetMaintenance.ts
+++ b/packages/decisions/src/budget/budgetMaintenance.ts
@@ -91,7 +91,7 @@
 
   private remove (entry: BudgetEntry): void {
     this.entries.delete(entry.budget)
-    if (entry.leaseStartedAt !== undefined || entry.reopen) this.removedBudgets.add(entry.budget)
+    if (entry.leaseStartedAt !== undefined || entry.mustReopen) this.removedBudgets.add(entry.budget)
   }
 
   private isRecent (entry: BudgetEntry, now: Instant): boolean {
--- a/packages/decisions/src/budget/budgetPlans.spec.ts
+++ b/packages/decisions/src/budget/budgetPlans.spec.ts
@@ -30,7 +30,7 @@
 
   draw (order: Partial<DrawRequest>, holder = 'vm1~a'): unknown {
     const whole = { drawId: 'd1', budget: 'b', tokens: 600, atLeast: 0, ...order }
-    const drawer = { holder, domain: 'd', holders: 2, shareDivisor: 1, evenPart: 0 }
+    const drawer = { holder, domain: 'd', holders: 2, shareDivisor: 1, fairShareRatio: 0 }
     return this.run(drawKeys(holder, whole.budget), rows => planDraw(rows, whole, drawer)).extract()
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Counterexample: a top-up without an operation id. */
-  topUpBlindly (tokens: number): void {
+  topUpWithoutId (tokens: number): void {
     this.run(topUpKeys('', 'b'), rows => applyTopUp(budgetOf(rows, 'b'), 'b', tokens).map(row => {
       putBudget(rows, row)
       return { kind: 'write' }
@@ -63,10 +63,10 @@
     const rows = new Rows()
     expect([rows.topUp('a', 10), rows.topUp('a', 10), rows.topUp('a', 11)]).to.deep.equal(['write', 'done', 'topUpConflict'])
     expect(rows.paid).to.equal(10)
-    const blind = new Rows()
-    blind.topUpBlindly(10)
-    blind.topUpBlindly(10)
-    expect(blind.paid).to.equal(20)
+    const rowsWithoutIds = new Rows()
+    rowsWithoutIds.topUpWithoutId(10)
+    rowsWithoutIds.topUpWithoutId(10)
+    expect(rowsWithoutIds.paid).to.equal(20)
   })
 
   const draws: ReadonlyArray<{ title: string, order: Partial<DrawRequest>, holder?: string, expected: object }> = [
--- a/packages/decisions/src/budget/budgetPlans.ts
+++ b/packages/decisions/src/budget/budgetPlans.ts
@@ -19,7 +19,7 @@
   readonly holders: number
   readonly shareDivisor: number
   /** See {@link BudgetPolicy}. */
-  readonly evenPart: number
+  readonly fairShareRatio: number
 }
 
 export interface DrawRequest {
@@ -98,12 +98,12 @@
 }
 
 /** A draw without demand requests any amount, but gets at most its fair share. */
-function usefulTokens ({ tokens, isFairShareOnly: onlyFairShare }: DrawRequest, budget: BudgetRow, drawer: Drawer): number {
-  return onlyFairShare === true ? fairShareOf(budget, drawer) : tokens
+function usefulTokens ({ tokens, isFairShareOnly }: DrawRequest, budget: BudgetRow, drawer: Drawer): number {
+  return isFairShareOnly === true ? fairShareOf(budget, drawer) : tokens
 }
 
-function fairShareOf ({ paid, spent }: BudgetRow, { holders, evenPart }: Drawer): number {
-  return fairShareTokens(paid - spent, holders, evenPart)
+function fairShareOf ({ paid, spent }: BudgetRow, { holders, fairShareRatio }: Drawer): number {
+  return fairShareTokens(paid - spent, holders, fairShareRatio)
 }
 
 /** Tokens that a holder may draw ahead of need. */
--- a/packages/decisions/src/budget/budgetRows.ts
+++ b/packages/decisions/src/budget/budgetRows.ts
@@ -124,14 +124,14 @@
 
 /** Records a transfer between two holders. */
 export function applyTransfer (pair: TransferPair, transfer: Transfer): Either<Failure, TransferPair> {
-  const { sender: giver, receiver } = pair
+  const { sender, receiver } = pair
   if (!isAmount(transfer.tokens)) return invalidAmount(transfer.tokens)
-  if (giver.state === 'closed') return closed(giver)
+  if (sender.state === 'closed') return closed(sender)
   if (receiver.state === 'closed') return closed(receiver)
-  if (giver.domain !== receiver.domain) return invariantViolation('transfer between different failure domains')
-  if (transfer.tokens > giver.held) return invariantViolation(`${giver.holder} transferred more than its allotment in ${giver.budget}`)
+  if (sender.domain !== receiver.domain) return invariantViolation('transfer between different failure domains')
+  if (transfer.tokens > sender.held) return invariantViolation(`${sender.holder} transferred more than its allotment in ${sender.budget}`)
   return Right({
-    sender: { ...giver, held: giver.held - transfer.tokens },
+    sender: { ...sender, held: sender.held - transfer.tokens },
     receiver: { ...receiver, held: receiver.held + transfer.tokens }
   })
 }
--- a/packages/decisions/src/budget/budgetSettlement.ts
+++ b/packages/decisions/src/budget/budgetSettlement.ts
@@ -192,6 +192,6 @@
 }
 
 /** A bill is limited to the reservation; an amount that is not a whole number costs the whole reservation. */
-function usedTokens ({ tokens }: Bill, { fromAllotment: own, fromGrants: given }: ReservedTokens): number {
-  return isAmount(tokens) ? Math.min(tokens, own + given) : own + given
+function usedTokens ({ tokens }: Bill, { fromAllotment, fromGrants }: ReservedTokens): number {
+  return isAmount(tokens) ? Math.min(tokens, fromAllotment + fromGrants) : fromAllotment + fromGrants
 }
--- a/packages/decisions/src/budget/budgetStep.ts
+++ b/packages/decisions/src/budget/budgetStep.ts
@@ -24,11 +24,11 @@
    * @param draining - whether free tokens are returned
    */
   process (entry: BudgetEntry, draining: boolean, now: Instant): readonly BudgetAction[] {
-    const { entries, supply, maintenance: upkeep, grants: gifts } = this.parts
-    if (entry.waiting.length > 0 && entry.held > 0 && !entry.isUsable(now)) upkeep.renew(entry, now)
-    const actions = [...supply.serve(entry, now), ...gifts.ask(entry, now)]
-    if (entry.waiting.some(item => item.tokens <= entry.free && item.tokens > entry.usable(now))) upkeep.report(entry, now)
-    if (draining) upkeep.returnFree(entry, 0, now)
+    const { entries, supply, maintenance, grants } = this.parts
+    if (entry.waiting.length > 0 && entry.held > 0 && !entry.isUsable(now)) maintenance.renew(entry, now)
+    const actions = [...supply.serve(entry, now), ...grants.ask(entry, now)]
+    if (entry.waiting.some(item => item.tokens <= entry.free && item.tokens > entry.usable(now))) maintenance.report(entry, now)
+    if (draining) maintenance.returnFree(entry, 0, now)
     entries.setPending(entry, this.isOpen(entry, now))
     return actions
   }
--- a/packages/decisions/src/budget/budgetSupply.ts
+++ b/packages/decisions/src/budget/budgetSupply.ts
@@ -83,7 +83,7 @@
   private applyGranted (entry: BudgetEntry, tokens: number, sentAt: Instant): void {
     entry.held += tokens
     entry.leaseStartedAt = sentAt
-    entry.reopen = false
+    entry.mustReopen = false
     entry.shortage = undefined
     entry.drawPauseMs = 0
     entry.roundPauseMs = 0
@@ -158,7 +158,7 @@
   private runStage (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     if (entry.round === undefined || entry.round.operationId !== undefined) return []
     const { stage } = entry.round
-    const { budget, deficit: need } = entry
+    const { budget, deficit } = entry
     if (stage === 'draw' || stage === 'redraw') {
       const actions = this.startDraw(entry, now)
       entry.round = { stage, operationId: entry.draw?.drawId ?? '' }
@@ -166,13 +166,13 @@
     }
     const operationId = this.nextId(stage)
     entry.round = { stage, operationId }
-    const wanted = Math.max(need, this.refillTokens(entry, now))
-    if (stage === 'give') return [{ kind: 'requestTransfer', transferId: operationId, budget, tokens: wanted, atLeast: need }]
-    return [{ kind: 'recall', recallId: operationId, budget, tokens: wanted, atLeast: need }]
+    const wanted = Math.max(deficit, this.refillTokens(entry, now))
+    if (stage === 'give') return [{ kind: 'requestTransfer', transferId: operationId, budget, tokens: wanted, atLeast: deficit }]
+    return [{ kind: 'recall', recallId: operationId, budget, tokens: wanted, atLeast: deficit }]
   }
 
   private startDraw (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
-    const { budget, deficit: atLeast, reopen } = entry
+    const { budget, deficit: atLeast, mustReopen: reopen } = entry
     const isUrgent = atLeast > 0
     // A draw ahead of need is sent again as urgent, under the same id, once requests wait for it.
     if (entry.draw?.inFlight === true && (entry.draw.isUrgent || !isUrgent)) return []
--- a/packages/decisions/src/budget/budgetTransfers.ts
+++ b/packages/decisions/src/budget/budgetTransfers.ts
@@ -56,12 +56,12 @@
 
   /**
    * Accepts a transfer once; false if it is a duplicate or its sender is fenced.
-   * @param askedAt - when the transfer was requested
+   * @param requestedAt - when the transfer was requested
    */
-  receive (transfer: Transfer, entry: BudgetEntry, askedAt: Instant, now: Instant): boolean {
+  receive (transfer: Transfer, entry: BudgetEntry, requestedAt: Instant, now: Instant): boolean {
     if (this.receivedAt.has(transfer.transferId) || this.isFenced(transfer.from, now)) return false
     this.receivedAt.set(transfer.transferId, now)
-    entry.receive(transfer, askedAt)
+    entry.receive(transfer, requestedAt)
     this.queue.addTransfer(transfer, now.mono)
     return true
   }
--- a/packages/decisions/src/budget/budgetTypes.ts
+++ b/packages/decisions/src/budget/budgetTypes.ts
@@ -133,7 +133,7 @@
   | { readonly kind: 'drawAnswered', readonly drawId: string, readonly outcome: DrawOutcome }
   | { readonly kind: 'flushAnswered', readonly seq: number, readonly outcome: FlushOutcome }
   | { readonly kind: 'transferRequested', readonly transferId: string, readonly budget: string, readonly to: string, readonly wanted: number, readonly atLeast?: number, readonly sameDomain: boolean, readonly isRepeat?: boolean }
-  | { readonly kind: 'transferAnswered', readonly transferId: string, readonly transfer?: Transfer, readonly askedAt?: Instant }
+  | { readonly kind: 'transferAnswered', readonly transferId: string, readonly transfer?: Transfer, readonly requestedAt?: Instant }
   | { readonly kind: 'recallRequested', readonly budget: string, readonly wanted: number, readonly atLeast?: number }
   | { readonly kind: 'recallAnswered', readonly recallId: string, readonly returned: number, readonly unreachable?: number }
   /** Another holder requests a grant; answered immediately by `answerGrant` with the same id. */
--- a/packages/decisions/src/budget/demandRate.spec.ts
+++ b/packages/decisions/src/budget/demandRate.spec.ts
@@ -14,14 +14,14 @@
 }
 
 describe('DemandRate', () => {
-  const cases: ReadonlyArray<{ readonly name: string, readonly ms: number, readonly isEarly: boolean, readonly least: number, readonly most: number }> = [
-    { name: 'starts from zero', ms: 1_500, isEarly: false, least: 3.5, most: 4.5 },
-    { name: 'converges to the demand after several windows', ms: 12_000, isEarly: false, least: 9.5, most: 10.5 },
-    { name: 'extrapolates a short history to the whole window', ms: 1_500, isEarly: true, least: 9.5, most: 10.5 },
-    { name: 'does not extrapolate a first request to a rate', ms: 0, isEarly: true, least: 0.1, most: 0.2 }
+  const cases: ReadonlyArray<{ readonly name: string, readonly ms: number, readonly extrapolates: boolean, readonly least: number, readonly most: number }> = [
+    { name: 'starts from zero', ms: 1_500, extrapolates: false, least: 3.5, most: 4.5 },
+    { name: 'converges to the demand after several windows', ms: 12_000, extrapolates: false, least: 9.5, most: 10.5 },
+    { name: 'extrapolates a short history to the whole window', ms: 1_500, extrapolates: true, least: 9.5, most: 10.5 },
+    { name: 'does not extrapolate a first request to a rate', ms: 0, extrapolates: true, least: 0.1, most: 0.2 }
   ]
-  for (const { name, ms, isEarly, least, most } of cases) {
-    it(name, () => { expect(steady(ms, isEarly).perMs(ms)).to.be.within(least, most) })
+  for (const { name, ms, extrapolates, least, most } of cases) {
+    it(name, () => { expect(steady(ms, extrapolates).perMs(ms)).to.be.within(least, most) })
   }
 
   it('is zero without demand', () => {
--- a/packages/decisions/src/budget/desiredAllotment.ts
+++ b/packages/decisions/src/budget/desiredAllotment.ts
@@ -70,9 +70,9 @@
 
   /** Fair share of this holder; the maximum before the first draw, when the unspent amount is unknown. */
   get fairShare (): number {
-    const { fleet, policy: { fairShareRatio: evenPart } } = this
-    if (evenPart === 0) return 0
-    return fleet === undefined ? MAX_TOKENS : fairShareTokens(fleet.paid - fleet.spent, fleet.holders, evenPart)
+    const { fleet, policy: { fairShareRatio } } = this
+    if (fairShareRatio === 0) return 0
+    return fleet === undefined ? MAX_TOKENS : fairShareTokens(fleet.paid - fleet.spent, fleet.holders, fairShareRatio)
   }
 
   /** With fair shares there is no minimum allotment in addition: it would lie idle at all holders without demand. */
--- a/packages/decisions/src/budget/peerGrants.spec.ts
+++ b/packages/decisions/src/budget/peerGrants.spec.ts
@@ -52,27 +52,27 @@
   }
 
   grant (tokens: number): number {
-    const gift = this.send({ kind: 'grantRequested', giftId: 'g', budget: 'b', tokens, to: 'other' }).find(action => action.kind === 'answerGrant')
-    return gift?.tokens ?? 0
+    const answer = this.send({ kind: 'grantRequested', giftId: 'g', budget: 'b', tokens, to: 'other' }).find(action => action.kind === 'answerGrant')
+    return answer?.tokens ?? 0
   }
 }
 
 const kinds = (actions: readonly BudgetAction[]): readonly string[] => actions.map(action => action.kind === 'refuse' ? action.failure.code : action.kind)
 
 describe('grants between holders', () => {
-  const grants: ReadonlyArray<{ readonly name: string, readonly prepare?: (holder: Holder) => void, readonly asked: number, readonly given: number }> = [
-    { name: 'the requested amount', asked: 3_000, given: 3_000 },
-    { name: 'no more than the last report allows', asked: 90_000, given: ALLOWED },
-    { name: 'only tokens that are not reserved', prepare: holder => { holder.reserve('own', 4_000) }, asked: 3_000, given: 1_000 },
-    { name: 'nothing while local requests wait', prepare: holder => { holder.reserve('own', 9_000) }, asked: 3_000, given: 0 },
-    { name: 'only tokens that were not granted before', prepare: holder => { holder.grant(4_500) }, asked: 3_000, given: 500 },
-    { name: 'nothing while draining', prepare: holder => { holder.send({ kind: 'drain' }) }, asked: 3_000, given: 0 }
+  const grants: ReadonlyArray<{ readonly name: string, readonly prepare?: (holder: Holder) => void, readonly asked: number, readonly granted: number }> = [
+    { name: 'the requested amount', asked: 3_000, granted: 3_000 },
+    { name: 'no more than the last report allows', asked: 90_000, granted: ALLOWED },
+    { name: 'only tokens that are not reserved', prepare: holder => { holder.reserve('local', 4_000) }, asked: 3_000, granted: 1_000 },
+    { name: 'nothing while local requests wait', prepare: holder => { holder.reserve('local', 9_000) }, asked: 3_000, granted: 0 },
+    { name: 'only tokens that were not granted before', prepare: holder => { holder.grant(4_500) }, asked: 3_000, granted: 500 },
+    { name: 'nothing while draining', prepare: holder => { holder.send({ kind: 'drain' }) }, asked: 3_000, granted: 0 }
   ]
-  for (const { name, prepare, asked, given } of grants) {
+  for (const { name, prepare, asked, granted } of grants) {
     it(`a holder grants ${name}`, () => {
       const holder = new Holder('vm1~a')
       prepare?.(holder)
-      expect(holder.grant(asked)).to.equal(given)
+      expect(holder.grant(asked)).to.equal(granted)
     })
   }
 
@@ -127,16 +127,16 @@
     expect(holder.ledger.view('b')).to.deep.include({ held: HELD, reserved: 0, unsettled: 0 })
   })
 
-  const drains: ReadonlyArray<{ readonly name: string, readonly silentMs: number, readonly purse: number, readonly left: readonly number[] }> = [
-    { name: 'nothing while the tokens can be returned to the table', silentMs: 0, purse: 0, left: [] },
-    { name: 'its usable tokens if the table is unresponsive', silentMs: 600, purse: 0, left: [ALLOWED] },
-    { name: 'granted tokens in any case', silentMs: 0, purse: 700, left: [700] }
+  const drains: ReadonlyArray<{ readonly name: string, readonly unresponsiveMs: number, readonly grantedBalance: number, readonly left: readonly number[] }> = [
+    { name: 'nothing while the tokens can be returned to the table', unresponsiveMs: 0, grantedBalance: 0, left: [] },
+    { name: 'its usable tokens if the table is unresponsive', unresponsiveMs: 600, grantedBalance: 0, left: [ALLOWED] },
+    { name: 'granted tokens in any case', unresponsiveMs: 0, grantedBalance: 700, left: [700] }
   ]
-  for (const { name, silentMs, purse, left } of drains) {
+  for (const { name, unresponsiveMs, grantedBalance, left } of drains) {
     it(`a draining holder hands over ${name}`, () => {
       const holder = new Holder('vm1~a')
-      if (purse > 0) holder.send({ kind: 'handoverReceived', budget: 'b', tokens: purse })
-      holder.pass(silentMs)
+      if (grantedBalance > 0) holder.send({ kind: 'handoverReceived', budget: 'b', tokens: grantedBalance })
+      holder.pass(unresponsiveMs)
       const handovers = holder.send({ kind: 'drain' }).filter(action => action.kind === 'handOver')
       expect(handovers.map(({ tokens }) => tokens)).to.deep.equal(left)
     })
@@ -166,16 +166,16 @@
     expect(kinds(holder.reserve('r2', 9_000))).to.not.include('admit')
   })
 
-  const retries: ReadonlyArray<{ readonly name: string, readonly given: number | undefined, readonly retryAfterMs: number }> = [
-    { name: 'another VM soon, if peers have not answered', given: undefined, retryAfterMs: 20 },
-    { name: 'any VM later, if peers granted too little', given: 0, retryAfterMs: 1_000 }
+  const retries: ReadonlyArray<{ readonly name: string, readonly granted: number | undefined, readonly retryAfterMs: number }> = [
+    { name: 'another VM soon, if peers have not answered', granted: undefined, retryAfterMs: 20 },
+    { name: 'any VM later, if peers granted too little', granted: 0, retryAfterMs: 1_000 }
   ]
-  for (const { name, given, retryAfterMs } of retries) {
+  for (const { name, granted, retryAfterMs } of retries) {
     it(`a request refused for lack of tokens is advised to retry at ${name}`, () => {
       const holder = new Holder('vm1~a', { otherVmRetryMs: 20 })
       holder.pass(600)
       const request = holder.reserve('r1', 90_000).find(action => action.kind === 'requestGrant')
-      const answered = given === undefined ? [] : holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: given, isReached: true })
+      const answered = granted === undefined ? [] : holder.send({ kind: 'grantAnswered', giftId: request?.giftId ?? '', budget: 'b', tokens: granted, isReached: true })
       const refused = [...answered, ...holder.pass(300)].find(action => action.kind === 'refuse')
       expect([refused?.failure.code, refused?.failure.retryAfterMs]).to.deep.equal(['budgetPending', retryAfterMs])
     })
@@ -195,21 +195,21 @@
    * within the amount that recovery would bill for the three.
    */
   it('no order of messages, losses and terminations spends a token twice', () => {
-    const step = fc.record({ holder: fc.nat(2), giver: fc.nat(2), tokens: fc.integer({ min: 1, max: 9_000 }), fate: fc.constantFrom('arrives', 'lost', 'answerLost', 'doubled', 'ends'), settles: fc.boolean() })
+    const step = fc.record({ holder: fc.nat(2), granter: fc.nat(2), tokens: fc.integer({ min: 1, max: 9_000 }), fate: fc.constantFrom('arrives', 'lost', 'answerLost', 'doubled', 'ends'), settles: fc.boolean() })
     fc.assert(fc.property(fc.array(step, { maxLength: 40 }), steps => {
       const holders = ['vm1~a', 'vm2~a', 'vm3~a'].map(name => new Holder(name))
       const ended = new Set<number>()
       let used = 0
-      steps.forEach(({ holder: index, giver, tokens, fate, settles }, number) => {
+      steps.forEach(({ holder: index, granter, tokens, fate, settles }, number) => {
         const holder = holders[index]!
         if (ended.has(index)) return
         const emitted = [...holder.reserve(`r${number}`, tokens), ...holder.pass(25)]
         used += admittedTokens(emitted, steps)
         const request = emitted.find(action => action.kind === 'requestGrant')
-        const isAnswered = request !== undefined && fate !== 'lost' && !ended.has(giver) && giver !== index
-        const given = isAnswered ? holders[giver]!.grant(request.tokens) : 0
+        const isAnswered = request !== undefined && fate !== 'lost' && !ended.has(granter) && granter !== index
+        const granted = isAnswered ? holders[granter]!.grant(request.tokens) : 0
         if (request !== undefined) {
-          const answer = { kind: 'grantAnswered' as const, giftId: request.giftId, budget: 'b', tokens: fate === 'answerLost' ? 0 : given, isReached: true }
+          const answer = { kind: 'grantAnswered' as const, giftId: request.giftId, budget: 'b', tokens: fate === 'answerLost' ? 0 : granted, isReached: true }
           const answers = fate === 'doubled' ? [answer, answer] : [answer]
           for (const event of answers) used += admittedTokens(holder.send(event), steps)
         }
--- a/packages/decisions/src/budget/peerGrants.ts
+++ b/packages/decisions/src/budget/peerGrants.ts
@@ -63,9 +63,9 @@
   /** Requests the tokens that waiting requests lack; one open request at a time. */
   ask (entry: BudgetEntry, now: Instant): readonly BudgetAction[] {
     const oldest = entry.waiting[0]
-    const { grantAfterMs: giftAfterMs } = this.policy
-    if (oldest === undefined || giftAfterMs === undefined || entry.grantRequestId !== undefined || now.mono < entry.nextGrantRequestAt) return []
-    if (entry.drawsAhead(now.mono) && !entry.isDrawFutile(now) && now.mono - oldest.since.mono < giftAfterMs) return []
+    const { grantAfterMs } = this.policy
+    if (oldest === undefined || grantAfterMs === undefined || entry.grantRequestId !== undefined || now.mono < entry.nextGrantRequestAt) return []
+    if (entry.drawsAhead(now.mono) && !entry.isDrawFutile(now) && now.mono - oldest.since.mono < grantAfterMs) return []
     const tokens = missingTokens(entry, now)
     if (tokens <= 0) return []
     this.requestCount += 1
--- a/packages/decisions/src/budget/receivedTransfers.ts
+++ b/packages/decisions/src/budget/receivedTransfers.ts
@@ -8,7 +8,7 @@
 interface ReceivedTransfer {
   readonly tokens: number
   readonly validForMs: number
-  readonly askedAt: Instant
+  readonly requestedAt: Instant
 }
 
 export class ReceivedTransfers {
@@ -26,9 +26,9 @@
     return sum
   }
 
-  /** @param askedAt - when the transfer was requested */
-  add ({ transferId, tokens, validForMs = 0 }: Transfer, askedAt: Instant): void {
-    this.open.set(transferId, { tokens, validForMs, askedAt })
+  /** @param requestedAt - when the transfer was requested */
+  add ({ transferId, tokens, validForMs = 0 }: Transfer, requestedAt: Instant): void {
+    this.open.set(transferId, { tokens, validForMs, requestedAt })
   }
 
   /** Removes a transfer and returns its tokens; 0 if it is not open. */
@@ -40,7 +40,7 @@
 
   /** Whether any open transfer has expired. */
   hasExpired (now: Instant): boolean {
-    return [...this.open.values()].some(item => elapsedMs(item.askedAt, now) >= item.validForMs)
+    return [...this.open.values()].some(item => elapsedMs(item.requestedAt, now) >= item.validForMs)
   }
 
   clear (): void {
--- a/packages/decisions/src/budget/recoveryRules.ts
+++ b/packages/decisions/src/budget/recoveryRules.ts
@@ -20,7 +20,7 @@
 
 /** Latest time of an entry `gone` in the platform's list, by VM. */
 export class TerminatedVms {
-  private readonly goneAt = new Map<string, number>()
+  private readonly terminatedAt = new Map<string, number>()
 
   /**
    * Records one answer of the list.
@@ -28,14 +28,14 @@
    */
   record (asOf: number, vms: ReadonlyArray<{ readonly vm: string, readonly state: string }>): void {
     for (const { vm, state } of vms) {
-      if (state === 'gone') this.goneAt.set(vm, Math.max(asOf, this.goneAt.get(vm) ?? 0))
+      if (state === 'gone') this.terminatedAt.set(vm, Math.max(asOf, this.terminatedAt.get(vm) ?? 0))
     }
   }
 
   /** Whether the platform terminated the VM of a holder after the holder registered. */
   proves (holder: RegisteredHolder): boolean {
-    const goneAt = this.goneAt.get(vmOf(holder.holder))
-    return goneAt !== undefined && goneAt > holder.registeredAt + LIST_CLOCK_MARGIN_MS
+    const terminatedAt = this.terminatedAt.get(vmOf(holder.holder))
+    return terminatedAt !== undefined && terminatedAt > holder.registeredAt + LIST_CLOCK_MARGIN_MS
   }
 }
 
--- a/packages/decisions/src/budget/reportBound.spec.ts
+++ b/packages/decisions/src/budget/reportBound.spec.ts
@@ -78,8 +78,8 @@
       const bounds = new ReportBounds()
       bounds.begin({ tokens, perMs, at: at(0) })
       const wait = bounds.untilCapacityMs(needed, inUse, 0, at(now))
-      const roomThen = bounds.capacity(inUse, 0, at(now + wait + 0.01))
-      return roomThen >= needed && (wait === 0 || bounds.capacity(inUse, 0, at(now + wait - 1)) < needed)
+      const capacityThen = bounds.capacity(inUse, 0, at(now + wait + 0.01))
+      return capacityThen >= needed && (wait === 0 || bounds.capacity(inUse, 0, at(now + wait - 1)) < needed)
     }), { seed: 12 })
   })
 
@@ -91,11 +91,11 @@
       bounds.send({ ...second, at: at(sentAfter) })
       const end = sentAfter + endsAfter
       const inUse = billed + Math.max(0, Math.floor(bounds.capacity(billed, billed, at(end))))
-      const known = isWritten ? { ...second, since: sentAfter } : { ...first, since: 0 }
+      const storedReport = isWritten ? { ...second, since: sentAfter } : { ...first, since: 0 }
       const unbilled = isWritten ? inUse - billed : inUse
       const allowed = allowedNow({ ...first, at: at(0) }, at(end)) >= billed
       const held = 1_000_000
-      return !allowed || unbilled <= maxUnreportedSpend(row({ held, report: known }), end)
+      return !allowed || unbilled <= maxUnreportedSpend(row({ held, report: storedReport }), end)
     }), { seed: 11 })
   })
 })
--- a/packages/decisions/src/budget/reportBound.ts
+++ b/packages/decisions/src/budget/reportBound.ts
@@ -57,10 +57,10 @@
 }
 
 /** Computes the allowance of a report. */
-export function allowanceOf ({ inUse, held, largestPeerRequest: largest, maxUnreported: most, unmetPeerTokens: unmet }: AllowanceInputs): ReportAllowance {
-  const unreported = Math.min(most, Math.max(held * UNREPORTED_RATIO, Math.min(held, largest)))
-  const atOnce = Math.max(unreported, Math.min(held, unmet))
-  return { tokens: Math.ceil(inUse + atOnce), perMs: held * GROWTH_RATIO_PER_S / MS_PER_SECOND }
+export function allowanceOf ({ inUse, held, largestPeerRequest, maxUnreported, unmetPeerTokens }: AllowanceInputs): ReportAllowance {
+  const unreported = Math.min(maxUnreported, Math.max(held * UNREPORTED_RATIO, Math.min(held, largestPeerRequest)))
+  const immediate = Math.max(unreported, Math.min(held, unmetPeerTokens))
+  return { tokens: Math.ceil(inUse + immediate), perMs: held * GROWTH_RATIO_PER_S / MS_PER_SECOND }
 }
 
 /**
--- a/packages/decisions/src/config/configPatch.spec.ts
+++ b/packages/decisions/src/config/configPatch.spec.ts
@@ -113,8 +113,8 @@
     const section = fc.dictionary(fc.string(), fc.jsonValue())
     fc.assert(fc.property(fc.dictionary(fc.string(), section), section, (document, other) => {
       const reversed = (value: object): object => Object.fromEntries(Object.entries(value).reverse())
-      const turned = Object.fromEntries(Object.entries(reversed(document)).map(([name, value]) => [name, reversed(value)]))
-      expect(documentDigest(turned)).to.equal(documentDigest(document))
+      const reordered = Object.fromEntries(Object.entries(reversed(document)).map(([name, value]) => [name, reversed(value)]))
+      expect(documentDigest(reordered)).to.equal(documentDigest(document))
       const same = canonicalJson({ a: other }) === canonicalJson(document)
       expect(documentDigest({ a: other }) === documentDigest(document)).to.equal(same)
     }), { seed: 7, numRuns: 200 })
--- a/packages/decisions/src/gateway/targetBalancer.spec.ts
+++ b/packages/decisions/src/gateway/targetBalancer.spec.ts
@@ -114,16 +114,16 @@
     expect([away.work, chosen(balancer, demand(), 5_000).work]).to.deep.equal([1_100, 100])
   })
 
-  const notificationCases: ReadonlyArray<{ readonly name: string, readonly demand: TargetDemand, readonly told: boolean }> = [
-    { name: 'of large requests', demand: demand({ unsharedTokens: 5_000 }), told: true },
-    { name: 'not of small requests at the home target', demand: demand(), told: false },
-    { name: 'not of requests without shared parts', demand: demand({ sharedParts: [], unsharedTokens: 5_000 }), told: false }
+  const notificationCases: ReadonlyArray<{ readonly name: string, readonly demand: TargetDemand, readonly isNotified: boolean }> = [
+    { name: 'of large requests', demand: demand({ unsharedTokens: 5_000 }), isNotified: true },
+    { name: 'not of small requests at the home target', demand: demand(), isNotified: false },
+    { name: 'not of requests without shared parts', demand: demand({ sharedParts: [], unsharedTokens: 5_000 }), isNotified: false }
   ]
-  for (const { name, demand: what, told } of notificationCases) {
+  for (const { name, demand: requestDemand, isNotified } of notificationCases) {
     it(`notifies peers ${name}`, () => {
       const balancer = new TargetBalancer()
-      const { notification } = balancer.sent(chosen(balancer, what), what.sharedParts, 0)
-      expect(notification !== undefined).to.equal(told)
+      const { notification } = balancer.sent(chosen(balancer, requestDemand), requestDemand.sharedParts, 0)
+      expect(notification !== undefined).to.equal(isNotified)
     })
   }
 
--- a/packages/decisions/src/lease/leaseHarness.fixture.ts
+++ b/packages/decisions/src/lease/leaseHarness.fixture.ts
@@ -114,11 +114,11 @@
   }
 
   runWithFaults (faults: readonly LeaseFault[], totalMs: number): void {
-    const ends = faults.flatMap(({ atMs, node, kind, forMs }) => [
+    const events = faults.flatMap(({ atMs, node, kind, forMs }) => [
       { at: atMs, run: () => this.startFault(this.nodes[node]!, kind, forMs) },
       { at: atMs + forMs, run: () => Object.assign(this.nodes[node]!, { paused: false, cut: false, monoRuns: true, wallRuns: true }) }
     ])
-    this.pending.push(...ends)
+    this.pending.push(...events)
     this.run(totalMs)
   }
 
--- a/packages/decisions/src/membership/callerAddresses.spec.ts
+++ b/packages/decisions/src/membership/callerAddresses.spec.ts
@@ -5,7 +5,7 @@
 import { addressesFor } from './callerAddresses.js'
 import type { MemberView } from './memberTypes.js'
 
-const place = { domain: 'd0', region: 'r' }
+const location = { domain: 'd0', region: 'r' }
 
 function member (index: number, over: Partial<MemberView> = {}): MemberView {
   const vm = `vm${index}`
@@ -13,7 +13,7 @@
 }
 
 function firstOf (members: readonly MemberView[], team: string): string {
-  return addressesFor(place, members, 1, () => { throw new Error('random() must not be called for a known team') }, team).addresses[0] ?? ''
+  return addressesFor(location, members, 1, () => { throw new Error('random() must not be called for a known team') }, team).addresses[0] ?? ''
 }
 
 const teams = Array.from({ length: 1_200 }, (_, index) => `team${index}`)
--- a/packages/decisions/src/membership/memberTable.spec.ts
+++ b/packages/decisions/src/membership/memberTable.spec.ts
@@ -189,8 +189,8 @@
     const before = fleet.messages
     fleet.run(8)
     expect((fleet.messages - before) / fleet.vms.length / 8).below(6)
-    const beats = fleet.vms[0]!.actions.flatMap(action => action.kind === 'beat' ? [action.heartbeat.news.length] : [])
-    expect(Math.max(...beats)).most(defaultMemberLimits.rumors + defaultMemberLimits.digest)
+    const updateCounts = fleet.vms[0]!.actions.flatMap(action => action.kind === 'beat' ? [action.heartbeat.news.length] : [])
+    expect(Math.max(...updateCounts)).most(defaultMemberLimits.rumors + defaultMemberLimits.digest)
   })
 
   it('the row of a terminated VM is retained for an hour, then deleted, and others stay', () => {
@@ -240,26 +240,26 @@
 })
 
 describe('addresses for callers', () => {
-  const place = { domain: 'quito', region: 'sierra' }
+  const location = { domain: 'quito', region: 'sierra' }
   const member = (vm: string, over: Partial<MemberView> = {}): MemberView => ({
     vm, holder: `${vm}~1`, domain: 'quito', region: 'sierra', callers: vm, operators: vm, peers: vm, state: 'live', configVersion: 1, capacity: 1, openRequests: 0, ageMs: 0, ...over
   })
   const cases = [
-    { title: 'local domain, then local region, then the rest', members: [member('far', { domain: 'hcm', region: 'south' }), member('near', { domain: 'cumbaya' }), member('own')], expected: ['own', 'near', 'far'] },
+    { title: 'local domain, then local region, then the rest', members: [member('far', { domain: 'hcm', region: 'south' }), member('near', { domain: 'cumbaya' }), member('local')], expected: ['local', 'near', 'far'] },
     { title: 'no leaving, suspected or terminated VMs', members: [member('a', { state: 'leaving' }), member('b', { state: 'suspected' }), member('c', { state: 'gone' }), member('d', { domain: 'cumbaya' })], expected: ['d'] },
     { title: 'the less loaded VM first at equal draws', members: [member('busy', { openRequests: 9 }), member('idle')], expected: ['idle', 'busy'] },
     { title: 'the larger VM first at equal draws', members: [member('small'), member('large', { capacity: 4 })], expected: ['large', 'small'] }
   ]
   for (const { title, members, expected } of cases) {
     it(title, () => {
-      expect(addressesFor(place, members, 9_000, () => 0.5)).deep.equal({ addresses: expected, keepMs: 9_000 })
+      expect(addressesFor(location, members, 9_000, () => 0.5)).deep.equal({ addresses: expected, keepMs: 9_000 })
     })
   }
 
   it('spreads callers by load', () => {
     const { random } = new MemberHarness()
     const members = [member('idle'), member('busy', { openRequests: 3 })]
-    const firsts = Array.from({ length: 4_000 }, () => addressesFor(place, members, 1, random).addresses[0])
+    const firsts = Array.from({ length: 4_000 }, () => addressesFor(location, members, 1, random).addresses[0])
     expect(firsts.filter(vm => vm === 'idle').length / firsts.length).within(0.77, 0.83)
   })
 })
--- a/packages/decisions/src/placement/pendingOrders.ts
+++ b/packages/decisions/src/placement/pendingOrders.ts
@@ -92,8 +92,8 @@
     this.refusals.clear()
   }
 
-  private retryMs ({ attempts: sendings }: PendingOrder): number {
-    return this.limits.retryMs * 2 ** Math.min(sendings - 1, this.limits.maxDoublings)
+  private retryMs ({ attempts }: PendingOrder): number {
+    return this.limits.retryMs * 2 ** Math.min(attempts - 1, this.limits.maxDoublings)
   }
 
   private refused (action: PlacementAction, outcome: PlacementOutcome, now: Instant): void {
--- a/packages/decisions/src/placement/placementPlanner.ts
+++ b/packages/decisions/src/placement/placementPlanner.ts
@@ -107,11 +107,11 @@
   private next (now: Instant): readonly PlacementAction[] {
     const { config, announcement } = this
     if (config === undefined || announcement === undefined || this.isLeaseInDoubt(now)) return []
-    const answering = this.reachableRunners(config, now)
-    const announcements = announcement.next(answering, now, runner => this.nextOrderId(announcement.fencing, runner))
-    if (!announcement.isDone(answering, now) || this.hasUnknownRunner(config, now)) return announcements
-    const wishes = this.proposeOrders(config, now)
-    return [...announcements, ...this.pendingOrders.expire(now), ...this.issueOrders(wishes, config, announcement.fencing, now)]
+    const reachable = this.reachableRunners(config, now)
+    const announcements = announcement.next(reachable, now, runner => this.nextOrderId(announcement.fencing, runner))
+    if (!announcement.isDone(reachable, now) || this.hasUnknownRunner(config, now)) return announcements
+    const proposals = this.proposeOrders(config, now)
+    return [...announcements, ...this.pendingOrders.expire(now), ...this.issueOrders(proposals, config, announcement.fencing, now)]
   }
 
   /**
--- a/packages/decisions/src/quarantine/requestQuarantine.spec.ts
+++ b/packages/decisions/src/quarantine/requestQuarantine.spec.ts
@@ -51,8 +51,8 @@
 
   it('returns each verdict once', () => {
     const requests = new RequestQuarantine()
-    const told = ['t1', 't2', 't3', 't4'].map(target => requests.apply(endReport(['a'], end(target)), 0).length)
-    expect(told).to.deep.equal([0, 0, 1, 0])
+    const verdictCounts = ['t1', 't2', 't3', 't4'].map(target => requests.apply(endReport(['a'], end(target)), 0).length)
+    expect(verdictCounts).to.deep.equal([0, 0, 1, 0])
   })
 
   it('clears a request that was answered, and publishes the clearance only when more than one end was reported', () => {
--- a/packages/decisions/src/routing/fairQueue.spec.ts
+++ b/packages/decisions/src/routing/fairQueue.spec.ts
@@ -43,15 +43,15 @@
   for (const { name, teams, turns, small, firstCome } of shares) {
     it(`${name}: the other team gets its ${small} of ${turns} turns, and fewer from a FIFO queue`, () => {
       const queue = new FairQueue<number>(1)
-      const weak = new FifoQueue()
+      const fifo = new FifoQueue()
       for (const [team, { count, ...rest }] of Object.entries(teams)) {
         for (let i = 0; i < count; i++) {
           queue.offer(item(team, rest), at(0))
-          weak.offer(item(team, rest))
+          fifo.offer(item(team, rest))
         }
       }
       expect(countOf(serveTeams(queue, turns), 'small')).to.be.within(small - 1, small + 1)
-      expect(countOf(serveTeams(weak, Math.min(turns, 20)), 'small')).to.equal(firstCome)
+      expect(countOf(serveTeams(fifo, Math.min(turns, 20)), 'small')).to.equal(firstCome)
     })
   }
 
@@ -94,11 +94,11 @@
     const late = item('b', { deadline: at(3_000) })
     queue.offer(late, at(0))
     expect(queue.expire(at(2_000))).to.deep.equal([])
-    expect(queue.expire(at(2_001)).map(({ item: gone, failure }) => [gone, failure.code])).to.deep.equal([[late, 'deadlineOutOfReach']])
+    expect(queue.expire(at(2_001)).map(({ item: expired, failure }) => [expired, failure.code])).to.deep.equal([[late, 'deadlineOutOfReach']])
     expect(queue.waiting).to.equal(0)
-    const weak = new FifoQueue()
-    weak.offer(late)
-    expect(weak.pop()).to.equal(late)
+    const fifo = new FifoQueue()
+    fifo.offer(late)
+    expect(fifo.pop()).to.equal(late)
   })
 
   it('tracks waiting and running over offer, pop, putBack, abandoned, remove and done', () => {
--- a/packages/decisions/src/routing/queueRefusal.ts
+++ b/packages/decisions/src/routing/queueRefusal.ts
@@ -27,11 +27,11 @@
  * @param state - the queue without the item
  */
 export function admissionFailure<T> (item: QueueItem<T>, state: QueueState, now: Instant): Failure | undefined {
-  const { teamInFlight, waiting, capacity, waitMs, teamStartIntervalMs: turnMs } = state
+  const { teamInFlight, waiting, capacity, waitMs, teamStartIntervalMs } = state
   if (teamInFlight >= item.maxInFlight) {
-    return new Failure('queueFull', `team ${item.team} has ${item.maxInFlight} requests waiting or running, which is its limit`, notRunExtras(turnMs))
+    return new Failure('queueFull', `team ${item.team} has ${item.maxInFlight} requests waiting or running, which is its limit`, notRunExtras(teamStartIntervalMs))
   }
-  if (waiting >= capacity) return new Failure('overloaded', `queue is full: ${capacity} requests are waiting`, notRunExtras(turnMs))
+  if (waiting >= capacity) return new Failure('overloaded', `queue is full: ${capacity} requests are waiting`, notRunExtras(teamStartIntervalMs))
   const slackMs = item.deadline.mono - now.mono - item.serviceMs
   if (slackMs < 0) return deadlineFailure('predicted service time exceeds the time left', -slackMs)
   if (waitMs <= slackMs * MAX_WAIT_SHARE) return undefined
--- a/packages/decisions/src/routing/routing.fixture.ts
+++ b/packages/decisions/src/routing/routing.fixture.ts
@@ -43,7 +43,7 @@
   readonly holders = new Map<string, string>()
   readonly left = new Set<string>()
 
-  constructor (readonly views: readonly RunnerView[], private readonly score: (weak: LowestScoreRouter, runner: string, req: RouteRequest) => number) {}
+  constructor (readonly views: readonly RunnerView[], private readonly score: (router: LowestScoreRouter, runner: string, req: RouteRequest) => number) {}
 
   observe (event: RouteEvent): void {
     if (event.kind === 'dispatched') this.counts.set(event.runner, this.inFlight(event.runner) + 1)
--- a/packages/decisions/src/routing/runnerRouter.spec.ts
+++ b/packages/decisions/src/routing/runnerRouter.spec.ts
@@ -63,7 +63,7 @@
   return shareOf(names, 'r0') <= 0.6
 }
 
-const count = (weak: LowestScoreRouter, runner: string): number => weak.inFlight(runner)
+const count = (router: LowestScoreRouter, runner: string): number => router.inFlight(runner)
 const views = runners(4)
 
 const faults: readonly FaultCase[] = [
@@ -75,10 +75,10 @@
 ]
 
 describe('RunnerRouter under faults', () => {
-  for (const { fault, faultyName: weaker, weak, holds } of faults) {
-    it(`${fault}: limits the requests to that runner, ${weaker} does not`, () => {
+  for (const { fault, faultyName, weak: createFaulty, holds } of faults) {
+    it(`${fault}: limits the requests to that runner, ${faultyName} does not`, () => {
       expect(holds(configuredRouter(views))).to.equal(true)
-      expect(holds(weak())).to.equal(false)
+      expect(holds(createFaulty())).to.equal(false)
     })
   }
 })
@@ -128,8 +128,8 @@
       const router = configuredRouter(views)
       events.forEach(event => { router.observe(event, at(1)) })
       if (then !== undefined) router.observe(then, at(60_000))
-      const standing = router.states(at(60_001)).find(({ runner }) => runner === 'r0')
-      expect({ state: standing?.state, reason: standing?.reason }).to.deep.equal(state)
+      const status = router.states(at(60_001)).find(({ runner }) => runner === 'r0')
+      expect({ state: status?.state, reason: status?.reason }).to.deep.equal(state)
     })
   }
 
@@ -145,18 +145,18 @@
 })
 
 describe('RunnerRouter and leaving runners', () => {
-  const cases: readonly { readonly source: string, readonly event: RouteEvent, readonly weakSees: boolean }[] = [
-    { source: 'the configuration', event: { kind: 'configured', model: MODEL, runners: views.map(view => ({ ...view, leaving: view.runner === 'r0' })) }, weakSees: false },
-    { source: 'a mark', event: { kind: 'leaving', runner: 'r0', source: 'config' }, weakSees: true },
-    { source: 'its response', event: { kind: 'leaving', runner: 'r0', source: 'runner' }, weakSees: false },
-    { source: 'its load report', event: report('r0', 0, 0, true), weakSees: false }
+  const cases: readonly { readonly source: string, readonly event: RouteEvent, readonly isSeenByFaulty: boolean }[] = [
+    { source: 'the configuration', event: { kind: 'configured', model: MODEL, runners: views.map(view => ({ ...view, leaving: view.runner === 'r0' })) }, isSeenByFaulty: false },
+    { source: 'a mark', event: { kind: 'leaving', runner: 'r0', source: 'config' }, isSeenByFaulty: true },
+    { source: 'its response', event: { kind: 'leaving', runner: 'r0', source: 'runner' }, isSeenByFaulty: false },
+    { source: 'its load report', event: report('r0', 0, 0, true), isSeenByFaulty: false }
   ]
   const receivesRequests = (router: RouteDecider): boolean =>
     repeat(50, (i, random) => serve(router, request({ requestId: `q${i}` }), 1_000 + i, random, () => healthy)).includes('r0')
 
-  for (const { source, event, weakSees } of cases) {
-    it(`sends nothing after ${source} marks it as leaving; a router that reads only marks sends ${weakSees ? 'nothing either' : 'requests'}`, () => {
-      for (const [router, expected] of [[configuredRouter(views), false], [new LowestScoreRouter(views, () => 0), !weakSees]] as const) {
+  for (const { source, event, isSeenByFaulty } of cases) {
+    it(`sends nothing after ${source} marks it as leaving; a router that reads only marks sends ${isSeenByFaulty ? 'nothing either' : 'requests'}`, () => {
+      for (const [router, expected] of [[configuredRouter(views), false], [new LowestScoreRouter(views, () => 0), !isSeenByFaulty]] as const) {
         router.observe(event, at(900))
         expect(receivesRequests(router)).to.equal(expected)
       }
@@ -251,9 +251,9 @@
   })
 
   it('a router without the check accepts a request that must miss its deadline', () => {
-    const weak = new LowestScoreRouter(views, count)
-    reportSlowRequests(weak)
-    expect(outcome(weak.route(request({ deadline: at(3_000) })))).to.match(/^r\d$/)
+    const faulty = new LowestScoreRouter(views, count)
+    reportSlowRequests(faulty)
+    expect(outcome(faulty.route(request({ deadline: at(3_000) })))).to.match(/^r\d$/)
   })
 })
 
--- a/packages/rosemaryspread/src/budget/drawExecutor.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -38,8 +38,8 @@
    * @param actions - at most one for each budget
    */
   async draw (actions: readonly DrawAction[]): Promise<readonly DrawOutcome[]> {
-    const { holder, domain, policy: { shareDivisor, fairShareRatio: evenPart } } = this.self
-    const drawer = { holder, domain, shareDivisor, evenPart, holders: this.self.holders() }
+    const { holder, domain, policy: { shareDivisor, fairShareRatio } } = this.self
+    const drawer = { holder, domain, shareDivisor, fairShareRatio, holders: this.self.holders() }
     const keys = actions.flatMap(action => drawKeys(holder, action.budget))
     const ids = actions.map(action => action.drawId)
     for (const id of ids) this.since.record(id, this.table.tableNow)
--- a/packages/rosemaryspread/src/budget/transferRequester.ts
+++ b/packages/rosemaryspread/src/budget/transferRequester.ts
@@ -83,7 +83,7 @@
     const isOpen = allotment !== null && allotment !== undefined && allotmentRowSchema.parse(allotment.value).state === 'open'
     if ((recorded === null || recorded === undefined) && isOpen) return
     if (!this.open.delete(transferId) || recorded === null || recorded === undefined) return
-    this.parts.dispatch({ kind: 'transferAnswered', transferId, transfer: transferSchema.parse(recorded.value), askedAt: requestedAt })
+    this.parts.dispatch({ kind: 'transferAnswered', transferId, transfer: transferSchema.parse(recorded.value), requestedAt })
   }
 
   /** Whether no request is pending. */
@@ -117,7 +117,7 @@
     this.open.delete(item.ask.transferId)
     const { transfer } = answer.unsafeCoerce()
     if (transfer === undefined || transfer.transferId !== item.ask.transferId || transfer.to !== this.parts.holder) return 0
-    this.parts.dispatch({ kind: 'transferAnswered', transferId: transfer.transferId, transfer, askedAt: requestedAt })
+    this.parts.dispatch({ kind: 'transferAnswered', transferId: transfer.transferId, transfer, requestedAt })
     return transfer.tokens
   }
 
