--- a/packages/rosemaryspread/src/budget/budgetDriver.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriver.ts
@@ -26,8 +26,9 @@
 import { OpenReservations } from './openReservations.js'
 
 /**
- * Key hashed to choose the VMs that recover terminated holders. If all 60 VMs of a fleet did it, each pass would read the
- * holders and places of the whole fleet and, after all had terminated at once, the holdings of each holder 60 times.
+ * Key hashed to choose the VMs that recover terminated holders. If all 60 VMs of a fleet did this, each of their passes
+ * would read the holders and places of the whole fleet, and after a restart of the fleet the holdings of each holder
+ * would be read 60 times.
  */
 const RECOVERY_ROLE_KEY = 'recovery of ended holders'
 
--- a/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
+++ b/packages/rosemaryspread/src/budget/budgetDriverTypes.ts
@@ -21,6 +21,7 @@
 
 /** Requests grants from other holders: tokens that can be used at once. */
 export interface GrantRequester {
+  /** Requests tokens from other holders until enough is granted; `tokens` is the amount lacking. */
   ask (giftId: string, budget: string, tokens: number): Promise<GrantOutcome>
   /** Opens a link to an owner of a budget ahead of demand. */
   connectOwner (budget: string): Promise<void>
@@ -52,6 +53,7 @@
   readonly declared?: (budget: string) => DeclaredPaid | undefined
 }
 
+/** Totals since the start of the process. */
 export interface BudgetCounters {
   reserved: number
   refused: number
--- a/packages/rosemaryspread/src/budget/budgetRecovery.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecovery.ts
@@ -35,7 +35,7 @@
   /**
    * Bills that are owed; fails while that is not certain.
    * @param owners - terminated holders
-   * @param wall - current time of the table service in milliseconds
+   * @param wall - milliseconds of the table's clock
    */
   unbilled (budget: string, owners: readonly RunOwner[], wall: number): Promise<Either<Failure, readonly OwedBill[]>>
 }
--- a/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecoveryRuns.ts
@@ -84,7 +84,7 @@
   /**
    * Unbilled runs of terminated holders for one budget. Fails while a runner cannot be queried or a run has not finished.
    * @param owners - terminated holders
-   * @param wall - current time of the table service in milliseconds
+   * @param wall - milliseconds of the table's clock
    */
   async unbilled (budget: string, owners: readonly RunOwner[], wall: number): Promise<Either<Failure, readonly OwedBill[]>> {
     const owed: OwedBill[] = []
--- a/packages/rosemaryspread/src/budget/budgetRegistry.ts
+++ b/packages/rosemaryspread/src/budget/budgetRegistry.ts
@@ -116,6 +116,7 @@
     await this.table.store.transact({ checks: [{ ...holderRow, version }], writes: [{ ...holderRow, value: null }, { table: budgetTables.places, key: holder, value: null }] })
   }
 
+  /** All registered holders of all failure domains. */
   async all (): Promise<Either<Failure, readonly HolderAtVersion[]>> {
     const scan = await scanAll(this.table.store, budgetTables.holders, '').run()
     return scan.map(({ rows }) => rows.map(row => ({ ...holderRowSchema.parse(row.value), registeredAt: row.updatedAt, version: row.version })))
--- a/packages/rosemaryspread/src/budget/budgetSurvey.ts
+++ b/packages/rosemaryspread/src/budget/budgetSurvey.ts
@@ -13,6 +13,7 @@
   readonly row: AllotmentRow
   readonly version: number
   readonly updatedAt: number
+  /** Milliseconds since the row was written, by the table's clock. */
   readonly ageMs: number
 }
 
@@ -45,6 +46,7 @@
   })
 }
 
+/** Reads a budget and the allotments of all its holders; the reads are not one transaction. */
 export async function surveyBudget (store: TableStore, budget: string): Promise<Either<Failure, BudgetSurvey>> {
   return await EitherAsync<Failure, BudgetSurvey>(async ({ fromPromise }) => {
     const read = await fromPromise(store.read([{ table: budgetTables.budgets, key: budget }]))
--- a/packages/rosemaryspread/src/budget/drawQueue.ts
+++ b/packages/rosemaryspread/src/budget/drawQueue.ts
@@ -12,7 +12,7 @@
   private oldest: Instant | undefined
 
   /**
-   * @param policy - `flushMs`: how long a draw ahead of demand waits; `drawsAtOnce`: draws of one transaction, each of
+   * @param policy - `flushMs`: how long a draw ahead of demand waits; `maxDrawsPerTransaction`: draws of one transaction, each of
    * which reads two rows and writes up to four
    */
   constructor (private readonly policy: Pick<BudgetPolicy, 'flushMs' | 'maxDrawsPerTransaction'>) {}
--- a/packages/rosemaryspread/src/budget/duplicateRuns.ts
+++ b/packages/rosemaryspread/src/budget/duplicateRuns.ts
@@ -16,7 +16,7 @@
   /**
    * Whether another holder ran the same request at an earlier runner. Fails while an earlier runner cannot be queried.
    * @param record - a run of a terminated holder
-   * @param wall - current wall clock time in milliseconds
+   * @param wall - milliseconds of the table's clock
    */
   async isBilledToOtherHolder (record: RunRecord, runner: string, wall: number): Promise<Either<Failure, boolean>> {
     const earlier = this.earlierRunners(record, runner, wall)
--- a/packages/rosemaryspread/src/budget/openReservations.ts
+++ b/packages/rosemaryspread/src/budget/openReservations.ts
@@ -19,14 +19,17 @@
   /** @param holder - holder id, used as a prefix of reservation ids */
   constructor (private readonly holder: string) {}
 
+  /** Whether any reservation is open. */
   get isWaiting (): boolean {
     return this.open.size > 0
   }
 
+  /** Reservations admitted since the start. */
   get reserved (): number {
     return this.admittedCount
   }
 
+  /** Reservations refused since the start. */
   get refused (): number {
     return this.refusedCount
   }
--- a/packages/rosemaryspread/src/budget/transferRequester.ts
+++ b/packages/rosemaryspread/src/budget/transferRequester.ts
@@ -1,6 +1,6 @@
 /**
  * Requests tokens from other holders: transfers within the failure domain, and recalls from all domains. A request whose
- * response was lost is repeated under the same id until its outcome is known, so that granted tokens are not stranded.
+ * response was lost is repeated under the same id until its outcome is known, so that granted tokens are not lost.
  */
 import type { Either } from 'purify-ts'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
--- a/packages/rosemaryspread/src/config/configPropagation.ts
+++ b/packages/rosemaryspread/src/config/configPropagation.ts
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Serves {@link PUSH_METHOD}. A process without a version in force ignores pushes and takes its first from
+   * Serves {@link PUSH_METHOD}. A process without a version in force ignores pushes and gets its first from
    * `load` or a poll, as the sender may be behind what an earlier process of this VM had in force.
    * @param params - version, digest and address of the sender
    */
--- a/packages/rosemaryspread/src/config/configReader.ts
+++ b/packages/rosemaryspread/src/config/configReader.ts
@@ -35,6 +35,10 @@
    */
   constructor (private readonly table: TableStore, private readonly initial: VersionRef) {}
 
+  /**
+   * Reads which version is current.
+   * @param table - a {@link ConfirmedTable} where a lagging replica must not answer
+   */
   async current (table: TableStore): Promise<Either<Failure, VersionRef>> {
     const answer = await table.read([currentKey])
     return answer.chain(({ rows }) => this.parseCurrentRow(rows[0] ?? null))
@@ -101,9 +105,9 @@
 }
 
 /**
- * A table whose reads are confirmed by a transaction that only checks the row versions read. It is decided
- * where writes are, so no lagging replica can answer it. This costs one more call, which is acceptable for
- * patches.
+ * A table whose reads are confirmed by a transaction that only checks the versions of the rows read. Transactions
+ * are decided where writes are, so no lagging replica can confirm a read. This costs one more call, which is
+ * acceptable for patches.
  */
 export class ConfirmedTable implements TableStore {
   constructor (private readonly table: TableStore, private readonly pause: (ms: number) => Promise<void>) {}
--- a/packages/rosemaryspread/src/config/configSnapshots.ts
+++ b/packages/rosemaryspread/src/config/configSnapshots.ts
@@ -11,7 +11,7 @@
 import type { ObjectStore } from '@rosemaryspread/infra/objects/objectTypes.js'
 import type { z } from 'zod'
 
-/** Delta objects fetched at once. */
+/** Delta objects fetched in parallel. */
 const DELTA_BATCH_SIZE = 8
 /** Versions that the newest snapshot may lag before any VM writes a newer one. */
 const MAX_SNAPSHOT_LAG_VERSIONS = 2 * SNAPSHOT_INTERVAL_VERSIONS
--- a/packages/rosemaryspread/src/gateway/budgetDriverFactory.spec.ts
+++ b/packages/rosemaryspread/src/gateway/budgetDriverFactory.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against double spending after a suspension. Other VMs recover the tokens of a VM after a minute
- * without a sign of life, so a VM that resumes later must not use them before it has reached the table
+ * Guards against double spending after a suspension. Other VMs recover the tokens of a VM that has been
+ * unresponsive for a minute, so a VM that resumes later must not use them before it has reached the table
  * again.
  */
 import { expect } from 'chai'
--- a/packages/rosemaryspread/src/gateway/callTypes.ts
+++ b/packages/rosemaryspread/src/gateway/callTypes.ts
@@ -77,6 +77,7 @@
   end (): void
   /** Ends a stream such that the caller can detect that it is incomplete. */
   cut (): void
+  /** Sends a failure as the answer; only while nothing was sent. */
   refuse (failure: Failure): void
 }
 
@@ -149,6 +150,7 @@
   endPrefill (choice: TargetChoice, ticket: number, isAnswered: boolean): void
   /** Records the state that the target sent with its answer. */
   recordReport (choice: TargetChoice, report: TargetReport): void
+  /** Records the end of the attempt; called once for each {@link sent}. */
   ended (choice: TargetChoice, verdict: TargetVerdict): void
 }
 
--- a/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayConfigHolder.ts
@@ -1,6 +1,6 @@
 /**
  * The current configuration of the gateway. Its version only increases during the life of a process;
- * budgets are notified of changed amounts of prepaid teams.
+ * listeners are notified when the amount paid by a team changes.
  */
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
 import type { DeclaredPaid } from '@rosemaryspread/decisions/budget/budgetTypes.js'
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The pipeline over fakes: which targets a call is sent to, what its caller receives, and what is billed.
+ * Guards against calls that are repeated where they must not be, answered more than once, or billed wrongly.
  */
 import { expect } from 'chai'
 import { Left, Right, type Either } from 'purify-ts'
--- a/packages/rosemaryspread/src/gateway/gatewayRetries.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayRetries.ts
@@ -15,7 +15,7 @@
   readonly windowMs: number
 }
 
-/** Share of the allowance that is used: a VM may join before all others know of it. */
+/** Share of the allowance that is used: a VM may join before all others have learned of it. */
 const USED_RATIO = 0.8
 /** Share of the fixed allowance that may be used at once; the rest accrues evenly over the window. */
 const BURST_RATIO = 0.5
--- a/packages/rosemaryspread/src/gateway/gatewayTargets.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTargets.ts
@@ -114,7 +114,7 @@
     this.set.registerFailed(this.mono)
   }
 
-  /** To be called several times a second. */
+  /** Updates states that depend on time; to be called several times a second. */
   tick (): void {
     this.set.tick(this.mono)
   }
@@ -133,7 +133,7 @@
     }
     const leftMs = view.warmUpMs ?? 0
     if (isPlausibleWarmUp(leftMs)) balancer.updateWarmUp(view.id, leftMs, this.mono)
-    else this.malformedEntries.logOnce(view.id, `implausible warm-up time of ${leftMs} ms; keeping the previous value`)
+    else this.malformedEntries.logOnce(view.id, `implausible warm-up time of ${leftMs} ms; the previous value remains`)
   }
 
   private logEvacuations (changes: readonly EvacuationChange[]): void {
--- a/packages/rosemaryspread/src/gateway/gatewayTypes.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayTypes.ts
@@ -22,6 +22,7 @@
 
 /** Targets by service. */
 export interface TargetDirectory {
+  /** Targets of a service that accept new work, and the remaining pauses of those that paused this VM. */
   available (service: string): AvailableTargets
   /** Whether a service has targets that would accept new work, all of them in evacuated failure domains. */
   isEvacuated (service: string): boolean
--- a/packages/rosemaryspread/src/gateway/ingressMonitor.ts
+++ b/packages/rosemaryspread/src/gateway/ingressMonitor.ts
@@ -1,7 +1,7 @@
 /**
  * Detects overload at the ingress of a VM. Node accepts one new connection in each turn of the event loop,
- * so about as many accepted connections as turns mean that further ones wait in the backlog, which a
- * process cannot see otherwise.
+ * so about as many accepted connections as turns mean that further ones wait in the listen backlog, whose
+ * length a process cannot read.
  */
 import { performance } from 'node:perf_hooks'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
--- a/packages/rosemaryspread/src/placement/placementDriver.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Placement sends orders only under a lease that is confirmed right before each order.
+ * Guards against orders sent after the lease was lost: it must be checked right before each order.
  */
 import { expect } from 'chai'
 import { Just, Left, Right, type Either } from 'purify-ts'
--- a/packages/rosemaryspread/src/placement/reportScheduler.ts
+++ b/packages/rosemaryspread/src/placement/reportScheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the runners to poll for a load report, least recently polled first. A few more are polled early: runners
- * that got an order, to see its effect soon, and runners that missed a poll, so that one lost response is not
- * taken for a failure.
+ * that got an order, to see its effect soon, and runners that missed a poll, so that one lost response does
+ * not count as a failure.
  */
 import { REPORTS_PER_ROUND } from '@rosemaryspread/decisions/placement/reportInterval.js'
 
--- a/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
@@ -11,7 +11,7 @@
  * within 0.2 s of running such a request.
  */
 const ATTRIBUTION_WINDOW_MS = 1_000
-/** Calls remembered: more than all VMs of a small fleet have open. */
+/** Maximum number of stored calls: more than all VMs of a small fleet have open. */
 const MAX_CALLS = 1_000
 
 type Process = Pick<TargetView, 'id' | 'startedAt'>
@@ -33,7 +33,7 @@
   private calls: AbandonedCall[] = []
 
   /**
-   * Remembers an abandoned call.
+   * Stores an abandoned call.
    * @param target - where it may have run
    */
   add (call: CallIdentity, target: Process, mono: number): void {
--- a/packages/rosemaryspread/src/quarantine/answeredRequests.ts
+++ b/packages/rosemaryspread/src/quarantine/answeredRequests.ts
@@ -1,23 +1,23 @@
 /**
- * Remembers requests that targets answered recently. A request that many callers repeat (a popular page) is open at each
- * target that terminates for another reason; that it is answered elsewhere all the time proves it harmless.
+ * Stores the digests of requests that targets answered recently. A request that many callers repeat (a popular page) is
+ * open at each target that terminates for another reason; recent answers from other targets show that it is harmless.
  */
 
 /**
- * Largest body in bytes of a request that is remembered: requests that many callers repeat are small, and larger bodies
+ * Largest body in bytes of a request that is stored: requests that many callers repeat are small, and larger bodies
  * cost more to hash.
  */
 const MAX_BODY_BYTES = 2_048
 /** Milliseconds for which an answer counts. */
 const RETENTION_MS = 60_000
-/** Requests remembered; a VM answers some 20 of them a second. */
+/** Maximum number of stored digests; a VM answers some 20 such requests a second. */
 const MAX_ENTRIES = 2_000
 
 /** Recently answered requests of one VM. Times are monotonic milliseconds. */
 export class AnsweredRequests {
   private readonly at = new Map<string, number>()
 
-  /** Whether a request with this body is small enough to be remembered. */
+  /** Whether a request with this body is small enough to be stored. */
   isEligible (body: Buffer): boolean {
     return body.length <= MAX_BODY_BYTES
   }
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -91,7 +91,7 @@
     return true
   }
 
-  /** Advances time; to be called several times a second. */
+  /** Expires suspicions and writes queued rows; to be called several times a second. */
   tick (): void {
     this.requests.tick(this.mono)
     this.parts.share.tick()
--- a/packages/rosemaryspread/src/quarantine/quarantineRows.ts
+++ b/packages/rosemaryspread/src/quarantine/quarantineRows.ts
@@ -12,16 +12,16 @@
 import type { FeedRow, TableFeed } from '@rosemaryspread/infra/table/tableFeed.js'
 import type { TableStore } from '@rosemaryspread/infra/table/tableTypes.js'
 
-/** Rows of one transaction, and rows queued while the table is unavailable: the terminations of 1,000 targets. */
 const ROWS_PER_TRANSACTION = 50
+/** Rows queued while the table is unavailable: enough for the terminations of 1,000 targets. */
 const MAX_UNWRITTEN_ROWS = 1_000
 /** Milliseconds before a failed write is retried. */
 const RETRY_MS = 250
 /** Milliseconds between two scans for expired rows. */
 const CLEANUP_INTERVAL_MS = 10_000
 /**
- * Random delay in milliseconds, up to this bound, before a VM deletes an expired row: the first VM deletes it, and mostly
- * no other VM repeats that.
+ * Upper bound in milliseconds of the random delay before a VM deletes an expired row, so that usually only one VM
+ * deletes it.
  */
 const CLEANUP_JITTER_MS = SUSPICION_MS
 
@@ -66,7 +66,7 @@
         for (const row of rows) this.handleRow(row)
       },
       changed: rows => { for (const row of rows) this.handleRow(row) },
-      // The configuration's feed reports failures of the same store; known updates stay in force.
+      // The configuration's feed reports failures of the same store; updates received before stay in force.
       failed: () => {}
     }, 'seldom')
   }
--- a/packages/rosemaryspread/src/quarantine/requestDigest.ts
+++ b/packages/rosemaryspread/src/quarantine/requestDigest.ts
@@ -12,7 +12,7 @@
  * @param team - team of its caller; absent where no key is needed
  */
 export function requestDigest ({ path, body }: Pick<OpaqueCall, 'path' | 'body'>, team: string | undefined): string {
-  // The lengths prevent that the end of one field is read as the start of the next.
+  // The lengths delimit the fields, so that different fields never hash the same text.
   const head = `${path.length} ${path} ${team?.length ?? -1} ${team ?? ''} `
   return createHash('sha256').update(head).update(body).digest().subarray(0, DIGEST_BYTES).toString('base64url')
 }
--- a/packages/rosemaryspread/src/routing/routingPort.ts
+++ b/packages/rosemaryspread/src/routing/routingPort.ts
@@ -27,7 +27,9 @@
   streamOpened (load: StreamLoad | undefined): void
   /** The engine refused the run because it is leaving. */
   leaving (): void
+  /** The first token arrived, `afterMs` milliseconds after the request was sent. */
   firstToken (afterMs: number): void
+  /** The request ended; `tokens` is what it used. To be called exactly once. */
   ended (isSuccessful: boolean, tokens: number): void
 }
 
@@ -50,5 +52,6 @@
    * @param attempts - attempts made so far
    */
   retryDelay (admitted: AdmittedCompletion, attempts: number): Maybe<number>
+  /** Requests of this VM in flight at a runner. */
   inFlight (runner: string): number
 }
--- a/packages/rosemaryspread/src/routing/routingQueue.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Requests without capacity wait, are served in fair order, and are refused as soon as waiting is futile.
+ * Requests that find no capacity must wait in fair order, and be refused as soon as they would miss their deadline.
  */
 import { expect } from 'chai'
 import type { Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
--- a/packages/rosemaryspread/src/service/serviceRoute.spec.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of application runners, and which calls may be repeated.
+ * Guards against calls sent to full, paused, ejected or leaving runners, and against repeats of calls that must run once.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
--- a/packages/rosemaryspread/src/service/serviceRoute.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.ts
@@ -28,6 +28,7 @@
   /** Monotonic milliseconds until which a runner accepts no calls. */
   private readonly pausedUntil = new Map<string, number>()
 
+  /** Open calls at a runner. */
   of (runner: string): number {
     return this.open.get(runner) ?? 0
   }
--- a/packages/rosemaryspread/src/settings/settingsLoader.spec.ts
+++ b/packages/rosemaryspread/src/settings/settingsLoader.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Every error in a settings file is reported.
+ * Guards against settings errors that are accepted, or reported one at a time.
  */
 import { expect } from 'chai'
 import { failureOf } from '@rosemaryspread/decisions/codes/failure.js'
--- a/packages/rosemaryspread/src/settings/settingsLoader.ts
+++ b/packages/rosemaryspread/src/settings/settingsLoader.ts
@@ -9,6 +9,7 @@
 import { settingsSchema, type Settings } from './settingsSchema.js'
 
 /**
+ * Reads and validates a settings file; a failure lists all errors.
  * @param file - path of a YAML file
  */
 export async function loadSettings (file: string): Promise<Either<Failure, Settings>> {
