--- a/packages/rosemaryspread/src/quarantine/abandonedCalls.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.spec.ts
@@ -23,7 +23,7 @@
 
 describe('AbandonedCalls', () => {
   for (const { name, left, afterMs, isAttributed: isHeld } of cases) {
-    it(`${isHeld ? 'attribute' : 'do not attribute'} the termination of a target to a call ${name}, and never twice`, () => {
+    it(`${isHeld ? 'hold' : 'do not hold'} the termination of a target against a call ${name}, and never twice`, () => {
       const abandonedCalls = new AbandonedCalls()
       abandonedCalls.add({ requestId: 'r', digest: 'a' }, left, 0)
       const taken = [abandonedCalls.removeFor(target, afterMs), abandonedCalls.removeFor(target, afterMs)].map(calls => calls.map(({ digest }) => digest))
