--- a/packages/rosemaryspread/src/budget/drawQueue.ts
+++ b/packages/rosemaryspread/src/budget/drawQueue.ts
@@ -12,8 +12,8 @@
   private oldest: Instant | undefined
 
   /**
-   * @param policy - `flushMs`: how long a draw ahead of demand waits; `maxDrawsPerTransaction`: draws of one transaction, each of
-   * which reads two rows and writes up to four
+   * @param policy - `flushMs`: how long a draw ahead of demand waits; `maxDrawsPerTransaction`: draws of one
+   * transaction, each of which reads two rows and writes up to four
    */
   constructor (private readonly policy: Pick<BudgetPolicy, 'flushMs' | 'maxDrawsPerTransaction'>) {}
 
--- a/packages/rosemaryspread/src/budget/firstAttemptTimes.ts
+++ b/packages/rosemaryspread/src/budget/firstAttemptTimes.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Milliseconds subtracted from the time of a first attempt. A report is created some time before it is sent, longer
- * before on a slow VM, and the allowance it grants must not start to grow later for others than for its holder.
+ * Milliseconds subtracted from the time of a first attempt, because a report is created before it is sent, and on a slow
+ * VM long before. The allowance that it grants must not start to grow later for other VMs than for its holder.
  */
 const CREATION_ALLOWANCE_MS = 100
 
--- a/packages/rosemaryspread/src/config/configVersions.ts
+++ b/packages/rosemaryspread/src/config/configVersions.ts
@@ -23,7 +23,7 @@
   ) {}
 
   /**
-   * The rows that lead from a version to a later one; starts with a snapshot when many versions lie between.
+   * What leads from a version to a later one: version rows, after a snapshot when many versions lie between.
    * @param after - the version in force, or 0
    * @param useSnapshots - false after a snapshot failed to verify
    */
--- a/packages/rosemaryspread/src/routing/routingPort.ts
+++ b/packages/rosemaryspread/src/routing/routingPort.ts
@@ -29,7 +29,7 @@
   leaving (): void
   /** The first token arrived, `afterMs` milliseconds after the request was sent. */
   firstToken (afterMs: number): void
-  /** The request ended; `tokens` is what it used. To be called exactly once. */
+  /** The request ended; `tokens` is what it used. */
   ended (isSuccessful: boolean, tokens: number): void
 }
 
--- a/packages/rosemaryspread/src/service/serviceRoute.spec.ts
+++ b/packages/rosemaryspread/src/service/serviceRoute.spec.ts
@@ -1,5 +1,6 @@
 /**
- * Guards against calls sent to full, paused, ejected or leaving runners, and against repeats of calls that must run once.
+ * Guards against calls sent to full, paused, ejected or leaving runners, and against repeats of calls that must not be
+ * repeated.
  */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
