--- a/packages/rosemaryspread/src/routing/routingPort.ts
+++ b/packages/rosemaryspread/src/routing/routingPort.ts
@@ -27,7 +27,7 @@
   streamOpened (load: StreamLoad | undefined): void
   /** The engine refused the run because it is leaving. */
   leaving (): void
-  /** The first token arrived, `afterMs` milliseconds after the request was sent. */
+  /** The first token arrived, `afterMs` milliseconds after the start of the completion. */
   firstToken (afterMs: number): void
   /** The request ended; `tokens` is what it used. */
   ended (isSuccessful: boolean, tokens: number): void
