--- a/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.spec.ts
@@ -47,22 +47,22 @@
   readonly name: string
   readonly have: Record<string, number | undefined>
   /** Tokens of each request, one after another, half a second apart. */
-  readonly asks: readonly number[]
+  readonly requested: readonly number[]
   readonly given: readonly number[]
   readonly asked: readonly string[]
 }
 
 const cases: readonly RequestCase[] = [
-  { name: 'one VM if it has enough', have: { a: 100, b: 100 }, asks: [50], given: [50], asked: ['a'] },
-  { name: 'the next VM for the rest', have: { a: 30, b: 100 }, asks: [50], given: [50], asked: ['a', 'b'] },
-  { name: 'VMs with the highest balance first', have: { a: 60, b: 500 }, asks: [100, 10], given: [100, 10], asked: ['a', 'b', 'b'] },
-  { name: 'VMs that did not answer last', have: { a: undefined, b: 500 }, asks: [10, 10], given: [10, 10], asked: ['a', 'a', 'b', 'b'] },
-  { name: 'at most six VMs', have: { a: 1, b: 1, c: 1, d: 1, e: 1, f: 1, g: 1, h: 1 }, asks: [50], given: [6], asked: ['a', 'b', 'c', 'd', 'e', 'f'] },
-  { name: 'nobody if there is no other VM', have: {}, asks: [50], given: [0], asked: [] }
+  { name: 'one VM if it has enough', have: { a: 100, b: 100 }, requested: [50], given: [50], asked: ['a'] },
+  { name: 'the next VM for the rest', have: { a: 30, b: 100 }, requested: [50], given: [50], asked: ['a', 'b'] },
+  { name: 'VMs with the highest balance first', have: { a: 60, b: 500 }, requested: [100, 10], given: [100, 10], asked: ['a', 'b', 'b'] },
+  { name: 'VMs that did not answer last', have: { a: undefined, b: 500 }, requested: [10, 10], given: [10, 10], asked: ['a', 'a', 'b', 'b'] },
+  { name: 'at most six VMs', have: { a: 1, b: 1, c: 1, d: 1, e: 1, f: 1, g: 1, h: 1 }, requested: [50], given: [6], asked: ['a', 'b', 'c', 'd', 'e', 'f'] },
+  { name: 'nobody if there is no other VM', have: {}, requested: [50], given: [0], asked: [] }
 ]
 
 describe('BudgetGrantCalls', () => {
-  for (const { name, have, asks, given, asked } of cases) {
+  for (const { name, have, requested: asks, given, asked } of cases) {
     it(`requests a grant from ${name}`, async () => {
       const harness = new Harness({ ...have })
       const got: number[] = []
@@ -74,13 +74,13 @@
     })
   }
 
-  const late: ReadonlyArray<{ readonly name: string, readonly answer: unknown, readonly kept: number | undefined }> = [
-    { name: 'tokens that arrive after the request timed out', answer: { tokens: 40, left: 0 }, kept: 40 },
-    { name: 'at most the requested tokens', answer: { tokens: 90, left: 0 }, kept: 50 },
-    { name: 'nothing of an answer without tokens', answer: { tokens: 0, left: 0 }, kept: undefined },
-    { name: 'nothing of a malformed answer', answer: { tokens: 'many' }, kept: undefined }
+  const late: ReadonlyArray<{ readonly name: string, readonly answer: unknown, readonly accepted: number | undefined }> = [
+    { name: 'tokens that arrive after the request timed out', answer: { tokens: 40, left: 0 }, accepted: 40 },
+    { name: 'at most the requested tokens', answer: { tokens: 90, left: 0 }, accepted: 50 },
+    { name: 'nothing of an answer without tokens', answer: { tokens: 0, left: 0 }, accepted: undefined },
+    { name: 'nothing of a malformed answer', answer: { tokens: 'many' }, accepted: undefined }
   ]
-  for (const { name, answer, kept } of late) {
+  for (const { name, answer, accepted: kept } of late) {
     it(`accepts ${name}`, async () => {
       const harness = new Harness({ a: undefined })
       expect(await harness.calls.ask('g', 'b', 50)).to.deep.equal({ tokens: 0, isReached: false })
--- a/packages/rosemaryspread/src/budget/budgetGrantCalls.ts
+++ b/packages/rosemaryspread/src/budget/budgetGrantCalls.ts
@@ -162,9 +162,9 @@
 
   private rank (peer: PeerVm, budget: string, mono: number): number {
     if (this.isUnresponsive(peer)) return -2
-    const known = this.balances.get(keyOf(peer, budget))
-    if (known === undefined || mono - known.at > BALANCE_TTL_MS) return this.parts.preference(peer.holder, budget)
-    return known.left > 0 ? known.left : -1
+    const reported = this.balances.get(keyOf(peer, budget))
+    if (reported === undefined || mono - reported.at > BALANCE_TTL_MS) return this.parts.preference(peer.holder, budget)
+    return reported.left > 0 ? reported.left : -1
   }
 }
 
--- a/packages/rosemaryspread/src/budget/budgetRecovery.ts
+++ b/packages/rosemaryspread/src/budget/budgetRecovery.ts
@@ -132,25 +132,25 @@
   private async recoverBudget (view: DomainView, budget: string): Promise<boolean> {
     const result = await EitherAsync<Failure, void>(async ({ fromPromise, throwE }) => {
       const before = await fromPromise(surveyBudget(this.table.store, budget))
-      if (this.closing(view, before).length === 0) return
+      if (this.selectClosing(view, before).length === 0) return
       // Rows are read after the confirmations, as a transfer may be recorded just before its holder confirms.
       const confirmed = await this.confirmedHolders(view)
       const survey = await fromPromise(surveyBudget(this.table.store, budget))
-      const closing = this.closing(view, survey)
+      const closing = this.selectClosing(view, survey)
       const open = closing.find(item => !confirmed.has(item.row.holder))
       if (open !== undefined) throwE(pendingFailure(`transfers with ${open.row.holder} may be unrecorded: a holder of its failure domain has not confirmed`))
       const reason = await this.blockedReason(view, survey, closing)
       if (reason !== undefined) throwE(reason)
       const owed = await fromPromise(this.owed(view, survey, closing, budget))
-      const order = { budget, owed, closing: closing.map(item => ({ holder: item.row.holder, version: item.version })) }
-      const { plan } = await fromPromise(this.close(order))
+      const request = { budget, owed, closing: closing.map(item => ({ holder: item.row.holder, version: item.version })) }
+      const { plan } = await fromPromise(this.close(request))
       if (plan.kind === 'write') this.report(closing, plan, view.placed)
     }).mapLeft(toFailure).run()
     result.ifLeft(failure => this.parts.log.write('budgetFault', { operation: 'recover', budget, code: failure.code, detail: failure.message }))
     return result.isRight()
   }
 
-  private closing (view: DomainView, survey: BudgetSurvey): readonly AgedAllotment[] {
+  private selectClosing (view: DomainView, survey: BudgetSurvey): readonly AgedAllotment[] {
     const ended = new Set(view.ended.map(item => item.holder))
     const absent = new Set(view.absent.map(item => item.holder))
     return survey.allotments.filter(({ row, ageMs }) => row.state === 'open' &&
@@ -159,8 +159,8 @@
 
   /** Returns why the allotments cannot be closed yet, if so. */
   private async blockedReason (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): Promise<Failure | undefined> {
-    const unsure = this.parts.peers.hasNoTransfers === true ? undefined : this.unsure(view, survey, closing)
-    if (unsure !== undefined) return pendingFailure(`absent holder ${unsure.holder} may hold transferred tokens that have not expired`)
+    const unsureHolder = this.parts.peers.hasNoTransfers === true ? undefined : this.findUnsureHolder(view, survey, closing)
+    if (unsureHolder !== undefined) return pendingFailure(`absent holder ${unsureHolder.holder} may hold transferred tokens that have not expired`)
     for (const item of closing) {
       if (mayRunsBeDiscarded(this.parts.policy, await this.runs.contactAgeMs(item, survey.now))) {
         return pendingFailure(`runners may no longer have the records of runs of ${item.row.holder}; an operator has to decide`)
@@ -173,11 +173,11 @@
    * Finds an absent holder that may still spend tokens received from an allotment to be closed. Without its own row it
    * can only hold received tokens, which expire no later than those of their granter.
    */
-  private unsure (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): HolderAtVersion | undefined {
+  private findUnsureHolder (view: DomainView, survey: BudgetSurvey, closing: readonly AgedAllotment[]): HolderAtVersion | undefined {
     const closed = new Set(closing.map(item => item.row.holder))
     const open = new Set(survey.allotments.filter(item => item.row.state === 'open').map(item => item.row.holder))
-    const allLapsed = closing.every(item => hasExpired(this.parts.policy, item.ageMs))
-    return view.absent.find(({ holder }) => !closed.has(holder) && (open.has(holder) || !allLapsed))
+    const haveAllExpired = closing.every(item => hasExpired(this.parts.policy, item.ageMs))
+    return view.absent.find(({ holder }) => !closed.has(holder) && (open.has(holder) || !haveAllExpired))
   }
 
   /**
@@ -219,9 +219,9 @@
     })), survey.now)
   }
 
-  private async close (order: RecoveryRequest): Promise<Either<Failure, Committed<RecoveryPlan>>> {
-    const id = `recover/${order.budget}/${order.closing.map(item => item.version).join('-')}`
-    return await this.table.run(id, recoveryKeys(order), rows => planRecovery(rows, order))
+  private async close (request: RecoveryRequest): Promise<Either<Failure, Committed<RecoveryPlan>>> {
+    const id = `recover/${request.budget}/${request.closing.map(item => item.version).join('-')}`
+    return await this.table.run(id, recoveryKeys(request), rows => planRecovery(rows, request))
   }
 
   private report (closing: readonly AgedAllotment[], { billed, returned }: Extract<RecoveryPlan, { kind: 'write' }>, placed: readonly PlacedHolder[]): void {
--- a/packages/rosemaryspread/src/budget/budgetRegistry.ts
+++ b/packages/rosemaryspread/src/budget/budgetRegistry.ts
@@ -81,10 +81,10 @@
    * request, so the time from the start of this process to the request can be subtracted from it.
    */
   private begunBy (requestedAt: Instant): { readonly begunBy?: number } {
-    const { processStartedAt: begunAt } = this.self
-    if (begunAt === undefined) return {}
+    const { processStartedAt: startedAtMono } = this.self
+    if (startedAtMono === undefined) return {}
     const sinceRequestMs = this.table.now().mono - requestedAt.mono
-    return { begunBy: Math.ceil(this.table.tableNow + sinceRequestMs + CLOCK_MARGIN_MS - (this.table.now().mono - begunAt)) }
+    return { begunBy: Math.ceil(this.table.tableNow + sinceRequestMs + CLOCK_MARGIN_MS - (this.table.now().mono - startedAtMono)) }
   }
 
   private hasPlaceRow (rows: RowSet): boolean {
--- a/packages/rosemaryspread/src/budget/drawExecutor.ts
+++ b/packages/rosemaryspread/src/budget/drawExecutor.ts
@@ -44,14 +44,14 @@
     const ids = actions.map(action => action.drawId)
     for (const id of ids) this.since.record(id, this.table.tableNow)
     const done = await this.table.run(ids, keys, rows =>
-      Either.sequence(actions.map(action => planDraw(rows, this.drawOrder(action), drawer))).map(toBatch))
+      Either.sequence(actions.map(action => planDraw(rows, this.toDrawRequest(action), drawer))).map(toBatch))
     if (done.isLeft()) return await this.retryOrFail(actions, done.extract())
     const { plan, sentAt } = done.unsafeCoerce()
     for (const id of ids) this.since.forget(id)
     return await Promise.all(plan.plans.map(async (item, index) => await this.outcome(actions[index], item, sentAt)))
   }
 
-  private drawOrder ({ report, ...action }: DrawAction): DrawRequest {
+  private toDrawRequest ({ report, ...action }: DrawAction): DrawRequest {
     const declared = this.self.declared(action.budget)
     return {
       ...action,
--- a/packages/rosemaryspread/src/budget/flushExecutor.ts
+++ b/packages/rosemaryspread/src/budget/flushExecutor.ts
@@ -26,8 +26,8 @@
     const id = `flush${action.seq}`
     // The segment cannot exist before the first attempt.
     if (this.since.record(id, this.table.tableNow)) this.table.assumeAbsent({ table: budgetTables.segments, key: segmentKey(this.self.holder, action.seq) })
-    const order = { ...action, since: this.since.of(id) }
-    const done = await this.table.run(id, keys, rows => planFlush(rows, order, this.self))
+    const request = { ...action, since: this.since.of(id) }
+    const done = await this.table.run(id, keys, rows => planFlush(rows, request, this.self))
     if (done.isLeft()) return this.failed(action, done.extract())
     this.since.forget(id)
     const { plan, sentAt } = done.unsafeCoerce()
--- a/packages/rosemaryspread/src/config/configVersions.ts
+++ b/packages/rosemaryspread/src/config/configVersions.ts
@@ -83,7 +83,7 @@
 }
 
 function describeVersion (row: VersionRow): string {
-  const named = row.patch.slice(0, MAX_OPERATIONS).map(({ op, path }) => `${op} ${path}`)
-  const more = row.patch.length > named.length ? ` and ${row.patch.length - named.length} more` : ''
-  return `version ${row.version} by ${row.author} (patch ${row.patchId}): ${named.join(', ')}${more}`
+  const shown = row.patch.slice(0, MAX_OPERATIONS).map(({ op, path }) => `${op} ${path}`)
+  const more = row.patch.length > shown.length ? ` and ${row.patch.length - shown.length} more` : ''
+  return `version ${row.version} by ${row.author} (patch ${row.patchId}): ${shown.join(', ')}${more}`
 }
--- a/packages/rosemaryspread/src/gateway/bindGateway.ts
+++ b/packages/rosemaryspread/src/gateway/bindGateway.ts
@@ -62,7 +62,7 @@
   container.bind(ids.config).toResolvedValue(log => new GatewayConfigHolder(log), [ids.log]).inSingletonScope()
 }
 
-function bindFleet (container: Container, { vm, domain, region, callers, peers }: GatewaySettings, { table, feed, liveness: silence }: GatewayPorts, holder: string): void {
+function bindFleet (container: Container, { vm, domain, region, callers, peers }: GatewaySettings, { table, feed, liveness: connectionLiveness }: GatewayPorts, holder: string): void {
   container.bind(ids.table).toConstantValue(table)
   container.bind(ids.digest).toResolvedValue((clock, log) =>
     new TableDigest({ vm, table, feed, clock, log, vms: () => container.get(ids.presence).names }), [ids.clock, ids.log]).inSingletonScope()
@@ -76,7 +76,7 @@
     onJoined: other => { container.get(ids.budgets).holderJoined(other) }
   }), [ids.clock, ids.log, ids.digest]).inSingletonScope()
   container.bind(ids.links).toResolvedValue((clock, random, log) =>
-    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onSilence: since => { silence.reportUnresponsive('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
+    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onSilence: since => { connectionLiveness.reportUnresponsive('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
   container.bind(ids.balancer).toConstantValue(new TargetBalancer())
   container.bind(ids.targets).toResolvedValue((clock, balancer, log) =>
     new GatewayTargets({ clock, balancer, log }), [ids.clock, ids.balancer, ids.log]).inSingletonScope()
@@ -109,7 +109,7 @@
     onUpdate: update => { container.get(ids.quarantine).receive(update) }
   }), [ids.clock, ids.log, ids.random, ids.presence, ids.links]).inSingletonScope()
   container.bind(ids.quarantine).toResolvedValue((clock, log, metrics, share) =>
-    new CallQuarantine({ clock, log, metrics, share, watch: new TargetEndDetector({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineSync]).inSingletonScope()
+    new CallQuarantine({ clock, log, metrics, share, endDetector: new TargetEndDetector({ clock, probe: client }) }), [ids.clock, ids.log, ids.metrics, ids.quarantineSync]).inSingletonScope()
 }
 
 function bindPipeline (container: Container, { vm, retries }: GatewaySettings, { client }: GatewayPorts): void {
--- a/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
+++ b/packages/rosemaryspread/src/gateway/budgetPreparation.spec.ts
@@ -29,8 +29,8 @@
     { name: 'prepares at once after a configuration change', ticks: [[configOf(1, 2), 0], [configOf(2, 3), 1]] as const, count: 5 },
     { name: 'limits the number of budgets', ticks: [[configOf(1, 1_000), 0]] as const, count: 64 }
   ]
-  for (const { name, ticks, count: told } of cases) {
-    it(name, () => { expect(prepared('vm1', ticks)).to.have.length(told) })
+  for (const { name, ticks, count: expectedCount } of cases) {
+    it(name, () => { expect(prepared('vm1', ticks)).to.have.length(expectedCount) })
   }
 
   it('prepares different budgets on different VMs where there are too many', () => {
--- a/packages/rosemaryspread/src/gateway/callAttempt.ts
+++ b/packages/rosemaryspread/src/gateway/callAttempt.ts
@@ -62,7 +62,7 @@
   return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
 }
 
-async function relayBuffered ({ sink, retriesFailures: repeatsFailures, onFirstOutput: onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
+async function relayBuffered ({ sink, retriesFailures: mayRetryFailures, onFirstOutput: notifyFirstOutput }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
   const chunks: Buffer[] = []
   let size = 0
   const read = await answer.read(bytes => {
@@ -74,19 +74,19 @@
   const failure = failureOf(read)
   if (failure !== undefined) return { kind: 'broken', failure }
   const body = Buffer.concat(chunks)
-  if ((answer.head.status >= MIN_SERVER_ERROR_STATUS && repeatsFailures) || sink.isStarted) return { kind: 'failedAnswer', head: answer.head, body }
-  onFirst()
+  if ((answer.head.status >= MIN_SERVER_ERROR_STATUS && mayRetryFailures) || sink.isStarted) return { kind: 'failedAnswer', head: answer.head, body }
+  notifyFirstOutput()
   sink.whole(answer.head, body)
   return { kind: 'answered', status: answer.head.status }
 }
 
 /** Sends the head together with the first event; until then another target can be tried. */
-async function relayStream ({ sink, relay, onFirstOutput: onFirst }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
+async function relayStream ({ sink, relay, onFirstOutput: notifyFirstOutput }: AttemptParts, answer: TargetAnswer): Promise<AttemptOutcome> {
   const read = await answer.read(bytes => {
     const completeEvents = relay.push(bytes)
     if (completeEvents.length === 0) return undefined
     if (!sink.isStarted) {
-      onFirst()
+      notifyFirstOutput()
       sink.head(answer.head)
     }
     return sink.chunk(completeEvents)
--- a/packages/rosemaryspread/src/gateway/callDispatch.ts
+++ b/packages/rosemaryspread/src/gateway/callDispatch.ts
@@ -103,7 +103,7 @@
 
   private async attempt (open: OpenCall, choice: TargetChoice): Promise<AttemptOutcome> {
     const { chooser, client } = this.deps
-    const { sink, relay, admitted: { route: { streamed, retriesFailures: repeatsFailures } } } = open
+    const { sink, relay, admitted: { route: { streamed, retriesFailures: mayRetryFailures } } } = open
     open.lastTarget = choice.target.id
     const ticket = chooser.sent(choice, open.admitted)
     const onFirstOutput = (): void => {
@@ -114,7 +114,7 @@
       this.deps.report.targetReported(open, choice, report)
       chooser.recordReport(choice, report)
     }
-    const outcome = await runAttempt({ client, sink, relay, streamed, retriesFailures: repeatsFailures, onFirstOutput, onReport }, this.requestFor(open, choice), open.stopSignal())
+    const outcome = await runAttempt({ client, sink, relay, streamed, retriesFailures: mayRetryFailures, onFirstOutput, onReport }, this.requestFor(open, choice), open.stopSignal())
     chooser.endPrefill(choice, ticket, false)
     const isTerminated = await this.isTargetTerminated(open, choice, outcome)
     chooser.ended(choice, isTerminated ? 'unreachable' : verdictOf(outcome, open))
--- a/packages/rosemaryspread/src/gateway/gatewayIds.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayIds.ts
@@ -27,7 +27,7 @@
   work: ids.work,
   table: ids.table,
   budgets: ids.budgets,
-  config: id<GatewayConfigHolder>('GatewayConfig'),
+  config: id<GatewayConfigHolder>('GatewayConfigHolder'),
   digest: id<TableDigest>('TableDigest'),
   presence: id<VmPresence>('VmPresence'),
   links: id<FleetLinks>('FleetLinks'),
--- a/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
+++ b/packages/rosemaryspread/src/gateway/gatewayPipeline.spec.ts
@@ -238,13 +238,13 @@
     { name: 'ignores an older version', configs: [paid(2, 10), paid(1, 5)], version: 2, notified: [] },
     { name: 'ignores the same version', configs: [paid(2, 10), paid(2, 5)], version: 2, notified: [] }
   ]
-  for (const { name, configs, version, notified: told } of changes) {
+  for (const { name, configs, version, notified: expected } of changes) {
     it(name, () => {
       const holder = new GatewayConfigHolder(silentLog)
       const notifications: Array<readonly [string, boolean]> = []
       holder.onPaidChanged((team, isLowered) => { notifications.push([team, isLowered]) })
       for (const config of configs) holder.apply(gatewayConfigSchema.parse(config))
-      expect([holder.current()?.config.version, holder.declaredPaid('t')?.version, notifications]).to.deep.equal([version, version, told])
+      expect([holder.current()?.config.version, holder.declaredPaid('t')?.version, notifications]).to.deep.equal([version, version, expected])
     })
   }
 })
--- a/packages/rosemaryspread/src/gateway/ingressMonitor.spec.ts
+++ b/packages/rosemaryspread/src/gateway/ingressMonitor.spec.ts
@@ -56,18 +56,18 @@
 describe('IngressMonitor', () => {
   for (const { name, lines, ...second } of cases) {
     it(`writes ${name}`, () => {
-      const watched = new MonitorHarness()
-      watched.second(second)
-      expect(watched.lines).to.have.length(lines)
+      const harness = new MonitorHarness()
+      harness.second(second)
+      expect(harness.lines).to.have.length(lines)
     })
   }
 
   it('resets the counters for each window', () => {
-    const watched = new MonitorHarness()
-    watched.second({ taken: 40, turns: 40 })
-    watched.second({ turns: 800 })
-    watched.second({ taken: 60, turns: 100 })
-    expect(watched.lines.map(({ taken, unused, turns, open }) => [taken, unused, turns, open])).to.deep.equal([[40, 20, 40, 0], [60, 30, 100, 0]])
+    const harness = new MonitorHarness()
+    harness.second({ taken: 40, turns: 40 })
+    harness.second({ turns: 800 })
+    harness.second({ taken: 60, turns: 100 })
+    expect(harness.lines.map(({ taken, unused, turns, open }) => [taken, unused, turns, open])).to.deep.equal([[40, 20, 40, 0], [60, 30, 100, 0]])
   })
 
   const stable = { turns: 900 }
@@ -83,18 +83,18 @@
   ]
   for (const { name, seconds, isPressed } of overloadCases) {
     it(`advertises ${name}`, () => {
-      const watched = new MonitorHarness()
-      for (const second of seconds) watched.second(second)
-      expect(watched.monitor.isPressed).to.equal(isPressed)
+      const harness = new MonitorHarness()
+      for (const second of seconds) harness.second(second)
+      expect(harness.monitor.isPressed).to.equal(isPressed)
     })
   }
 
   it('decrements the gauge of open connections when one closes', () => {
-    const watched = new MonitorHarness()
-    const closed = watched.monitor.taken()
-    watched.monitor.taken()
-    expect(watched.metrics.render()).to.contain('front_connections_open 2')
+    const harness = new MonitorHarness()
+    const closed = harness.monitor.taken()
+    harness.monitor.taken()
+    expect(harness.metrics.render()).to.contain('front_connections_open 2')
     closed(true)
-    expect(watched.metrics.render()).to.contain('front_connections_open 1')
+    expect(harness.metrics.render()).to.contain('front_connections_open 1')
   })
 })
--- a/packages/rosemaryspread/src/placement/placementDriver.spec.ts
+++ b/packages/rosemaryspread/src/placement/placementDriver.spec.ts
@@ -68,54 +68,54 @@
 
 describe('placement driver', () => {
   it('announces its fencing number, then orders missing copies, and logs each order', async () => {
-    const setup = new Harness()
-    await setup.tick(setup.driver())
-    expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
-    expect(setup.events).to.deep.equal(['placed', 'placed'])
+    const harness = new Harness()
+    await harness.tick(harness.driver())
+    expect(harness.kinds).to.deep.equal(['role 3', 'load 3'])
+    expect(harness.events).to.deep.equal(['placed', 'placed'])
   })
 
   it('sends nothing without the lease', async () => {
-    const setup = new Harness()
-    setup.fencing = undefined
-    await setup.tick(setup.driver())
-    expect(setup.kinds).to.deep.equal([])
+    const harness = new Harness()
+    harness.fencing = undefined
+    await harness.tick(harness.driver())
+    expect(harness.kinds).to.deep.equal([])
   })
 
   it('sends no order when the lease is lost during a wait for reports', async () => {
-    const setup = new Harness()
-    setup.onLoad = () => { setup.fencing = undefined }
-    await setup.tick(setup.driver())
-    expect(setup.kinds).to.deep.equal([])
+    const harness = new Harness()
+    harness.onLoad = () => { harness.fencing = undefined }
+    await harness.tick(harness.driver())
+    expect(harness.kinds).to.deep.equal([])
   })
 
   it('sends an order under a lost lease if the lease is not checked after the wait (counter-example)', async () => {
-    const setup = new Harness()
-    setup.onLoad = () => { setup.fencing = undefined }
-    await setup.tick(setup.driver({ ...setup.lease, mayAct: () => true, fencing: () => Right(3) }))
-    expect(setup.kinds).to.include('load 3')
+    const harness = new Harness()
+    harness.onLoad = () => { harness.fencing = undefined }
+    await harness.tick(harness.driver({ ...harness.lease, mayAct: () => true, fencing: () => Right(3) }))
+    expect(harness.kinds).to.include('load 3')
   })
 
   it('resumes under the same fencing number after the lease was briefly unconfirmed', async () => {
-    const setup = new Harness()
+    const harness = new Harness()
     let isConfirmed = true
-    const driver = setup.driver({ mayAct: () => isConfirmed, fencing: () => Right(3) })
-    setup.onOrder = () => { isConfirmed = false }
-    await setup.tick(driver, 1)
-    expect(setup.kinds).to.deep.equal(['role 3'])
-    setup.onOrder = () => {}
+    const driver = harness.driver({ mayAct: () => isConfirmed, fencing: () => Right(3) })
+    harness.onOrder = () => { isConfirmed = false }
+    await harness.tick(driver, 1)
+    expect(harness.kinds).to.deep.equal(['role 3'])
+    harness.onOrder = () => {}
     isConfirmed = true
-    await setup.tick(driver, 5)
-    expect(setup.kinds).to.deep.equal(['role 3', 'load 3'])
+    await harness.tick(driver, 5)
+    expect(harness.kinds).to.deep.equal(['role 3', 'load 3'])
   })
 
   it('repeats announcements and orders under a new fencing number', async () => {
-    const setup = new Harness()
-    const driver = setup.driver()
-    await setup.tick(driver)
-    setup.fencing = 5
-    await setup.tick(driver)
-    expect(setup.kinds).to.deep.equal(['role 3', 'load 3', 'role 5', 'load 5'])
-    expect(new Set(setup.orders.map(({ orderId }) => orderId)).size).to.equal(4)
+    const harness = new Harness()
+    const driver = harness.driver()
+    await harness.tick(driver)
+    harness.fencing = 5
+    await harness.tick(driver)
+    expect(harness.kinds).to.deep.equal(['role 3', 'load 3', 'role 5', 'load 5'])
+    expect(new Set(harness.orders.map(({ orderId }) => orderId)).size).to.equal(4)
   })
 
   const outcomes: ReadonlyArray<readonly [string, Either<Failure, void>, object]> = [
--- a/packages/rosemaryspread/src/quarantine/abandonedCalls.spec.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.spec.ts
@@ -22,12 +22,12 @@
 ]
 
 describe('AbandonedCalls', () => {
-  for (const { name, left, afterMs, isAttributed: isHeld } of cases) {
-    it(`${isHeld ? 'hold' : 'do not hold'} the termination of a target against a call ${name}, and never twice`, () => {
+  for (const { name, left, afterMs, isAttributed: isBlamed } of cases) {
+    it(`${isBlamed ? 'hold' : 'do not hold'} the termination of a target against a call ${name}, and never twice`, () => {
       const abandonedCalls = new AbandonedCalls()
       abandonedCalls.add({ requestId: 'r', digest: 'a' }, left, 0)
-      const taken = [abandonedCalls.removeFor(target, afterMs), abandonedCalls.removeFor(target, afterMs)].map(calls => calls.map(({ digest }) => digest))
-      expect(taken).to.deep.equal([isHeld ? ['a'] : [], []])
+      const removed = [abandonedCalls.removeFor(target, afterMs), abandonedCalls.removeFor(target, afterMs)].map(calls => calls.map(({ digest }) => digest))
+      expect(removed).to.deep.equal([isBlamed ? ['a'] : [], []])
     })
   }
 
--- a/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
+++ b/packages/rosemaryspread/src/quarantine/abandonedCalls.ts
@@ -51,9 +51,9 @@
    */
   removeFor (target: Process, endedAt: number): readonly CallIdentity[] {
     const name = processNameOf(target)
-    const taken = this.calls.filter(({ process, at }) => process === name && endedAt - at <= ATTRIBUTION_WINDOW_MS)
+    const attributed = this.calls.filter(({ process, at }) => process === name && endedAt - at <= ATTRIBUTION_WINDOW_MS)
     this.calls = this.calls.filter(({ process }) => process !== name)
-    return taken.map(({ call }) => call)
+    return attributed.map(({ call }) => call)
   }
 }
 
--- a/packages/rosemaryspread/src/quarantine/callQuarantine.ts
+++ b/packages/rosemaryspread/src/quarantine/callQuarantine.ts
@@ -22,7 +22,7 @@
   readonly clock: Clock
   readonly log: EventLog
   readonly metrics: Metrics
-  readonly watch: TargetEndDetector
+  readonly endDetector: TargetEndDetector
   readonly share: QuarantineSync
 }
 
@@ -99,7 +99,7 @@
 
   /** Whether a target terminated. If so, calls abandoned shortly before are suspected like those that broke with it. */
   private async isEnded (target: Target): Promise<boolean> {
-    const { isEnded, since } = this.parts.watch.check(target)
+    const { isEnded, since } = this.parts.endDetector.check(target)
     if (!await isEnded) return false
     for (const call of this.abandonedCalls.removeFor(target, since)) this.suspect(call, target)
     return true
--- a/packages/rosemaryspread/src/routing/admittedCompletion.fixture.ts
+++ b/packages/rosemaryspread/src/routing/admittedCompletion.fixture.ts
@@ -1,9 +1,9 @@
 /** An admitted completion for routing specs. */
 import type { AdmittedCompletion } from '../completion/completionAdmission.js'
 
-/** @param over - fields that differ from the defaults */
-export function admittedCompletion (requestId: string, over: { readonly team?: string, readonly keyed?: boolean, readonly deadlineMs?: number, readonly maxInFlight?: number } = {}): AdmittedCompletion {
-  const { team = 't', keyed = false, deadlineMs = 10_000, maxInFlight = 64 } = over
+/** @param overrides - fields that differ from the defaults */
+export function admittedCompletion (requestId: string, overrides: { readonly team?: string, readonly keyed?: boolean, readonly deadlineMs?: number, readonly maxInFlight?: number } = {}): AdmittedCompletion {
+  const { team = 't', keyed = false, deadlineMs = 10_000, maxInFlight = 64 } = overrides
   return {
     requestId,
     keyed,
--- a/packages/rosemaryspread/src/routing/routingQueue.spec.ts
+++ b/packages/rosemaryspread/src/routing/routingQueue.spec.ts
@@ -25,8 +25,8 @@
     vms: () => 1
   })
 
-  ask (admitted: AdmittedCompletion, gone = new AbortController().signal): void {
-    this.queues.route(admitted, gone)
+  ask (admitted: AdmittedCompletion, callerGone = new AbortController().signal): void {
+    this.queues.route(admitted, callerGone)
       .then(routed => {
         const failure = failureOf(routed as never)
         this.ended.push(failure === undefined ? `${admitted.requestId} routed` : describeRefusal(admitted.requestId, routed.extract() as never))
