--- a/packages/stand-ins/src/cli/standInMain.ts
+++ b/packages/stand-ins/src/cli/standInMain.ts
@@ -59,7 +59,7 @@
 /** Rejects NaN and negative values; the error names every such option. */
 function requireNonNegative (args: Readonly<Record<string, unknown>>): true {
   const invalid = Object.entries(args).filter(([name, value]) => !/[A-Z]/.test(name) && typeof value === 'number' && !(value >= 0))
-  if (invalid.length > 0) throw new Error(`not a number of 0 or more: ${invalid.map(([name]) => `--${name}`).join(', ')}`)
+  if (invalid.length > 0) throw new Error(`options must be non-negative numbers: ${invalid.map(([name]) => `--${name}`).join(', ')}`)
   return true
 }
 
@@ -109,7 +109,7 @@
 }
 
 await addRunnerCommands(addStoreCommands(yargs(hideBin(process.argv)).scriptName('standIn')))
-  .demandCommand(1, 'name a stand-in')
+  .demandCommand(1, 'specify a stand-in')
   .check(requireNonNegative)
   .strict()
   .parseAsync()
--- a/packages/stand-ins/src/history/historyChecker.ts
+++ b/packages/stand-ins/src/history/historyChecker.ts
@@ -27,7 +27,7 @@
   new LeaseRule()
 ]
 
-/** 5 s are three seconds of grace and two of tolerance for a leaving runner; 12 s bound the propagation of a version. */
+/** The 5 s for a leaving runner are 3 s of grace and 2 s of tolerance; a version must propagate within 12 s. */
 export const DEFAULT_LIMITS: CheckLimits = { leavingGraceMs: 5_000, configPropagationMs: 12_000 }
 
 /** Records shown before and after the one at which a promise broke. */
--- a/packages/stand-ins/src/history/rules/overspendRule.ts
+++ b/packages/stand-ins/src/history/rules/overspendRule.ts
@@ -29,7 +29,7 @@
     return findings
   }
 
-  /** Adds the cost of finished but unbilled runs to the total of all bills. */
+  /** Checks the total of all bills plus the cost of finished but unbilled runs. */
   private runs (history: History): Finding[] {
     const balances = new Map<string, number>()
     const deduct = (budget: string, tokens: number): number => {
--- a/packages/stand-ins/src/measure/budget/budgetAudit.ts
+++ b/packages/stand-ins/src/measure/budget/budgetAudit.ts
@@ -19,7 +19,7 @@
   for (const record of harness.engines.all()) {
     const bill = billed.get(record.requestId)
     if (bill === undefined) violations.push(`${record.requestId} of ${record.holder} is not billed`)
-    else if (bill.tokens !== record.promptTokens) violations.push(`${record.requestId} is billed ${bill.tokens} in place of ${record.promptTokens}`)
+    else if (bill.tokens !== record.promptTokens) violations.push(`${record.requestId} is billed ${bill.tokens} tokens instead of ${record.promptTokens}`)
     billed.delete(record.requestId)
   }
   for (const id of billed.keys()) violations.push(`${id} is billed but did not run`)
--- a/packages/stand-ins/src/measure/budget/budgetBaselines.ts
+++ b/packages/stand-ins/src/measure/budget/budgetBaselines.ts
@@ -16,7 +16,7 @@
   return { table: budgetTables.budgets, key: budget }
 }
 
-/** Base of the baselines: issues reservation ids; without a lease, each confirmation succeeds. */
+/** Base of the baselines: issues reservation ids; they have no lease, so each confirmation succeeds. */
 abstract class BaselineSpender implements Spender {
   protected readonly table: BudgetTable
   private reservationCount = 0
@@ -144,7 +144,7 @@
   }
 }
 
-/** Gives each of the initial VMs an equal share of the paid tokens. */
+/** Allots each of the initial VMs an equal share of the paid tokens. */
 export class EvenSplit extends LocalSpender {
   /**
    * @param vms - number of shares; a VM started later has none
--- a/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
@@ -26,12 +26,12 @@
   }
 }
 
-/** Doesn't see that a draw was already applied, so it draws again after a lost answer. */
+/** Does not detect that a draw was already applied, so it draws again after a lost answer. */
 const drawsAgain = faultyDriver(deps => ({
   store: filteredStore(deps.store, row => row.table === budgetTables.allotments ? { ...row, value: { ...row.value as object, lastDraw: undefined } } : row)
 }))
 
-/** Doesn't see that a flush was already applied, so it settles again after a lost answer. */
+/** Does not detect that a flush was already applied, so it settles again after a lost answer. */
 const settlesAgain = faultyDriver(deps => ({ store: filteredStore(deps.store, row => row.table === budgetTables.segments ? null : row) }))
 
 /** Measures its lease on the monotonic clock alone, which some hypervisors stop during a pause. */
--- a/packages/stand-ins/src/measure/budget/budgetTrial.ts
+++ b/packages/stand-ins/src/measure/budget/budgetTrial.ts
@@ -1,6 +1,6 @@
 /**
  * Trials of the budget measurement in virtual time: one strategy under one fault and one demand.
- * All strategies get the same requests.
+ * All strategies receive the same requests.
  */
 import { Right } from 'purify-ts'
 import { budgetTables } from '@rosemaryspread/decisions/budget/budgetKeys.js'
--- a/packages/stand-ins/src/measure/budget/budgetVm.ts
+++ b/packages/stand-ins/src/measure/budget/budgetVm.ts
@@ -29,7 +29,7 @@
 /** A VM that can be killed or frozen. */
 export class BudgetVm {
   isDead = false
-  /** Error of the wall clock. */
+  /** Offset of the wall clock from virtual time. */
   wallOffsetMs = 0
   private monoOffsetMs = 0
   private frozen: { readonly at: number, readonly stopsMono: boolean } | undefined
--- a/packages/stand-ins/src/measure/budget/budgetWorkload.ts
+++ b/packages/stand-ins/src/measure/budget/budgetWorkload.ts
@@ -27,7 +27,7 @@
 
 /** Shares of ten teams in the requests; a few are large. */
 const teamShares = [30, 20, 15, 10, 8, 6, 4, 3, 2, 2]
-/** Share of its demand that a budget covers, by turns; half of the budgets run out shortly before the end. */
+/** Share of its demand that a budget covers, alternating between budgets; half of the budgets run out shortly before the end. */
 const coverageShares = [0.95, 1.5]
 
 const MIN_TOKENS = 300
@@ -47,7 +47,7 @@
 
 /**
  * Generates the requests of a run.
- * @param isSkewed - whether the first failure domain gets three of five requests
+ * @param isSkewed - whether the first failure domain receives three of five requests
  * @param endMs - length of the run
  */
 export function generateWorkload (deployment: Deployment, isSkewed: boolean, endMs: number, seed: string): Workload {
--- a/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
+++ b/packages/stand-ins/src/measure/capacity/capacityFit.spec.ts
@@ -1,3 +1,4 @@
+/** Guards against wrong slopes, errors and extrapolations of the capacity bench, and against a wrong planned load per VM. */
 import { expect } from 'chai'
 import { fitLine, fitRows, roundSignificant } from './capacityFit.js'
 import { plannedVmLoad, plannedScale } from './plannedScale.js'
@@ -29,7 +30,7 @@
 })
 
 describe('fitRows', () => {
-  it('makes one row for each role, driver and quantity', () => {
+  it('groups points into one row for each role, driver and quantity', () => {
     const base = { role: 'entry VM', driver: 'VMs', unit: 'bytes', at: 360 }
     const rows = fitRows([1, 2, 3].flatMap(size => [
       { ...base, quantity: 'heap', size, value: 10 * size },
@@ -41,7 +42,7 @@
     ])
   })
 
-  it('keeps four significant digits', () => {
+  it('rounds to four significant digits', () => {
     const cases: ReadonlyArray<readonly [number, number]> = [[123_456, 123_500], [0.0123456, 0.01235], [0, 0], [-1.23456, -1.235]]
     for (const [value, want] of cases) expect(roundSignificant(value)).to.equal(want)
   })
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -112,7 +112,7 @@
   await Promise.all(pending)
   await delay(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
   const unanswered = caller.attempts.filter(ask => ask.outcome?.kind !== 'answered').length
-  if (unanswered > 0) throw new Error(`${unanswered} of ${requests} requests got no answer`)
+  if (unanswered > 0) throw new Error(`${unanswered} of ${requests} requests received no answer`)
   return caller.attempts.reduce((sum, ask) => sum + ask.pieces, 0)
 }
 
--- a/packages/stand-ins/src/measure/capacityBench.ts
+++ b/packages/stand-ins/src/measure/capacityBench.ts
@@ -21,7 +21,7 @@
 export const capacityBench: Measurement = {
   group: 'bench',
   name: 'capacity',
-  title: 'slopes of state, messages, processor time and memory of each role, and their value at the target',
+  title: 'slopes of state, messages, processor time and memory of each role, and their value at the planned scale',
   run: async options => {
     const pointsByProbe = new Map<CapacityProbe, readonly ProbePoint[]>()
     const pending = capacityProbes.filter(probe => !probe.isTimeSensitive)
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.spec.ts
@@ -27,7 +27,7 @@
 const refusedShare = ({ asked, refused }: FleetCounts): number => refused / asked
 
 describe('GatewayFleet', () => {
-  it('lets only a few VMs look for terminated holders, whatever the fleet size', async () => {
+  it('makes only a few store calls to find terminated holders, whatever the fleet size', async () => {
     const calls: number[] = []
     for (const vms of [6, 60]) {
       const fleet = new GatewayFleet({ ...shape, vms })
@@ -40,7 +40,7 @@
   })
 
   /*
-   * After a restart of all VMs nobody holds tokens and every request waits. If each VM with a waiting request draws from the table,
+   * After a restart of all VMs no VM holds tokens and every request waits. If each VM with a waiting request draws from the table,
    * also for budgets that it does not own, each of the 24 rows is drawn on by about 20 VMs. Transactions then queue for a second in
    * the store and conflict, and the fleet keeps refusing with `budgetPending` while most prepaid tokens are unused.
    */
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -122,7 +122,7 @@
     return { ...counts, storeCalls: this.storeCalls - callsBefore }
   }
 
-  /** Lets each VM look for terminated holders once; resolves to the number of store calls made. */
+  /** Runs one recovery pass for terminated holders on each VM; resolves to the number of store calls made. */
   async recoverTerminated (): Promise<number> {
     const before = this.storeCalls
     await this.time.until(Promise.all(this.vms.map(async ({ budgets }) => { await budgets.recoverTerminated() })))
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.ts
@@ -32,7 +32,7 @@
   readonly requestsPerS: number
   /** Mean milliseconds of a run; a run is between a tenth and twice as long. */
   readonly runMs: number
-  /** Time from the end of a target until a new process has its id. */
+  /** Time from the end of a target's process until a new process runs under the same id. */
   readonly restartMs: number
   /** Longest delay of an update to another VM. */
   readonly maxUpdateDelayMs: number
--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -1,6 +1,6 @@
 /**
  * Simulated model engine with continuous batching. A step decodes one token per request and prefills a chunk of prompt tokens;
- * its duration grows with the batch. Prompt prefixes are kept in a small LRU cache. Requests beyond the slots wait by priority.
+ * its duration grows with the batch. Prompt prefixes are cached in a small LRU cache. Requests beyond the slots wait by priority.
  */
 import type { SimRequest } from './routingWorkload.js'
 
--- a/packages/stand-ins/src/measure/routingStatistics.ts
+++ b/packages/stand-ins/src/measure/routingStatistics.ts
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Counts a complete answer. Its value counts at the time of completion, so that answers after the end of arrivals don't add to
+   * Counts a complete answer. Its value counts at the time of completion, so that answers after the end of arrivals do not add to
    * the goodput.
    * @param at - time of the last token
    */
--- a/packages/stand-ins/src/scenario/fleet/fleet.ts
+++ b/packages/stand-ins/src/scenario/fleet/fleet.ts
@@ -218,6 +218,7 @@
     await this.vm(name).start()
   }
 
+  /** Sets the state of a VM in the VM list stand-in. */
   private async list (name: string, state: 'live' | 'leaving' | 'gone'): Promise<void> {
     this.listedStates.set(name, state)
     const vms = [...this.listedStates].map(([vm, listedState]) => {
--- a/packages/stand-ins/src/scenario/fleet/managedProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/managedProcess.ts
@@ -21,6 +21,7 @@
   private readonly child: ChildProcess
   private readonly log: WriteStream
   private readonly ended: Promise<void>
+  /** `undefined` while the process runs, `null` when a signal terminated it. */
   exitCode: number | null | undefined
 
   /**
--- a/packages/stand-ins/src/scenario/fleet/standInProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/standInProcess.ts
@@ -30,6 +30,7 @@
     return `http://127.0.0.1:${this.ports.listen}`
   }
 
+  /** Resolves when the control port answers; throws if the process exits first. */
   async ready (): Promise<void> {
     await waitFor(`stand-in ${this.name} to listen`, START_TIMEOUT_MS, async () => {
       if (!this.process.isAlive) throw new Error(`stand-in ${this.name} exited with code ${this.process.exitCode}`)
--- a/packages/stand-ins/src/scenario/fleet/vmProcess.ts
+++ b/packages/stand-ins/src/scenario/fleet/vmProcess.ts
@@ -75,6 +75,7 @@
     return this.process?.exitCode
   }
 
+  /** Writes the settings file, starts the process and waits until it listens; throws if it exits first. */
   async start (): Promise<void> {
     const file = join(this.folder, `${this.name}.yaml`)
     await writeFile(file, stringify(this.settings))
--- a/packages/stand-ins/src/scenario/language/scenarioSchema.ts
+++ b/packages/stand-ins/src/scenario/language/scenarioSchema.ts
@@ -147,7 +147,7 @@
   ran: z.number().int().nonnegative().optional(),
   /** Name of a request with an equal answer. */
   sameAs: name.optional(),
-  /** Every VM that is up has at least this version, or the highest accepted one, in force. */
+  /** Minimum version in force on every VM that is up; `latest` is the highest accepted one. */
   inForce: z.union([z.number().int(), z.literal('latest')]).optional(),
   /** The highest version accepted so far. */
   accepted: z.number().int().optional(),
--- a/packages/stand-ins/src/scenario/soak/soak.ts
+++ b/packages/stand-ins/src/scenario/soak/soak.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * Runs random scenarios until the time is over; folders of failed rounds are retained.
+ * Runs random scenarios until the time is over, at least one; folders of failed rounds are retained.
  * @returns whether all promises held
  */
 export async function soak ({ seed, minutes, folder, round: onlyRound }: SoakOptions): Promise<boolean> {
--- a/packages/stand-ins/src/scenario/steps/operatorSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/operatorSteps.ts
@@ -49,7 +49,7 @@
   return status >= 400 && status < 500
 }
 
-/** The runner that an operation sets to leaving. */
+/** The runner that a patch operation sets to leaving, if any. */
 function leavingRunners (op: Readonly<Record<string, unknown>>): readonly string[] {
   const runner = /\/runners\/([^/]+)\/state$/.exec(String(op['path']))?.[1]
   return runner === undefined || op['value'] !== 'leaving' ? [] : [runner]
--- a/packages/stand-ins/src/scenario/steps/requestSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/requestSteps.ts
@@ -70,6 +70,7 @@
     throw new Error(`request ${name} was expected to be ${JSON.stringify(options.expect)}, but: ${all}`)
   }
 
+  /** Sends a request until it succeeds, cannot be retried or has no retries left. */
   private async ask (request: NamedRequest, options: RetryOptions): Promise<void> {
     for (let retry = 0; retry <= options.retries; retry++) {
       const vm = options.vm[retry % options.vm.length]!
