--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -44,6 +44,7 @@
 export class SimEngine {
   /** Multiplies the duration of each step. */
   slowdownFactor = 1
+  /** `unresponsive` accepts requests without progress; `down` refuses connections. */
   state: 'up' | 'unresponsive' | 'down' = 'up'
   readonly cacheChanges: CacheChange[] = []
   private readonly cache = new Set<number>()
--- a/packages/stand-ins/src/measure/routingStatistics.ts
+++ b/packages/stand-ins/src/measure/routingStatistics.ts
@@ -30,6 +30,7 @@
     if (at >= this.fromMs && at < this.toMs) this.servedValue += req.value
   }
 
+  /** Counts a request that was accepted but not answered by its deadline. */
   late (req: SimRequest): void {
     if (this.isMeasured(req)) this.lateCount += 1
   }
@@ -44,6 +45,7 @@
     if (isServable) this.falseRefusalCount += 1
   }
 
+  /** @param sealed - number of runners to seal before the dispatch */
   routed (sealed: number): void {
     this.routedCount += 1
     this.sealedCount += sealed
@@ -66,6 +68,7 @@
     return this.sealedCount / Math.max(1, this.routedCount)
   }
 
+  /** Percentage of the offered requests, 0 to 100. */
   share (kind: 'late' | 'refused' | 'false'): number {
     const count = { late: this.lateCount, refused: this.refusedCount, false: this.falseRefusalCount }[kind]
     return 100 * count / Math.max(1, this.offeredCount)
--- a/packages/stand-ins/src/scenario/fleet/network.ts
+++ b/packages/stand-ins/src/scenario/fleet/network.ts
@@ -33,6 +33,7 @@
     await this.applyCuts()
   }
 
+  /** Ends all cuts, then reports the VMs that can reach the table again. */
   async healAll (): Promise<void> {
     const cutFromTable = [...this.cutVms.get('table') ?? []]
     this.cutVms.clear()
--- a/packages/stand-ins/src/scenario/scenarioRun.ts
+++ b/packages/stand-ins/src/scenario/scenarioRun.ts
@@ -25,6 +25,7 @@
   /** Names of the rules whose promise was broken. */
   readonly brokenRules: readonly string[]
   readonly folder: string
+  /** Number of history records. */
   readonly records: number
   readonly durationMs: number
 }
--- a/packages/stand-ins/src/scenario/steps/requestRegistry.ts
+++ b/packages/stand-ins/src/scenario/steps/requestRegistry.ts
@@ -6,6 +6,7 @@
 import { teamKey } from '../fleet/fleetConfig.js'
 import type { FleetDefinition, LoadStep, RequestStep } from '../language/scenarioSchema.js'
 
+/** A request and all its attempts, in the order sent. */
 export interface NamedRequest {
   readonly spec: RequestSpec
   readonly attempts: Attempt[]
--- a/packages/stand-ins/src/scenario/steps/requestSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/requestSteps.ts
@@ -20,6 +20,7 @@
   readonly expect: Expectation
 }
 
+/** Requests of a load so far; `ended` includes those that were answered. */
 export interface LoadProgress {
   answered: number
   ended: number
