--- a/packages/stand-ins/src/measure/routingEngine.ts
+++ b/packages/stand-ins/src/measure/routingEngine.ts
@@ -1,6 +1,6 @@
 /**
  * Simulated model engine with continuous batching. A step decodes one token per request and prefills a chunk of prompt tokens;
- * its duration grows with the batch. Prompt prefixes are kept in a small LRU cache. Requests beyond the slots wait by priority.
+ * its duration grows with the batch. Prompt prefixes are cached in a small LRU cache. Requests beyond the slots wait by priority.
  */
 import type { SimRequest } from './routingWorkload.js'
 
@@ -44,6 +44,7 @@
 export class SimEngine {
   /** Multiplies the duration of each step. */
   slowdownFactor = 1
+  /** `unresponsive` accepts requests without progress; `down` refuses connections. */
   state: 'up' | 'unresponsive' | 'down' = 'up'
   readonly cacheChanges: CacheChange[] = []
   private readonly cache = new Set<number>()
