--- a/packages/stand-ins/src/history/rules/overspendRule.ts
+++ b/packages/stand-ins/src/history/rules/overspendRule.ts
@@ -33,15 +33,15 @@
   private runs (history: History): Finding[] {
     const balances = new Map<string, number>()
     const deduct = (budget: string, tokens: number): number => {
-      const now = (balances.get(budget) ?? 0) - tokens
-      balances.set(budget, now)
-      return now
+      const balance = (balances.get(budget) ?? 0) - tokens
+      balances.set(budget, balance)
+      return balance
     }
     for (const paid of history.of('paid')) deduct(paid.budget, -paid.tokens)
     for (const bill of history.of('billed')) deduct(bill.budget, bill.tokens)
     return this.unbilledRuns(history).flatMap(({ budget, ended }) => {
-      const now = deduct(budget, ended.tokens)
-      return now < 0 ? [{ text: `bills and unbilled runs cost budget ${budget} ${-now} tokens more than was paid in total`, records: [ended] }] : []
+      const balance = deduct(budget, ended.tokens)
+      return balance < 0 ? [{ text: `bills and unbilled runs cost budget ${budget} ${-balance} tokens more than was paid in total`, records: [ended] }] : []
     })
   }
 
--- a/packages/stand-ins/src/measure/budget/budgetChaos.ts
+++ b/packages/stand-ins/src/measure/budget/budgetChaos.ts
@@ -91,9 +91,9 @@
   }
 
   private apply (step: ChaosStep): void {
-    const { harness: world } = this
-    const { faults, time } = world
-    const node = world.nodes[step.which % world.nodes.length]
+    const { harness } = this
+    const { faults, time } = harness
+    const node = harness.nodes[step.which % harness.nodes.length]
     const domain = step.which % 2 === 0 ? 'a' : 'b'
     switch (step.kind) {
       case 'cut':
@@ -115,8 +115,8 @@
         break
       case 'kill':
         if (node === undefined || node.vm.isDead) break
-        world.kill(node)
-        time.after(5 * SECOND_MS, () => world.startVm(node.vm.domain))
+        harness.kill(node)
+        time.after(5 * SECOND_MS, () => harness.startVm(node.vm.domain))
         break
       case 'drain': if (node?.spender instanceof BudgetDriver && node.vm.isServing) this.drain(node.spender); break
       case 'step': if (node !== undefined) node.vm.wallOffsetMs += (step.at - 75) * SECOND_MS; break
@@ -124,7 +124,7 @@
       case 'replace':
         if (node === undefined || !node.vm.isServing) break
         node.vm.freeze(step.lasts * SECOND_MS, step.stopsMono)
-        world.replace(node)
+        harness.replace(node)
         break
       case 'topUp': if (step.tokens !== 0) this.topUp(budgets[step.which % 2] ?? 'b0', step.tokens, `op-${step.at}-${step.which}`); break
       case 'burst': this.burst(step.which, step.count, step.tokens); break
@@ -132,14 +132,14 @@
   }
 
   private burst (selector: number, count: number, tokens: number): void {
-    const { harness: world } = this
-    const serving = world.nodes.filter(node => node.vm.isServing)
+    const { harness } = this
+    const serving = harness.nodes.filter(node => node.vm.isServing)
     for (let index = 0; index < count; index += 1) {
       const node = serving[(selector + (index >> 2)) % Math.max(1, serving.length)]
       if (node === undefined) return
       this.requests += 1
-      const used = Math.floor(tokens * world.random())
-      world.request(node, { requestId: `r${this.requests}`, budget: budgets[selector % 2] ?? 'b0', tokens, used, runMs: 9000 * world.random(), giveUpAfterMs: 3000 })
+      const used = Math.floor(tokens * harness.random())
+      harness.request(node, { requestId: `r${this.requests}`, budget: budgets[selector % 2] ?? 'b0', tokens, used, runMs: 9000 * harness.random(), giveUpAfterMs: 3000 })
         .then(outcome => { this.count(outcome.kind === 'refused' ? outcome.failure.code : 'admitted') })
         .catch(err => { throw err })
     }
--- a/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
+++ b/packages/stand-ins/src/measure/budget/budgetFaults.spec.ts
@@ -60,7 +60,7 @@
 
 /** Closes the allotment of a terminated holder without querying peers for unrecorded transfers. */
 const skipsTransferCheck = faultyDriver(({ peers }) => ({
-  peers: { members: () => peers.members(), requestTransfer: async (holder, ask) => await peers.requestTransfer(holder, ask), recall: async (holder, ask) => await peers.recall(holder, ask), confirmNoTransfers: async () => Right({ none: true }) }
+  peers: { members: () => peers.members(), requestTransfer: async (holder, request) => await peers.requestTransfer(holder, request), recall: async (holder, request) => await peers.recall(holder, request), confirmNoTransfers: async () => Right({ none: true }) }
 }))
 
 /** Answers a transfer request without subtracting the tokens first. */
@@ -74,7 +74,7 @@
 
 const burst = (at: number, which: number, count: number, tokens: number): ChaosStep => ({ kind: 'burst', at, which, count, tokens })
 
-const cases: ReadonlyArray<{ title: string, steps: readonly ChaosStep[], strong?: DriverFactory, weak: DriverFactory, breaks: RegExp }> = [
+const cases: ReadonlyArray<{ title: string, steps: readonly ChaosStep[], product?: DriverFactory, weak: DriverFactory, breaks: RegExp }> = [
   {
     title: 'answers of draws are lost',
     steps: [{ kind: 'lose', at: 1, lasts: 60, which: 0 }, burst(2, 0, 8, 500), burst(12, 1, 8, 500), burst(30, 2, 8, 400)],
@@ -102,7 +102,7 @@
   {
     title: 'a holder is killed and no runner answers for two minutes',
     steps: [burst(2, 0, 8, 900), { kind: 'kill', at: 5, which: 0 }],
-    strong: unreachableRunners,
+    product: unreachableRunners,
     weak: treatsUnreachableAsIdle,
     breaks: /not billed/
   },
@@ -124,9 +124,9 @@
 ]
 
 describe('budget faults', () => {
-  for (const { title, steps, strong, weak, breaks } of cases) {
+  for (const { title, steps, product, weak, breaks } of cases) {
     it(`${title}: the product holds its invariants, the faulty driver does not`, async () => {
-      expect(await new ChaosRun(1, new Map(), strong).run(steps)).to.deep.equal([])
+      expect(await new ChaosRun(1, new Map(), product).run(steps)).to.deep.equal([])
       const violations = await new ChaosRun(1, new Map(), weak).run(steps)
       expect(violations.join('; ')).to.match(breaks)
     })
--- a/packages/stand-ins/src/measure/capacity/vmProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/vmProbe.ts
@@ -111,9 +111,9 @@
   }
   await Promise.all(pending)
   await delay(Math.max(0, from + LOAD_MS + SECOND_MS - performance.now()))
-  const unanswered = caller.attempts.filter(ask => ask.outcome?.kind !== 'answered').length
+  const unanswered = caller.attempts.filter(attempt => attempt.outcome?.kind !== 'answered').length
   if (unanswered > 0) throw new Error(`${unanswered} of ${requests} requests received no answer`)
-  return caller.attempts.reduce((sum, ask) => sum + ask.pieces, 0)
+  return caller.attempts.reduce((sum, attempt) => sum + attempt.pieces, 0)
 }
 
 /** Cost of an idle VM by fleet size. */
@@ -180,7 +180,7 @@
         await delay(5)
       }
       await delay(SETTLE_MS)
-      const open = caller.attempts.filter(ask => ask.outcome === undefined && ask.pieces > 0).length
+      const open = caller.attempts.filter(attempt => attempt.outcome === undefined && attempt.pieces > 0).length
       points.push(createPoint(series('entry VM', 'open streams', 'resident memory of a real VM', 'MB', plannedVmLoad.openStreams), open, await measured.vm.residentMb()))
     }
     await measured.end()
--- a/packages/stand-ins/src/measure/capacity/wireProbe.ts
+++ b/packages/stand-ins/src/measure/capacity/wireProbe.ts
@@ -77,8 +77,8 @@
   return median(rounds)
 }
 
-function createHeartbeat (beat: number): object {
-  return { self: { holder: HOLDER, beat, state: 'live', config: 1_234, open: 7, age: 0 }, news: [], ask: false }
+function createHeartbeat (sequence: number): object {
+  return { self: { holder: HOLDER, beat: sequence, state: 'live', config: 1_234, open: 7, age: 0 }, news: [], ask: false }
 }
 
 /** Processor time and bytes of a flush over HTTP by number of bills. */
--- a/packages/stand-ins/src/measure/config/wireCost.ts
+++ b/packages/stand-ins/src/measure/config/wireCost.ts
@@ -40,9 +40,9 @@
 
 /** TCP relay to a port that counts the bytes in both directions. */
 async function startCountingRelay (port: number, counter: Counter): Promise<Server> {
-  const server = createServer(inner => {
-    const outer = connect(port, LOOPBACK)
-    for (const [from, to] of [[inner, outer], [outer, inner]] as const) {
+  const server = createServer(inbound => {
+    const outbound = connect(port, LOOPBACK)
+    for (const [from, to] of [[inbound, outbound], [outbound, inbound]] as const) {
       from.on('data', chunk => { counter.bytes += chunk.length })
       from.on('error', () => to.destroy())
       from.pipe(to)
--- a/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
+++ b/packages/stand-ins/src/measure/gateway/gatewayFleet.ts
@@ -147,14 +147,14 @@
 
   /**
    * Terminates all VMs at once and restarts them later; the new processes recover the allotments of the earlier ones.
-   * @param downMs - virtual milliseconds until the restart
+   * @param downtimeMs - virtual milliseconds until the restart
    */
-  async restartAll (downMs: number): Promise<void> {
+  async restartAll (downtimeMs: number): Promise<void> {
     const names = this.vms.map(({ address }) => address)
     for (const { holder } of this.vms) this.ended.add(holder)
     this.vms = []
     this.generation += 1
-    await this.time.run(downMs)
+    await this.time.run(downtimeMs)
     for (const name of names) this.vms.push(this.startVm(name))
     for (const { budgets } of this.vms) this.recoverPredecessors(budgets)
   }
@@ -190,7 +190,7 @@
   private startVm (name: string): FleetVm {
     const holder = `${name}~${this.generation}`
     const startedAt = this.time.mono
-    const others = (): readonly FleetVm[] => this.vms.filter(vm => vm.holder !== holder)
+    const otherVms = (): readonly FleetVm[] => this.vms.filter(vm => vm.holder !== holder)
     const budgets = createBudgetDriver({
       holder,
       domain: `domain${this.vms.length % 3}`,
@@ -200,9 +200,9 @@
       clock: { now: () => ({ mono: this.time.mono - startedAt, wall: this.time.mono }) },
       log: { write: () => {} },
       fleet: {
-        members: () => others().map(vm => ({ holder: vm.holder, domain: '' })),
-        peers: () => others().map(vm => ({ holder: vm.holder, address: vm.address })),
-        get size () { return others().length + 1 }
+        members: () => otherVms().map(vm => ({ holder: vm.holder, domain: '' })),
+        peers: () => otherVms().map(vm => ({ holder: vm.holder, address: vm.address })),
+        get size () { return otherVms().length + 1 }
       },
       call: async (address, method, params, timeoutMs) => await this.callVm(holder, address, { method, params }, timeoutMs),
       declared: team => ({ tokens: this.config.teams[team]?.prepaidTokens ?? 0, version: this.config.version })
--- a/packages/stand-ins/src/measure/quarantine/quarantineFleet.spec.ts
+++ b/packages/stand-ins/src/measure/quarantine/quarantineFleet.spec.ts
@@ -22,10 +22,10 @@
   for (let index = 0; index < times; index += 1) fleet.time.after(fromMs + index * stepMs, () => { action(index) })
 }
 
-async function runCase ({ shape, schedule: set }: FleetCase, seed: number): Promise<QuarantineCounts> {
+async function runCase ({ shape, schedule }: FleetCase, seed: number): Promise<QuarantineCounts> {
   const fleet = new QuarantineFleet({ ...shape, seed: `${seed}` })
   fleet.sendHarmless(25 * SECOND_MS)
-  set(fleet)
+  schedule(fleet)
   await fleet.time.run(30 * SECOND_MS)
   return fleet.counts
 }
--- a/packages/stand-ins/src/measure/routingPolicies.ts
+++ b/packages/stand-ins/src/measure/routingPolicies.ts
@@ -196,19 +196,19 @@
   done (): void {}
 }
 
-export function createPolicy (name: PolicyName, parts: PolicyOptions): VmPolicy {
+export function createPolicy (name: PolicyName, options: PolicyOptions): VmPolicy {
   switch (name) {
-    case 'product': return new ProductPolicy(parts, false)
-    case 'product keyed': return new ProductPolicy(parts, true)
-    case 'random': return new BaselinePolicy(parts, names => names[Math.floor(parts.random() * names.length)])
-    case 'round robin': return createRoundRobin(parts)
-    case 'least in flight': return new BaselinePolicy(parts, (names, inFlight) => pickLeastLoaded(names, inFlight, parts.random))
+    case 'product': return new ProductPolicy(options, false)
+    case 'product keyed': return new ProductPolicy(options, true)
+    case 'random': return new BaselinePolicy(options, names => names[Math.floor(options.random() * names.length)])
+    case 'round robin': return createRoundRobin(options)
+    case 'least in flight': return new BaselinePolicy(options, (names, inFlight) => pickLeastLoaded(names, inFlight, options.random))
   }
 }
 
-function createRoundRobin (parts: PolicyOptions): VmPolicy {
-  let nextIndex = Math.floor(parts.random() * parts.runners.length)
-  return new BaselinePolicy(parts, names => names[nextIndex++ % names.length])
+function createRoundRobin (options: PolicyOptions): VmPolicy {
+  let nextIndex = Math.floor(options.random() * options.runners.length)
+  return new BaselinePolicy(options, names => names[nextIndex++ % names.length])
 }
 
 /** The runner with the fewest requests in flight; ties are broken at random, as all VMs start with the same state. */
--- a/packages/stand-ins/src/measure/routingSimulation.ts
+++ b/packages/stand-ins/src/measure/routingSimulation.ts
@@ -103,7 +103,7 @@
     this.statistics.offered(req)
     this.ongoing.set(req.id, { req, attempts: 0, tried: [] })
     this.retries[req.vm]?.recordFirstAttempt(instantOf(at))
-    this.time.schedule(req.deadline, late => this.handleDeadline(req, late))
+    this.time.schedule(req.deadline, deadlineAt => this.handleDeadline(req, deadlineAt))
     this.execute(this.policies[req.vm]?.submit(req, [], at) ?? [], at)
   }
 
--- a/packages/stand-ins/src/scenario/fleet/fakeLink.spec.ts
+++ b/packages/stand-ins/src/scenario/fleet/fakeLink.spec.ts
@@ -8,13 +8,13 @@
 
 const WAIT_TIMEOUT_MS = 10_000
 
-interface TestClient { readonly socket: Socket, text: string, closed: boolean }
+interface TestConnection { readonly socket: Socket, text: string, closed: boolean }
 
 describe('fake link', () => {
   let echo: Server
   let link: FakeLink
   let port: number
-  const clients: TestClient[] = []
+  const connections: TestConnection[] = []
 
   beforeEach(async () => {
     echo = createServer(socket => socket.on('error', () => {}).pipe(socket)).listen(0, '127.0.0.1')
@@ -26,22 +26,22 @@
 
   afterEach(() => {
     link.close()
-    for (const { socket } of clients.splice(0)) socket.destroy()
+    for (const { socket } of connections.splice(0)) socket.destroy()
     echo.close()
   })
 
-  async function connectAs (holder: string): Promise<TestClient> {
-    const caller: TestClient = { socket: connect(port, '127.0.0.1'), text: '', closed: false }
-    clients.push(caller)
-    caller.socket.on('data', chunk => { caller.text += chunk.toString() }).on('close', () => { caller.closed = true }).on('error', () => {})
-    caller.socket.write(holder)
-    return caller
+  async function connectAs (holder: string): Promise<TestConnection> {
+    const connection: TestConnection = { socket: connect(port, '127.0.0.1'), text: '', closed: false }
+    connections.push(connection)
+    connection.socket.on('data', chunk => { connection.text += chunk.toString() }).on('close', () => { connection.closed = true }).on('error', () => {})
+    connection.socket.write(holder)
+    return connection
   }
 
-  const cases: ReadonlyArray<{ readonly state: LinkState, readonly q1: (caller: TestClient) => boolean }> = [
-    { state: 'open', q1: caller => caller.text === 'q1~abcd more' },
-    { state: 'held', q1: caller => caller.text === 'q1~abcd' && !caller.closed },
-    { state: 'cut', q1: caller => caller.closed }
+  const cases: ReadonlyArray<{ readonly state: LinkState, readonly q1: (connection: TestConnection) => boolean }> = [
+    { state: 'open', q1: connection => connection.text === 'q1~abcd more' },
+    { state: 'held', q1: connection => connection.text === 'q1~abcd' && !connection.closed },
+    { state: 'cut', q1: connection => connection.closed }
   ]
   for (const { state, q1 } of cases) {
     it(`${state} for one VM does not affect another`, async () => {
@@ -60,8 +60,8 @@
 
   it('closes a new connection of a VM that is cut', async () => {
     link.set('q1', 'cut')
-    const caller = await connectAs('q1~abcd')
-    await waitFor('the connection to close', WAIT_TIMEOUT_MS, () => caller.closed)
-    expect(caller.text).to.equal('')
+    const connection = await connectAs('q1~abcd')
+    await waitFor('the connection to close', WAIT_TIMEOUT_MS, () => connection.closed)
+    expect(connection.text).to.equal('')
   })
 })
--- a/packages/stand-ins/src/scenario/fleet/fleet.ts
+++ b/packages/stand-ins/src/scenario/fleet/fleet.ts
@@ -122,10 +122,10 @@
   }
 
   /** Starts or ends an outage of a stand-in. */
-  async setOutage (name: string, isOut: boolean): Promise<void> {
-    if (name === 'table' && isOut) this.addRecord({ kind: 'tableDown', at: Date.now() })
-    await this.standIn(name).control({ outage: isOut })
-    if (name === 'table' && !isOut) this.addRecord({ kind: 'tableUp', at: Date.now() })
+  async setOutage (name: string, isStarting: boolean): Promise<void> {
+    if (name === 'table' && isStarting) this.addRecord({ kind: 'tableDown', at: Date.now() })
+    await this.standIn(name).control({ outage: isStarting })
+    if (name === 'table' && !isStarting) this.addRecord({ kind: 'tableUp', at: Date.now() })
   }
 
   /** Ends all cuts, outages and delays, and resumes all paused VMs. */
--- a/packages/stand-ins/src/scenario/steps/operatorSteps.ts
+++ b/packages/stand-ins/src/scenario/steps/operatorSteps.ts
@@ -34,8 +34,8 @@
       if (isAccepted(outcome) || isFinal(outcome)) break
     }
     const last = outcomes.at(-1)
-    const found = last !== undefined && isAccepted(last) ? 'accepted' : 'refused'
-    if (step.expect === 'any' || step.expect === found) return
+    const actual = last !== undefined && isAccepted(last) ? 'accepted' : 'refused'
+    if (step.expect === 'any' || step.expect === actual) return
     throw new Error(`${description} was expected to be ${step.expect}, but: ${outcomes.map(({ status, name }) => `${status} ${name ?? ''}`).join(', ')}`)
   }
 }
--- a/packages/stand-ins/src/scenario/steps/requestRegistry.ts
+++ b/packages/stand-ins/src/scenario/steps/requestRegistry.ts
@@ -19,9 +19,9 @@
 
   /** The request of this name; throws when the scenario has none. */
   get (name: string): NamedRequest {
-    const found = this.requests.get(name)
-    if (found === undefined) throw new Error(`there is no request '${name}'`)
-    return found
+    const request = this.requests.get(name)
+    if (request === undefined) throw new Error(`there is no request '${name}'`)
+    return request
   }
 
   /** Registers a request. */
--- a/packages/stand-ins/src/scenario/weak/faultyParts.ts
+++ b/packages/stand-ins/src/scenario/weak/faultyParts.ts
@@ -64,7 +64,7 @@
 
 /** Replaces the decider of the configuration version in force. */
 function useConfigDecider (container: Container, decider: ConfigDecider): void {
-  const parts = {
+  const deps = {
     table: container.get(ids.table),
     objects: container.get(ids.objects),
     clock: container.get(ids.clock),
@@ -77,7 +77,7 @@
       }
     }
   }
-  container.rebind(ids.configStore).toConstantValue(new ConfigStore(parts, decider))
+  container.rebind(ids.configStore).toConstantValue(new ConfigStore(deps, decider))
 }
 
 /** Continues to act in a role under the first fencing number it acquired. */
