--- a/deploy/runBundle.cjs
+++ b/deploy/runBundle.cjs
@@ -14,12 +14,12 @@
 const isWriting = process.argv.includes('--write-code-cache')
 
 const cachedData = !isWriting && existsSync(cacheFile) ? readFileSync(cacheFile) : undefined
-// The bundle is ASCII, so that latin1 saves the decoding.
+// The bundle is ASCII; reading it as latin1 avoids UTF-8 decoding.
 const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(bundleFile, 'latin1')}\n})`
 const script = new Script(source, { filename: bundleFile, ...(cachedData === undefined ? {} : { cachedData }) })
-if (script.cachedDataRejected === true) console.error('the code cache is of another build or version of Node and is not used')
+if (script.cachedDataRejected === true) console.error('the code cache is from another build or Node version and is not used')
 
-// Without settings the program exits once all modules are loaded; the cache has what was compiled by then.
+// Without settings the program exits once all modules are loaded; the cache then contains what was compiled so far.
 if (isWriting) {
   process.once('exit', () => {
     writeFileSync(cacheFile, script.createCachedData())
--- a/packages/peers/src/link/frameChannel.ts
+++ b/packages/peers/src/link/frameChannel.ts
@@ -11,6 +11,7 @@
 /** Receives one decoded frame. */
 export type FrameHandler = (frame: unknown) => void
 
+/** Closes the socket on an error, on malformed input and at the end of the peer's side. */
 export class FrameChannel {
   private readonly packr = new Packr({ sequential: true })
   private readonly unpackr: UnpackrStream
--- a/packages/peers/src/link/peerClient.ts
+++ b/packages/peers/src/link/peerClient.ts
@@ -15,6 +15,7 @@
 const MAX_PEERS = 1_024
 const MAX_BACKOFF_DOUBLINGS = 10
 
+/** Default {@link Dial}; throws on an address that is not IPv4:port. */
 export const dialTcp: Dial = address => connect(parseAddress(address))
 
 /** State of one address. */
--- a/packages/peers/src/link/peerLink.spec.ts
+++ b/packages/peers/src/link/peerLink.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Links between VMs over loopback: authentication, limits, lost and unresponsive connections, late responses.
+ */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -106,7 +109,7 @@
     })
   }
 
-  it('sends many record shapes over one link, also after a frame that was too large to send', async () => {
+  it('sends many record shapes over one link, even after a frame that was too large to send', async () => {
     const { address } = await startServer(['k'])
     const client = createClient(['k'])
     for (let i = 0; i < 200; i += 1) {
@@ -218,7 +221,7 @@
     expect(sockets.length).equal(4)
   })
 
-  it('delivers a response that arrives after the timeout, also on a retired link', async () => {
+  it('delivers a response that arrives after the timeout, even on a retired link', async () => {
     const server = await startServer(['k'])
     server.register('slow', async params => {
       await pause(120)
@@ -258,7 +261,7 @@
     expect(dials).equal(1)
   })
 
-  it('delivers notifications in order, also those sent during the handshake', async () => {
+  it('delivers notifications in order, including those sent during the handshake', async () => {
     const server = await startServer(['k'])
     const received: unknown[] = []
     server.register('note', async params => { received.push(params) })
--- a/packages/peers/src/link/peerLink.ts
+++ b/packages/peers/src/link/peerLink.ts
@@ -27,6 +27,7 @@
   readonly clock: Clock
 }
 
+/** One connection to a peer; the client opens it and sends all calls. */
 export class PeerLink {
   /** Resolves when the handshake ends, with a failure (`ran: no`) if it did not succeed. */
   readonly ready: Promise<Either<Failure, void>>
--- a/packages/rosemaryspread/src/completion/completionBilled.ts
+++ b/packages/rosemaryspread/src/completion/completionBilled.ts
@@ -3,7 +3,7 @@
  * through this VM while a runner was unreachable; only the first of them is billed.
  */
 
-/** More than an hour of ids at 10 requests per second. */
+/** Covers more than an hour at 10 requests per second. */
 const MAX_IDS = 50_000
 
 /** A bounded set that evicts the oldest id. */
--- a/packages/rosemaryspread/src/completion/completionFinder.ts
+++ b/packages/rosemaryspread/src/completion/completionFinder.ts
@@ -17,7 +17,7 @@
   readonly at?: ExistingRun
   /** Skipped runners that could not be sealed. */
   readonly unsealed: readonly RunnerAddress[]
-  /** The chosen runner was sealed by an earlier attempt: the run, if any, is at a later runner of the order. */
+  /** Whether an earlier attempt sealed the chosen runner: the run, if any, is then at a later runner of the order. */
   readonly isChoiceSealed: boolean
 }
 
--- a/packages/rosemaryspread/src/completion/completionReport.ts
+++ b/packages/rosemaryspread/src/completion/completionReport.ts
@@ -30,7 +30,7 @@
     this.deps.log.write('attemptFailed', { request, runner, code, ran, retried, detail: message })
   }
 
-  /** Reports a failure that the caller receives, and returns it. */
+  /** Reports the failure that ends a request, and returns it for the caller. */
   refused (request: string, team: string, failure: Failure): Failure {
     const { code, ran, retryAfterMs } = failure
     this.deps.metrics.count(`refusals_${code}`)
--- a/packages/rosemaryspread/src/completion/completionRun.ts
+++ b/packages/rosemaryspread/src/completion/completionRun.ts
@@ -23,6 +23,7 @@
   readonly startedAt: number
 }
 
+/** Starts and joins runs, and reports their outcome. */
 export class CompletionRuns {
   constructor (private readonly deps: PlannerDeps & SettlementDeps, private readonly report: CompletionReport) {}
 
--- a/packages/rosemaryspread/src/completion/completionService.spec.ts
+++ b/packages/rosemaryspread/src/completion/completionService.spec.ts
@@ -76,7 +76,7 @@
   const refusals = [
     { name: 'a draining VM', arrange: (vm: FakeVm) => { vm.work.draining = true }, code: 'draining' as const },
     { name: 'a spent budget', arrange: (vm: FakeVm) => { vm.budgets.refuse = new Failure('budgetSpent', 'spent') }, code: 'budgetSpent' as const },
-    { name: 'an allotment that expired while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.confirmFailure = new Failure('allotmentClosed', 'lapsed') }, code: 'allotmentClosed' as const }
+    { name: 'an allotment that expired while the VM was paused', arrange: (vm: FakeVm) => { vm.budgets.confirmFailure = new Failure('allotmentClosed', 'expired') }, code: 'allotmentClosed' as const }
   ]
   for (const { name, arrange, code } of refusals) {
     it(`is refused without dispatch for ${name}`, async () => {
@@ -280,14 +280,14 @@
   }
 })
 
-/** Reports seals without placing them. */
+/** Reports runners as sealed without sealing them. */
 class UnsealedClient extends FakeEngineClient {
   override async seal (): Promise<Either<Failure, Maybe<RunRecord>>> {
     return Right(Nothing)
   }
 }
 
-/** Omits the holder of a run. */
+/** Omits the holder that started a run. */
 class AnonymousClient extends FakeEngineClient {
   override async submit (address: string, req: EngineRequest): Promise<Either<Failure, EngineStream>> {
     return (await super.submit(address, req)).map(stream => ({ ...stream, holder: '' }))
@@ -295,7 +295,7 @@
 }
 
 describe('with faulty engine clients', () => {
-  it('a repeat runs and is billed twice without seals', async () => {
+  it('a repeat runs and is billed twice if runners are not sealed', async () => {
     const { engines, budgets, a, b } = createFleet(UnsealedClient)
     await a.ask({ key: 'k' })
     b.routing.believedDown = ['r1']
@@ -304,7 +304,7 @@
     expect(budgets.bills).to.have.length(2)
   })
 
-  it('two VMs bill the same run without its holder', async () => {
+  it('two VMs bill the same run if its stream names no holder', async () => {
     const { engines, budgets, a, b } = createFleet(AnonymousClient)
     engines.scripts.set('r1', { hold: new Promise(resolve => setTimeout(resolve, 10)) })
     await Promise.all([a.ask({ key: 'k' }), b.ask({ key: 'k' })])
--- a/packages/rosemaryspread/src/completion/completionService.ts
+++ b/packages/rosemaryspread/src/completion/completionService.ts
@@ -56,7 +56,7 @@
     await this.serve(call, admitted.unsafeCoerce(), sink, now)
   }
 
-  /** Serves an admitted request; its sink receives exactly one end, also after an exception. */
+  /** Serves an admitted request; its sink receives exactly one end, even after an exception. */
   private async serve (call: CompletionCall, admitted: AdmittedCompletion, sink: AnswerSink, now: Instant): Promise<void> {
     const close = this.deps.work.open()
     const relay = new AnswerRelay(sink, call.gone, admitted.requestId, admitted.model)
@@ -132,6 +132,7 @@
     return this.deps.routing.retryDelay(completion.admitted, attempts).extractNullable()
   }
 
+  /** Whether another runner may be tried: no piece was received, the caller is connected, and another runner would not fail alike. */
   private repeatable ({ relay }: OpenCompletion, { code }: Failure): boolean {
     if (relay.started || relay.callerGone) return false
     return code !== 'keyReused' && code !== 'deadlineExceeded'
--- a/packages/rosemaryspread/src/completion/completionSettlement.ts
+++ b/packages/rosemaryspread/src/completion/completionSettlement.ts
@@ -1,6 +1,6 @@
 /**
- * Settles the attempts of a finished request: releases the reservation, or passes the run to the
- * unsettled runs, which determine its cost.
+ * Settles the attempts of a finished request: releases the reservation of an attempt whose run this process
+ * did not start, and passes any other to the unsettled runs, which determine its cost.
  */
 import { toFailure } from '@rosemaryspread/decisions/codes/failure.js'
 import type { EventLog } from '@rosemaryspread/decisions/events/logEvents.js'
@@ -19,6 +19,7 @@
   readonly log: EventLog
 }
 
+/** An attempt with the reservation that it leaves open. */
 export interface EndedAttempt {
   readonly plan: PlannedRun
   readonly reservation: Reservation
--- a/packages/rosemaryspread/src/compose/bindBase.ts
+++ b/packages/rosemaryspread/src/compose/bindBase.ts
@@ -22,6 +22,7 @@
 const ENGINE_CALL_MS = 2_000
 const MAX_APPLICATION_ANSWER_BYTES = 16 * 1024 * 1024
 
+/** Creates the identity of the process; the other bind functions need it. */
 export function bindBase (container: Container, settings: Settings): void {
   const identity = createIdentity(settings)
   const { vm, domain, holder } = identity
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -23,6 +23,7 @@
 /** Interval of retrying to settle runs whose cost is unknown. */
 const UNSETTLED_RETRY_MS = 1_000
 
+/** Starts, drains and stops the services of one container. */
 export class VmProcess {
   private readonly log: EventLog
   private readonly timers: NodeJS.Timeout[] = []
--- a/packages/rosemaryspread/src/digest/digestPublisher.ts
+++ b/packages/rosemaryspread/src/digest/digestPublisher.ts
@@ -21,6 +21,7 @@
   readonly table: TableStore
   /** Called for each entry that was written; undefined when it was deleted. */
   written (key: string, entry: DigestEntry | undefined): void
+  /** Called with the result code of a write that failed; the changes stay due. */
   failed (code: string): void
 }
 
@@ -39,6 +40,7 @@
   readonly silenceMs: number
 }
 
+/** Publisher of one VM; it writes only while {@link tick} is called, that is while the VM ranks among the publishers. */
 export class DigestPublisher {
   private beat = 0
   private lastHeartbeatAt = -Infinity
--- a/packages/rosemaryspread/src/digest/digestedTable.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.ts
@@ -15,6 +15,7 @@
   readonly value?: T
 }
 
+/** Rows of one table and the source that they come from. */
 export class DigestedTable<T = unknown> {
   /** Time of the last response to the table's own feed, in monotonic milliseconds. */
   lastResponseAt = -Infinity
@@ -38,6 +39,7 @@
     return new Map([...this.rows].map(([key, state]) => [key, this.encodeEntry(key, state)]))
   }
 
+  /** Whether the value of an entry can be decoded; that of a removed row always can. */
   isDecodable (entry: DigestEntry): boolean {
     try {
       this.decodeEntry(entry)
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -74,7 +74,7 @@
     if (rank !== undefined) this.publish(rank)
   }
 
-  /** Ends all subscriptions. */
+  /** Ends all subscriptions; later ticks do nothing. */
   stop (): void {
     this.isStopped = true
     this.stopFeed?.()
--- a/packages/rosemaryspread/src/directory/callerDirectory.ts
+++ b/packages/rosemaryspread/src/directory/callerDirectory.ts
@@ -14,6 +14,7 @@
 /** Retry delay for callers while this VM is not ready. */
 const NOT_READY_RETRY_MS = 500
 
+/** Reads the state of a budget. */
 export interface BudgetReader {
   show (budget: string): Promise<Either<Failure, BudgetAnswer>>
 }
--- a/packages/rosemaryspread/src/membership/fleetSize.spec.ts
+++ b/packages/rosemaryspread/src/membership/fleetSize.spec.ts
@@ -12,7 +12,7 @@
 const cases: ReadonlyArray<{ readonly name: string, readonly states: readonly MemberState[], readonly size: number }> = [
   { name: 'one VM while the list of members is empty', states: [], size: 1 },
   { name: 'live VMs', states: ['live', 'live', 'live'], size: 3 },
-  { name: 'no VM that accepts no work', states: ['live', 'leaving', 'suspected', 'gone', 'live'], size: 2 }
+  { name: 'only VMs that accept work', states: ['live', 'leaving', 'suspected', 'gone', 'live'], size: 2 }
 ]
 
 describe('the size of the fleet', () => {
--- a/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/leaseDriver.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Guards against two holders of one role, and against a late write of a previous holder.
+ */
 import { expect } from 'chai'
 import type { Clock } from '@rosemaryspread/decisions/clock/clockTypes.js'
 import { defaultLeaseLimits } from '@rosemaryspread/decisions/lease/leaseTypes.js'
--- a/packages/rosemaryspread/src/membership/memberDriver.spec.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Membership over real links between VMs: discovery, suspicion of unresponsive VMs, replacement and role candidates.
+ */
 import { expect } from 'chai'
 import { Right } from 'purify-ts'
 import type { MemberRow, MemberState } from '@rosemaryspread/decisions/membership/memberTypes.js'
--- a/packages/rosemaryspread/src/membership/memberDriver.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.ts
@@ -48,6 +48,7 @@
   readonly limits?: MemberLimits
 }
 
+/** Runs the membership of this VM. */
 export class MemberDriver {
   private readonly decider: MemberTable
   private readonly rows: MemberRows
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -30,16 +30,17 @@
   readonly log: EventLog
   /** Uniform in [0, 1). */
   random (): number
-  /** Called when links became unresponsive, with the monotonic milliseconds since which nothing was received. */
+  /** Called when links were found unresponsive, with the monotonic milliseconds since which nothing was received. */
   onSilence (since: number): void
 }
 
 /**
- * Peers up to which notifications are broadcast over links. In a larger fleet few of them concern any one recipient, while the links
- * between all VMs cost processor time; updates about terminated targets arrive as quickly through a feed.
+ * Maximum number of peers to which notifications are broadcast over links. In a larger fleet few of them concern any one recipient, while
+ * links between all VMs cost processor time; updates about terminated targets then arrive as quickly through a feed.
  */
 export const MAX_NOTIFIED_PEERS = 20
 
+/** Client and server of the links of this VM. */
 export class FleetLinks {
   private readonly methods = new Map<string, PeerMethodHandler>()
   private client: JsonRpcPeerClient | undefined
--- a/packages/rosemaryspread/src/presence/presenceView.ts
+++ b/packages/rosemaryspread/src/presence/presenceView.ts
@@ -33,8 +33,8 @@
 
   /**
    * @param self - name of this VM
-   * @param expiryMs - silence after which a VM counts as terminated, by the size of the fleet
-   * @param lateMs - silence after which it counts as late, by the size of the fleet
+   * @param expiryMs - time without a heartbeat after which a VM counts as terminated, by the size of the fleet
+   * @param lateMs - time without a heartbeat after which it counts as late, by the size of the fleet
    */
   constructor (private readonly self: string, private readonly expiryMs: (vms: number) => number, private readonly lateMs: (vms: number) => number) {}
 
--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -71,7 +71,7 @@
 
 describe('presence of a VM without heartbeats', () => {
   for (const { vms, silentMs, isPresent } of silenceCases) {
-    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
+    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'terminated'}`, () => {
       const feed = new ManualFeed()
       const clock = { mono: 0 }
       const presence = createPresence(feed, clock)
@@ -141,7 +141,7 @@
 })
 
 describe('presence of a VM that left', () => {
-  it('does not write its row again, also when the VM becomes overloaded', async () => {
+  it('does not write its row again, even when the VM becomes overloaded', async () => {
     const writes: unknown[] = []
     const presence = new VmPresence({
       self: { vm: 'a', holder: 'a~1', domain: 'd', callers: 'a:1' },
--- a/packages/rosemaryspread/src/presence/vmPresence.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.ts
@@ -26,7 +26,7 @@
  */
 const SETTLE_MS = 1_200
 
-/** Gap between two ticks that counts as a pause of this VM. Ticks come every 50 to 150 ms, and a few hundred late on a busy VM. */
+/** Gap between two ticks that counts as a pause of this VM. Ticks come every 50 to 150 ms, and a few hundred milliseconds late on a busy VM. */
 const MIN_PAUSE_MS = 1_000
 
 /** Another VM and the IPv4:port of its links. */
@@ -51,6 +51,7 @@
   return Math.max(MIN_HEARTBEAT_MS, vms * MS_PER_SECOND / FLEET_HEARTBEATS_PER_S)
 }
 
+/** Presence of this VM and its view of the others. */
 export class VmPresence {
   private readonly view: PresenceView
   private state: PresenceRow['state'] = 'starting'
@@ -162,7 +163,7 @@
     return this.parts.clock.now().mono
   }
 
-  /** A VM that was paused received no updates: it retains the others until the feed delivers rows again. */
+  /** A VM that was paused received no updates: it treats the others as present until the feed delivers rows again. */
   private detectPause (): void {
     const { mono } = this
     if (mono - this.lastTickAt > MIN_PAUSE_MS) this.view.feedFailed()
