--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -71,7 +71,7 @@
 
 describe('presence of a VM without heartbeats', () => {
   for (const { vms, silentMs, isPresent } of silenceCases) {
-    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'terminated'}`, () => {
+    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
       const feed = new ManualFeed()
       const clock = { mono: 0 }
       const presence = createPresence(feed, clock)
