--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -141,7 +141,7 @@
 })
 
 describe('presence of a VM that left', () => {
-  it('does not write its row again, also when the VM becomes overloaded', async () => {
+  it('does not write its row again, even when the VM becomes overloaded', async () => {
     const writes: unknown[] = []
     const presence = new VmPresence({
       self: { vm: 'a', holder: 'a~1', domain: 'd', callers: 'a:1' },
