--- a/packages/peers/src/link/peerClient.ts
+++ b/packages/peers/src/link/peerClient.ts
@@ -121,12 +121,12 @@
     }
     const ready = await readyWithin(timeoutMs, openedLink.ready)
     if (ready.isLeft()) return ready
-    const leftMs = Math.max(1, timeoutMs - (this.clock.now().mono - startedAt))
-    return await openedLink.request(method, params, leftMs, onLate)
+    const remainingMs = Math.max(1, timeoutMs - (this.clock.now().mono - startedAt))
+    return await openedLink.request(method, params, remainingMs, onLate)
   }
 
   private getOrOpenLink (address: string, peer: PeerState): Either<Failure, PeerLink> {
-    if (peer.link?.usable === true) return Either.of(peer.link)
+    if (peer.link?.isUsable === true) return Either.of(peer.link)
     if (this.isClosed) return Left(new Failure('peerUnreachable', 'the client is closed'))
     const waitMs = peer.nextAttemptAt - this.clock.now().mono
     if (waitMs > 0) {
@@ -153,7 +153,7 @@
   private retireUnresponsiveLinks (respondingPeer: PeerState, unresponsiveSince: number): void {
     for (const peer of this.peers.values()) {
       const { link } = peer
-      if (peer !== respondingPeer && link?.usable === true && link.wasOpen && !link.hasReceivedAfter(unresponsiveSince)) link.retire()
+      if (peer !== respondingPeer && link?.isUsable === true && link.wasOpen && !link.hasReceivedAfter(unresponsiveSince)) link.retire()
     }
     this.onUnresponsive(unresponsiveSince)
   }
--- a/packages/peers/src/link/peerLink.ts
+++ b/packages/peers/src/link/peerLink.ts
@@ -39,7 +39,7 @@
   private state: LinkState = 'awaitingChallenge'
   private hasOpened = false
   private unresponsive = false
-  private retired = false
+  private isRetired = false
   private lastReceivedAt: number
   private probedAt: number | undefined
   private nextId = 0
@@ -59,8 +59,8 @@
   }
 
   /** Whether calls can use the link, possibly after its handshake. */
-  get usable (): boolean {
-    return this.state !== 'closed' && !this.retired && !this.socket.destroyed
+  get isUsable (): boolean {
+    return this.state !== 'closed' && !this.isRetired && !this.socket.destroyed
   }
 
   /** Whether the handshake has succeeded; stays true after the link is closed. */
@@ -80,7 +80,7 @@
    */
   async request (method: string, params: unknown, timeoutMs: number, onLate: LateResponseHandler = () => {}): Promise<Either<Failure, unknown>> {
     this.checkLiveness()
-    if (!this.usable) return Left(new Failure('peerUnreachable', 'the link was closed'))
+    if (!this.isUsable) return Left(new Failure('peerUnreachable', 'the link was closed'))
     this.nextId += 1
     const id = this.nextId
     const sentAt = this.context.clock.now().mono
@@ -106,14 +106,14 @@
    */
   notify (method: string, params: unknown): void {
     this.checkLiveness()
-    if (!this.usable || this.channel.unsentBytes > this.context.limits.unsentBytes) return
+    if (!this.isUsable || this.channel.unsentBytes > this.context.limits.unsentBytes) return
     this.channel.send(createJSONRPCNotification(method, params))
   }
 
   /** Stops accepting calls; late responses are still accepted. */
   retire (): void {
-    if (this.retired) return
-    this.retired = true
+    if (this.isRetired) return
+    this.isRetired = true
     setTimeout(() => { this.socket.destroy() }, LATE_RESPONSE_MS).unref()
   }
 
@@ -182,7 +182,7 @@
 
   /** An unresponsive connection does not recover: a new one costs the next call two round trips instead of its full timeout. */
   private onUnanswered (sentAt: number): void {
-    if (!this.usable || this.hasReceivedAfter(sentAt)) return
+    if (!this.isUsable || this.hasReceivedAfter(sentAt)) return
     this.unresponsive = true
     this.retire()
   }
--- a/packages/rosemaryspread/src/clock/steadyClock.ts
+++ b/packages/rosemaryspread/src/clock/steadyClock.ts
@@ -7,7 +7,7 @@
 import type { Clock, Instant } from '@rosemaryspread/decisions/clock/clockTypes.js'
 
 /** Smaller differences between clocks, in milliseconds, are drift or the delay between two readings. */
-const JUMP_MS = 100
+const MIN_JUMP_MS = 100
 
 /** Receives readings of the monotonic clock of another machine. */
 export interface RemoteClockObserver {
@@ -66,7 +66,7 @@
   private detectJump (offsetMs: number): void {
     const jumpMs = offsetMs - this.wallOffsetMs
     this.wallOffsetMs = offsetMs
-    if (Math.abs(jumpMs) < JUMP_MS) return
+    if (Math.abs(jumpMs) < MIN_JUMP_MS) return
     this.lastJumpAt = performance.now() + this.suspendedMs
     this.unconfirmedMs = Math.max(0, this.unconfirmedMs + jumpMs)
   }
@@ -93,5 +93,5 @@
 }
 
 function overlaps (a: OffsetBounds, b: OffsetBounds): boolean {
-  return a.minMs <= b.maxMs + JUMP_MS && b.minMs <= a.maxMs + JUMP_MS
+  return a.minMs <= b.maxMs + MIN_JUMP_MS && b.minMs <= a.maxMs + MIN_JUMP_MS
 }
--- a/packages/rosemaryspread/src/completion/completionPlanner.ts
+++ b/packages/rosemaryspread/src/completion/completionPlanner.ts
@@ -62,9 +62,9 @@
 
   /** Plans a run at the chosen runner, unless an earlier attempt sealed it. */
   private async planAt (admitted: AdmittedCompletion, routed: RoutedRunner, tried: TriedRunners): Promise<Either<Failure, PlannedRun> | 'sealed'> {
-    const { choice, runnersToSeal: before, run } = routed
+    const { choice, runnersToSeal, run } = routed
     if (!admitted.keyed) return await this.reserveAt(admitted, routed, [])
-    const found = await sealAndFindRun(this.deps.engines, admitted.requestId, before, choice)
+    const found = await sealAndFindRun(this.deps.engines, admitted.requestId, runnersToSeal, choice)
     if (found.at === undefined && !found.isChoiceSealed) {
       return await this.reserveAt(admitted, routed, [...tried.unsealed, ...found.unsealed])
     }
@@ -75,9 +75,9 @@
   }
 
   /** A keyed request that routing refuses may still be answered by the run of an earlier attempt. */
-  private async joinOrRefuse (admitted: AdmittedCompletion, { failure, lookupRunners: lookIn }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
-    if (lookIn.length === 0) return Left(failure)
-    const found = await lookUpRun(this.deps.engines, admitted.requestId, lookIn)
+  private async joinOrRefuse (admitted: AdmittedCompletion, { failure, lookupRunners }: RouteRefusal): Promise<Either<Failure, PlannedRun>> {
+    if (lookupRunners.length === 0) return Left(failure)
+    const found = await lookUpRun(this.deps.engines, admitted.requestId, lookupRunners)
     if (found.at !== undefined) return planJoin(admitted, found.at)
     const { code, message, retryAfterMs } = failure
     const ran = found.notRun ? 'no' : 'unknown'
--- a/packages/rosemaryspread/src/compose/bindBase.ts
+++ b/packages/rosemaryspread/src/compose/bindBase.ts
@@ -19,7 +19,7 @@
 import { createIdentity } from './vmIdentity.js'
 
 /** Time limit in milliseconds of engine calls that are not streamed. */
-const ENGINE_CALL_MS = 2_000
+const ENGINE_CALL_TIMEOUT_MS = 2_000
 const MAX_APPLICATION_ANSWER_BYTES = 16 * 1024 * 1024
 
 /** Creates the identity of the process; the other bind functions need it. */
@@ -48,10 +48,10 @@
   container.bind(ids.engines).toConstantValue(new HttpEngineClient({
     vm,
     connectMs: runners.connectTimeoutMs,
-    callMs: ENGINE_CALL_MS,
+    callMs: ENGINE_CALL_TIMEOUT_MS,
     firstEventMs: runners.firstTokenTimeoutMs,
     betweenEventsMs: runners.betweenTokensTimeoutMs,
-    afterEndMs: ENGINE_CALL_MS
+    afterEndMs: ENGINE_CALL_TIMEOUT_MS
   }))
   container.bind(ids.applications).toConstantValue(new HttpApplicationClient({
     vm,
--- a/packages/rosemaryspread/src/compose/vmIdentity.ts
+++ b/packages/rosemaryspread/src/compose/vmIdentity.ts
@@ -39,9 +39,9 @@
 /** Boot id and network namespace distinguish systems that use the same address. */
 function hashPeerAddress (address: string): string | undefined {
   try {
-    const boot = readFileSync('/proc/sys/kernel/random/boot_id', 'utf8').trim()
-    const network = readlinkSync('/proc/self/ns/net')
-    return createHash('sha256').update(`${boot} ${network} ${address}`).digest('hex')
+    const bootId = readFileSync('/proc/sys/kernel/random/boot_id', 'utf8').trim()
+    const networkNamespace = readlinkSync('/proc/self/ns/net')
+    return createHash('sha256').update(`${bootId} ${networkNamespace} ${address}`).digest('hex')
   } catch {
     return undefined
   }
--- a/packages/rosemaryspread/src/compose/vmProcess.ts
+++ b/packages/rosemaryspread/src/compose/vmProcess.ts
@@ -65,13 +65,13 @@
     this.container.get(ids.callerServer).linger()
     await Promise.all([this.container.get(ids.members).announceLeaving(), pause(drainLingerMs)])
     const released = this.completesWithin(this.container.get(ids.placementLease).release(), drainTimeoutMs)
-    const idle = await work.waitUntilIdle(drainTimeoutMs)
+    const isIdle = await work.waitUntilIdle(drainTimeoutMs)
     await this.container.get(ids.callerServer).close()
     const settled = await this.completesWithin(this.container.get(ids.budgets).drain(), drainTimeoutMs)
     await released
     await this.stop()
     this.log.write('stopped', { open: work.openCount(), interrupted: work.openCount(), settled })
-    return idle && settled
+    return isIdle && settled
   }
 
   /**
--- a/packages/rosemaryspread/src/digest/digestPublisher.ts
+++ b/packages/rosemaryspread/src/digest/digestPublisher.ts
@@ -20,9 +20,9 @@
   readonly vm: string
   readonly table: TableStore
   /** Called for each entry that was written; undefined when it was deleted. */
-  written (key: string, entry: DigestEntry | undefined): void
+  onWritten (key: string, entry: DigestEntry | undefined): void
   /** Called with the result code of a write that failed; the changes stay due. */
-  failed (code: string): void
+  onFailed (code: string): void
 }
 
 /** Input of one publishing pass. Times are monotonic milliseconds. */
@@ -73,10 +73,10 @@
     const written = await this.parts.table.transact({ checks: [], writes: [...writes] })
     this.isWriting = false
     written.caseOf({
-      Left: ({ code }) => { this.parts.failed(code) },
+      Left: ({ code }) => { this.parts.onFailed(code) },
       Right: () => {
-        for (const [key, entry] of due) this.parts.written(key, entry)
-        for (const key of expired) this.parts.written(key, undefined)
+        for (const [key, entry] of due) this.parts.onWritten(key, entry)
+        for (const key of expired) this.parts.onWritten(key, undefined)
       }
     })
   }
@@ -84,14 +84,14 @@
   private findChanges (state: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
     const { observed, published, mono } = state
     const changes = [...[...observed].filter(([key, entry]) => needsPublishing(entry, published.get(key))), ...this.missingRows(state)]
-    updateSince(this.omittedSince, changes.map(([key]) => key), mono)
+    trackFirstSeen(this.omittedSince, changes.map(([key]) => key), mono)
     return changes
   }
 
   /** Entries whose rows were removed while no VM published; nothing else would correct them. */
   private missingRows ({ observed, published, mono }: DigestState): ReadonlyArray<readonly [string, DigestEntry]> {
     const entries = [...published].filter(([key, { stage }]) => stage !== 'gone' && !observed.has(key))
-    updateSince(this.missingSince, entries.map(([key]) => key), mono)
+    trackFirstSeen(this.missingSince, entries.map(([key]) => key), mono)
     return entries
       .filter(([key]) => mono - (this.missingSince.get(key) ?? mono) >= MISSING_ROW_TIMEOUT_MS)
       .map(([key, { version }]) => [key, { version, stage: 'gone' }])
@@ -104,7 +104,7 @@
   /** Entries of removed rows whose retention has expired. */
   private expiredKeys ({ published, rank, mono }: DigestState): readonly string[] {
     const removed = [...published].filter(([, { stage }]) => stage === 'gone').map(([key]) => key)
-    updateSince(this.removedSince, removed, mono)
+    trackFirstSeen(this.removedSince, removed, mono)
     if (rank !== 0) return []
     return removed.filter(key => mono - (this.removedSince.get(key) ?? mono) >= REMOVED_RETENTION_MS).slice(0, MAX_ENTRIES_PER_WRITE)
   }
@@ -122,7 +122,7 @@
 }
 
 /** Records the time at which each key was first present, and drops the keys that no longer are. */
-function updateSince (since: Map<string, number>, keys: readonly string[], mono: number): void {
+function trackFirstSeen (since: Map<string, number>, keys: readonly string[], mono: number): void {
   const present = new Set(keys)
   for (const key of since.keys()) if (!present.has(key)) since.delete(key)
   for (const key of present) if (!since.has(key)) since.set(key, mono)
--- a/packages/rosemaryspread/src/digest/digestedTable.ts
+++ b/packages/rosemaryspread/src/digest/digestedTable.ts
@@ -115,8 +115,8 @@
   }
 
   private encodeEntry (key: string, { version, stage, value }: RowState<T>): DigestEntry {
-    const present = stage === 'gone' ? stage : this.source.stageOf(key)
-    return present === 'gone' || value === undefined ? { version, stage: 'gone' } : { version, stage: present, value: this.source.encode(value) }
+    const currentStage = stage === 'gone' ? stage : this.source.stageOf(key)
+    return currentStage === 'gone' || value === undefined ? { version, stage: 'gone' } : { version, stage: currentStage, value: this.source.encode(value) }
   }
 
   private decodeEntry ({ version, stage, value }: DigestEntry): RowState<T> {
--- a/packages/rosemaryspread/src/digest/tableDigest.ts
+++ b/packages/rosemaryspread/src/digest/tableDigest.ts
@@ -46,8 +46,8 @@
     this.publisher = new DigestPublisher({
       vm: parts.vm,
       table: parts.table,
-      written: (key, entry) => { this.applyEntry(key, entry) },
-      failed: code => { parts.log.write('platformFault', { service: 'table', operation: 'digest', code }) }
+      onWritten: (key, entry) => { this.applyEntry(key, entry) },
+      onFailed: code => { parts.log.write('platformFault', { service: 'table', operation: 'digest', code }) }
     })
   }
 
@@ -117,7 +117,7 @@
       },
       changed: rows => { for (const row of rows) this.applyRow(row) },
       failed: failure => { this.reportReadFailure(failure) },
-      undecodable: key => { this.undecodable(key) }
+      undecodable: key => { this.handleUndecodable(key) }
     })
   }
 
@@ -130,7 +130,7 @@
       if (entry.success && this.isDecodable(key, entry.data)) this.applyEntry(key, entry.data)
       else {
         this.published.delete(key)
-        this.undecodable(key)
+        this.handleUndecodable(key)
       }
     }
   }
@@ -138,7 +138,7 @@
   private applyHeartbeat (key: string, value: unknown): void {
     const heartbeat = digestHeartbeatSchema.safeParse(value)
     if (heartbeat.success) this.trust.recordHeartbeat(heartbeat.data, this.mono)
-    else if (value !== null) this.undecodable(key)
+    else if (value !== null) this.handleUndecodable(key)
   }
 
   private applyEntry (key: string, entry: DigestEntry | undefined): void {
@@ -169,7 +169,7 @@
     for (const table of this.tables) if (!table.isDirect) table.failed(failure)
   }
 
-  private undecodable (key: string): void {
+  private handleUndecodable (key: string): void {
     this.trust.lost()
     this.parts.log.write('platformFault', { service: 'digest', operation: 'decode', code: key })
   }
--- a/packages/rosemaryspread/src/directory/callerDirectory.ts
+++ b/packages/rosemaryspread/src/directory/callerDirectory.ts
@@ -34,7 +34,7 @@
   constructor (private readonly deps: DirectoryDeps) {}
 
   authenticate (bearer: string): Either<Failure, CallerIdentity> {
-    if (this.deps.config.current().isNothing()) return Left(notLoaded())
+    if (this.deps.config.current().isNothing()) return Left(configNotLoadedFailure())
     const team = this.deps.keys.ownerOf(bearer)
     return team === undefined ? Left(new Failure('unauthorized', 'the key belongs to no team')) : Right({ team })
   }
@@ -55,13 +55,13 @@
   async usage (caller: CallerIdentity): Promise<Either<Failure, UsageAnswer>> {
     const budget = this.config()?.teams[caller.team]?.budget
     if (budget === undefined) return Left(new Failure('forbidden', `team ${caller.team} is not in the configuration`))
-    const shown = await this.deps.budgets.show(budget)
-    return shown.map(({ paid, spent, allotted }) => ({ team: caller.team, budget, paid, spent, allotted }))
+    const answer = await this.deps.budgets.show(budget)
+    return answer.map(({ paid, spent, allotted }) => ({ team: caller.team, budget, paid, spent, allotted }))
   }
 
   ready (): Either<Failure, void> {
     if (this.deps.work.draining) return Left(new Failure('draining', 'this VM is draining', { retryAfterMs: NOT_READY_RETRY_MS }))
-    return this.deps.config.current().isNothing() ? Left(notLoaded()) : Right(undefined)
+    return this.deps.config.current().isNothing() ? Left(configNotLoadedFailure()) : Right(undefined)
   }
 
   metrics (): string {
@@ -73,6 +73,6 @@
   }
 }
 
-function notLoaded (): Failure {
+function configNotLoadedFailure (): Failure {
   return new Failure('configNotLoaded', 'no configuration is in force yet', { retryAfterMs: NOT_READY_RETRY_MS })
 }
--- a/packages/rosemaryspread/src/gateway/bindGateway.ts
+++ b/packages/rosemaryspread/src/gateway/bindGateway.ts
@@ -76,7 +76,7 @@
     onJoined: other => { container.get(ids.budgets).holderJoined(other) }
   }), [ids.clock, ids.log, ids.digest]).inSingletonScope()
   container.bind(ids.links).toResolvedValue((clock, random, log) =>
-    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onSilence: since => { connectionLiveness.reportUnresponsive('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
+    new FleetLinks({ holder, address: peers, table, clock, log, random: () => random.next(), onUnresponsive: since => { connectionLiveness.reportUnresponsive('peers', since) } }), [ids.clock, ids.random, ids.log]).inSingletonScope()
   container.bind(ids.balancer).toConstantValue(new TargetBalancer())
   container.bind(ids.targets).toResolvedValue((clock, balancer, log) =>
     new GatewayTargets({ clock, balancer, log }), [ids.clock, ids.balancer, ids.log]).inSingletonScope()
--- a/packages/rosemaryspread/src/membership/fleetSize.spec.ts
+++ b/packages/rosemaryspread/src/membership/fleetSize.spec.ts
@@ -24,12 +24,12 @@
 
   it('iterates over the members once a second however often it is read', () => {
     let mono = 0
-    let walks = 0
+    let iterations = 0
     const size = new FleetSize({ now: () => ({ mono, wall: mono }) }, () => {
-      walks += 1
+      iterations += 1
       return [member('live')]
     })
     for (; mono < 3_000; mono += 10) size.live()
-    expect(walks).to.equal(3)
+    expect(iterations).to.equal(3)
   })
 })
--- a/packages/rosemaryspread/src/membership/memberDriver.ts
+++ b/packages/rosemaryspread/src/membership/memberDriver.ts
@@ -50,7 +50,7 @@
 
 /** Runs the membership of this VM. */
 export class MemberDriver {
-  private readonly decider: MemberTable
+  private readonly memberTable: MemberTable
   private readonly rows: MemberRows
   private readonly limits: MemberLimits
   private timer: NodeJS.Timeout | undefined
@@ -58,7 +58,7 @@
 
   constructor (private readonly options: MemberDriverOptions) {
     this.limits = options.limits ?? defaultMemberLimits
-    this.decider = new MemberTable(options.self, options.random, this.limits)
+    this.memberTable = new MemberTable(options.self, options.random, this.limits)
     this.rows = new MemberRows(options.table, options.log)
   }
 
@@ -89,12 +89,12 @@
 
   /** All current members, this VM included. */
   members (): readonly MemberView[] {
-    return this.decider.members(this.now())
+    return this.memberTable.members(this.now())
   }
 
   /** Whether a pause was detected and the local row has not been read since. */
   mayBeReplaced (): boolean {
-    return this.decider.mayBeReplaced()
+    return this.memberTable.mayBeReplaced()
   }
 
   /**
@@ -142,7 +142,7 @@
   }
 
   private async dispatch (event: MemberEvent): Promise<void> {
-    const actions = this.decider.handle(event, this.now())
+    const actions = this.memberTable.handle(event, this.now())
     await Promise.all(actions.map(async action => { await this.execute(action) }))
   }
 
--- a/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.spec.ts
@@ -11,7 +11,7 @@
 const log = { write: () => {} }
 
 function createLinks (holder: string, table: FixtureTable, address: string | undefined): FleetLinks {
-  const links = new FleetLinks({ holder, address, table, clock, log, random: () => 0.5, onSilence: () => {} })
+  const links = new FleetLinks({ holder, address, table, clock, log, random: () => 0.5, onUnresponsive: () => {} })
   links.serve('echo', async (params, from) => ({ params, from }))
   return links
 }
--- a/packages/rosemaryspread/src/presence/fleetLinks.ts
+++ b/packages/rosemaryspread/src/presence/fleetLinks.ts
@@ -31,7 +31,7 @@
   /** Uniform in [0, 1). */
   random (): number
   /** Called when links were found unresponsive, with the monotonic milliseconds since which nothing was received. */
-  onSilence (since: number): void
+  onUnresponsive (since: number): void
 }
 
 /**
@@ -61,7 +61,7 @@
 
   /** Opens the links; resolves once they are open, or were closed meanwhile. */
   async open (): Promise<void> {
-    const { address, holder, clock, log, random, onSilence } = this.parts
+    const { address, holder, clock, log, random, onUnresponsive } = this.parts
     if (address === undefined) return
     const key = await this.key()
     if (key === undefined) return
@@ -69,7 +69,7 @@
     const server = new JsonRpcPeerServer(identity, log, linkLimits)
     for (const [method, handler] of this.methods) server.register(method, handler)
     this.server = server
-    this.client = new JsonRpcPeerClient({ identity, clock, random, limits: linkLimits, onUnresponsive: onSilence })
+    this.client = new JsonRpcPeerClient({ identity, clock, random, limits: linkLimits, onUnresponsive })
     await server.listen(address)
   }
 
--- a/packages/rosemaryspread/src/presence/vmPresence.spec.ts
+++ b/packages/rosemaryspread/src/presence/vmPresence.spec.ts
@@ -62,22 +62,22 @@
  * Guards against an expiry that ignores the size of the fleet: a VM of 360 writes a heartbeat every 9 s, so an expiry of 6 s
  * would make peers, and with them the owners of budgets, disappear and return continually.
  */
-const silenceCases: ReadonlyArray<{ readonly vms: number, readonly silentMs: number, readonly isPresent: boolean }> = [
-  { vms: 6, silentMs: 5_900, isPresent: true },
-  { vms: 6, silentMs: 6_100, isPresent: false },
-  { vms: 360, silentMs: 9_000, isPresent: true },
-  { vms: 360, silentMs: 36_100, isPresent: false }
+const silenceCases: ReadonlyArray<{ readonly vms: number, readonly silenceMs: number, readonly isPresent: boolean }> = [
+  { vms: 6, silenceMs: 5_900, isPresent: true },
+  { vms: 6, silenceMs: 6_100, isPresent: false },
+  { vms: 360, silenceMs: 9_000, isPresent: true },
+  { vms: 360, silenceMs: 36_100, isPresent: false }
 ]
 
 describe('presence of a VM without heartbeats', () => {
-  for (const { vms, silentMs, isPresent } of silenceCases) {
-    it(`for ${silentMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
+  for (const { vms, silenceMs, isPresent } of silenceCases) {
+    it(`for ${silenceMs} ms in a fleet of ${vms}: ${isPresent ? 'present' : 'gone'}`, () => {
       const feed = new ManualFeed()
       const clock = { mono: 0 }
       const presence = createPresence(feed, clock)
       presence.start()
       feed.handler?.replaced(Array.from({ length: vms }, (_, index) => row(index === 0 ? 'a' : `b${index}`, '1', 1)))
-      clock.mono = silentMs
+      clock.mono = silenceMs
       expect(presence.size).to.equal(isPresent ? vms : 1)
     })
   }
